--- a/src/balsamreach/budget/book.py
+++ b/src/balsamreach/budget/book.py
@@ -1,4 +1,4 @@
-"""The ledgers of one router, and the one place that moves tokens in them."""
+"""All ledgers of one router, and the moves that change them."""
 
 import asyncio
 import logging
@@ -16,9 +16,9 @@
 )
 from balsamreach.budget.incarnations import Incarnations
 from balsamreach.budget.ledger import Ledger
-from balsamreach.budget.moves import Move, Moved
-from balsamreach.budget.rate import WINDOW_S, Rate
-from balsamreach.budget.usage import Limit, Usage, in_use
+from balsamreach.budget.moves import Move, MoveResult
+from balsamreach.budget.rate import DEFAULT_WINDOW_S, Rate
+from balsamreach.budget.usage import UsageLimit, UsageLimiter, tokens_in_use
 from balsamreach.clock import Clock
 from balsamreach.telemetry.logs import log_event
 from balsamreach.telemetry.metrics import Metrics
@@ -28,12 +28,12 @@
 LOANS_RECORDED = 'balsamreach_budget_loans_recorded_total'
 LOANS_DROPPED = 'balsamreach_budget_loans_dropped_total'
 
-#: An account that had nothing free is not asked again for so long.
-EMPTY_S = 0.25
+#: Seconds for which an account without free tokens is not asked again.
+EMPTY_ACCOUNT_RETRY_S = 0.25
 
 _logger = logging.getLogger(__name__)
 
-_AWAY = NO_ALLOTMENT.because('the table service is known to be away')
+_SERVICE_AWAY = NO_ALLOTMENT.because('the table service is known to be away')
 
 MakeMoves = Callable[[], Iterable[Move]]
 
@@ -45,9 +45,9 @@
     Parameters
     ----------
     drawer : Drawer
-        Moves tokens in the table service.
+        Commits moves to the table service.
     incarnations : Incarnations
-        Where this router enters itself before its first move.
+        Registers this router at its address before its first move.
     clock : Clock
         Time for the rates.
     metrics : Metrics
@@ -55,13 +55,19 @@
     spends_loans : bool
         Whether loans may be spent before they are recorded.
     rate_window : float
-        Seconds over which rates of spending are averaged.
+        Time constant in seconds of the average spending rates.
     is_away : callable
-        Tells whether the table service is known to be away, so that a move
-        would only hold up those who wait for it.
-    limit : callable or None
-        Tells how much may be in use by what was reported; None where routers
-        don't report.
+        Returns whether the table service is known to be away, in which case
+        a move would only delay its callers.
+    usage_limit : callable or None
+        Returns how many tokens may be in use according to the reports; None
+        where routers don't report.
+    closed : BudgetFault or None
+        Why this router may spend nothing any more.
+    ledgers : dict of str to Ledger
+        Ledgers by team.
+    recorded_loans : list of Loan
+        Loans recorded since the lenders were last told.
     """
 
     drawer: Drawer
@@ -69,65 +75,65 @@
     clock: Clock
     metrics: Metrics
     spends_loans: bool
-    rate_window: float = WINDOW_S
+    rate_window: float = DEFAULT_WINDOW_S
     is_away: Callable[[], bool] = bool
-    limit: Limit | None = None
+    usage_limit: UsageLimit | None = None
     closed: BudgetFault | None = None
     ledgers: dict[str, Ledger] = attrs.field(factory=dict)
-    recorded: list[Loan] = attrs.field(factory=list)
+    recorded_loans: list[Loan] = attrs.field(factory=list)
     _lock: asyncio.Lock = attrs.field(factory=asyncio.Lock)
 
     def ledger(self, team: str) -> Ledger:
-        """Return a team's ledger, a new one if there is none."""
+        """Return a team's ledger; create it if there is none."""
         if team not in self.ledgers:
             self.ledgers[team] = Ledger(
                 team,
                 Rate(self.clock.now(), self.rate_window),
                 spends_loans=self.spends_loans,
-                usage=self.limit and Usage(self.limit),
+                limiter=self.usage_limit and UsageLimiter(self.usage_limit),
             )
         return self.ledgers[team]
 
     async def enter(self) -> BudgetFault | None:
-        """Return why this router may not draw, None if it may."""
-        # Whoever succeeds this router on its address has to find it in the
-        # row there, or would not know whose allotments to close.
+        """Register this router; return why it may not draw, None if it may."""
+        # A successor on this address has to find this router in the row of
+        # the address; otherwise it would not know whose allotments to close.
         fault = self.closed or await self.incarnations.enter()
         if fault is not None:
             self.note(fault)
         return fault
 
     async def move(self, make_moves: MakeMoves) -> Outcomes | BudgetFault:
-        """Work moves out, apply them and enter what they did.
+        """Plan moves, commit them and update the ledgers.
 
         Parameters
         ----------
         make_moves : callable
-            Returns the moves; called when no other move is under way, so
-            that it sees what earlier ones did.
+            Returns the moves; called while no other move is in progress, so
+            that it sees the results of earlier ones.
 
         Returns
         -------
         dict or BudgetFault
             As from ``Drawer.move``.
         """
-        # A caller that goes away cancels its task. A move that is under way
-        # must not end with it: a loan that was recorded but not entered here
-        # would be recorded a second time.
+        # A cancelled caller must not cancel a move in progress: a loan that
+        # was recorded in the table service but not in the ledger would be
+        # recorded a second time.
         if self.is_away():
-            return _AWAY
+            return _SERVICE_AWAY
         return await asyncio.shield(
             asyncio.ensure_future(self._move(make_moves)),
         )
 
     def note(self, fault: BudgetFault) -> None:
-        """Stop spending for good if a successor took over."""
+        """Stop spending permanently if the fault is TAKEN_OVER."""
         if fault == TAKEN_OVER:
             self.closed = fault
 
     async def _move(self, make_moves: MakeMoves) -> Outcomes | BudgetFault:
         async with self._lock:
-            fault = _AWAY if self.is_away() else await self.enter()
+            fault = _SERVICE_AWAY if self.is_away() else await self.enter()
             if fault is not None:
                 return fault
             moves = tuple(make_moves())
@@ -135,65 +141,77 @@
                 return {}
             outcomes = await self.drawer.move(moves)
             if isinstance(outcomes, BudgetFault):
-                self._fail(moves, outcomes)
+                self._handle_failure(moves, outcomes)
                 return outcomes
-            for one in moves:
-                self._enter(one, outcomes[one.team])
-                self.ledgers[one.team].hand_out()
+            for move in moves:
+                self._apply_outcome(move, outcomes[move.team])
+                self.ledgers[move.team].hand_out()
             return outcomes
 
-    def _fail(self, moves: tuple[Move, ...], fault: BudgetFault) -> None:
+    def _handle_failure(
+        self,
+        moves: tuple[Move, ...],
+        fault: BudgetFault,
+    ) -> None:
         self.metrics.count(MOVES, outcome=fault.code)
         self.note(fault)
-        for one in moves:
-            self._undo(one.team)
-            self.ledgers[one.team].hand_out()
-
-    def _enter(self, move: Move, outcome: Moved | BudgetFault) -> None:
+        for move in moves:
+            self._cancel_return(move.team)
+            self.ledgers[move.team].hand_out()
+
+    def _apply_outcome(
+        self,
+        move: Move,
+        outcome: MoveResult | BudgetFault,
+    ) -> None:
         ledger = self.ledgers[move.team]
         if isinstance(outcome, BudgetFault):
-            self._refuse(ledger, outcome)
+            self._apply_refusal(ledger, outcome)
             return
-        ledger.free = outcome.free
-        if not outcome.free:
-            ledger.empty_until = self.clock.now() + EMPTY_S
+        ledger.account_free = outcome.account_free
+        if not outcome.account_free:
+            ledger.account_empty_until = (
+                self.clock.now() + EMPTY_ACCOUNT_RETRY_S
+            )
         self.metrics.count(MOVES, outcome='done')
-        held = ledger.own
-        ledger.adopt(outcome.allotment)
-        self._tell(move, ledger, held)
-        for loan_id in outcome.recorded:
-            self.recorded.append(ledger.borrowed.pop(loan_id))
+        held_before = ledger.own
+        ledger.apply_allotment(outcome.allotment)
+        self._log_move(move, ledger, held_before)
+        for loan_id in outcome.recorded_loans:
+            self.recorded_loans.append(ledger.borrowed.pop(loan_id))
             self.metrics.count(LOANS_RECORDED)
-        for lost_id in outcome.dropped:
-            ledger.borrowed.pop(lost_id)
+        for dropped_id in outcome.dropped_loans:
+            ledger.borrowed.pop(dropped_id)
             self.metrics.count(LOANS_DROPPED)
-        self._undo(move.team)
+        self._cancel_return(move.team)
 
-    def _refuse(self, ledger: Ledger, fault: BudgetFault) -> None:
+    def _apply_refusal(self, ledger: Ledger, fault: BudgetFault) -> None:
         self.metrics.count(MOVES, outcome=fault.code)
         if fault == EXHAUSTED:
-            ledger.empty_until = self.clock.now() + EMPTY_S
-        self._undo(ledger.team)
+            ledger.account_empty_until = (
+                self.clock.now() + EMPTY_ACCOUNT_RETRY_S
+            )
+        self._cancel_return(ledger.team)
 
-    def _tell(self, move: Move, ledger: Ledger, held: int) -> None:
+    def _log_move(self, move: Move, ledger: Ledger, held_before: int) -> None:
         log_event(
             _logger,
             logging.DEBUG,
             'tokens_moved',
             team=move.team,
-            wanted=move.most or -move.back,
-            held_before=held,
+            wanted=move.max_draw or -move.give_back,
+            held_before=held_before,
             held=ledger.own,
-            free=ledger.free,
-            used=in_use(ledger),
+            free=ledger.account_free,
+            used=tokens_in_use(ledger),
             granted=ledger.granted,
             reserved=ledger.reserved,
             waiting=len(ledger.queue.waiters),
             move=ledger.seq,
         )
 
-    def _undo(self, team: str) -> None:
-        # While an attempt may yet take effect, what it hands back stays set
-        # aside: spent here and handed back, it would be spent twice.
+    def _cancel_return(self, team: str) -> None:
+        # While an attempt may still take effect, the tokens that it returns
+        # stay set aside: spent here and returned, they would be spent twice.
         if not self.drawer.is_pending(team):
-            self.ledgers[team].undo_return()
+            self.ledgers[team].cancel_return()
--- a/src/balsamreach/budget/drawing.py
+++ b/src/balsamreach/budget/drawing.py
@@ -1,4 +1,4 @@
-"""Draws on a team's account for requests that wait."""
+"""Draws on a team's account for waiting requests, within a time limit."""
 
 import asyncio
 from functools import partial
@@ -12,39 +12,40 @@
 from balsamreach.budget.reporting import Reporter
 from balsamreach.budget.sizing import Sizing
 
-#: After a failure the table service is not asked for a request's sake.
-AWAY_S = 2
-#: Longest wait for a draw alone; a busy table service answers within it.
-PATIENCE_S = 2.0
-_TRIES = 3
+#: Seconds after a failure during which no request causes a draw.
+FAILURE_BACKOFF_S = 2
+#: Longest wait for a draw; even a busy table service answers within it.
+DRAW_TIMEOUT_S = 2.0
+_MAX_TRIES = 3
 
 
 @attrs.define
 class Drawing:
-    """Draws, and reports what is drawn for, within a bound of time.
+    """Draws for waiting requests and reports the resulting use.
 
     Parameters
     ----------
     book, sizing
-        The parts that drawing takes.
-    away : float
-        Seconds for which the table service isn't asked after a failure.
-    patience : float
-        Seconds after which a draw is left to itself and peers are asked; a
-        service that went away silently answers nothing for far longer.
+        The ledgers, and the sizes of draws.
+    backoff : float
+        Seconds after a failure during which the table service isn't asked.
+    timeout : float
+        Seconds after which a draw is no longer waited for and peers are
+        asked; a service that stopped answering would delay callers for far
+        longer.
     reporter : Reporter or None
-        Reports what requests will use; None where nobody reports.
+        Reports what requests will use; None where routers don't report.
     """
 
     book: Book
     sizing: Sizing
-    away: float = AWAY_S
-    patience: float = PATIENCE_S
+    backoff: float = FAILURE_BACKOFF_S
+    timeout: float = DRAW_TIMEOUT_S
     reporter: Reporter | None = None
-    _away_until: float = 0
+    _backoff_until: float = 0
 
     async def draw(self, ledger: Ledger) -> BudgetFault | None:
-        """Draw for the requests that wait, and report what they need.
+        """Draw for the waiting requests, and report what they need.
 
         Parameters
         ----------
@@ -54,54 +55,55 @@
         Returns
         -------
         BudgetFault or None
-            Why too little came, as far as it is known by then.
+            Why too few tokens were drawn, as far as that is known when the
+            time is over.
         """
-        # A report is of use before the draw has come: it promises what the
-        # requests that wait need, whoever grants it.
-        works = [asyncio.ensure_future(self._draw(ledger))]
-        if self.reporter is not None and not self.is_away():
-            works.append(asyncio.ensure_future(self._report()))
-        _done, late = await asyncio.wait(works, timeout=self.patience)
-        if late:
+        # The report need not wait for the draw: it covers what the waiting
+        # requests need, whether the account or a peer grants it.
+        tasks = [asyncio.ensure_future(self._draw(ledger))]
+        if self.reporter is not None and not self.is_backing_off():
+            tasks.append(asyncio.ensure_future(self._report()))
+        _done, pending = await asyncio.wait(tasks, timeout=self.timeout)
+        if pending:
             return NO_ALLOTMENT.because('the draw takes too long')
-        faults = [work.result() for work in works]
+        faults = [task.result() for task in tasks]
         return next(filter(None, faults), None)
 
-    def is_away(self) -> bool:
-        """Return whether the table service is left alone after a failure."""
-        return self.book.clock.now() < self._away_until
+    def is_backing_off(self) -> bool:
+        """Return whether the table service isn't asked after a failure."""
+        return self.book.clock.now() < self._backoff_until
 
     async def _report(self) -> BudgetFault | None:
         if await self.reporter.report():
             return None
         fault = NO_ALLOTMENT.because('what requests need is not reported')
-        self._note(fault)
+        self._note_fault(fault)
         return fault
 
     async def _draw(self, ledger: Ledger) -> BudgetFault | None:
-        if ledger.missing <= 0:
+        if ledger.shortfall <= 0:
             return None
-        if self.is_away():
+        if self.is_backing_off():
             return NO_ALLOTMENT.because('the table service is away')
-        if self.sizing.is_empty(ledger):
+        if self.sizing.is_account_empty(ledger):
             return too_little(ledger.team)
-        for _ in range(_TRIES):
-            outcome = await self.book.move(partial(self._wanted, ledger))
+        for _ in range(_MAX_TRIES):
+            outcome = await self.book.move(partial(self._moves, ledger))
             if isinstance(outcome, BudgetFault):
-                self._note(outcome)
+                self._note_fault(outcome)
                 return outcome
             moved = outcome.get(ledger.team)
             if isinstance(moved, BudgetFault):
                 return moved
-            if not ledger.queue or ledger.missing <= 0:
+            if not ledger.queue or ledger.shortfall <= 0:
                 return None
         return None
 
-    def _wanted(self, ledger: Ledger) -> tuple[Move, ...]:
-        if not ledger.queue or ledger.missing <= 0:
+    def _moves(self, ledger: Ledger) -> tuple[Move, ...]:
+        if not ledger.queue or ledger.shortfall <= 0:
             return ()
-        return (self.sizing.for_queue(ledger),)
+        return (self.sizing.draw_for_queue(ledger),)
 
-    def _note(self, fault: BudgetFault) -> None:
+    def _note_fault(self, fault: BudgetFault) -> None:
         if fault == NO_ALLOTMENT:
-            self._away_until = self.book.clock.now() + self.away
+            self._backoff_until = self.book.clock.now() + self.backoff
--- a/src/balsamreach/budget/draws.py
+++ b/src/balsamreach/budget/draws.py
@@ -1,4 +1,4 @@
-"""Moves tokens between accounts and this router's allotments."""
+"""Commits moves of tokens between accounts and this router's allotments."""
 
 import random
 
@@ -11,45 +11,53 @@
     TAKEN_OVER,
     BudgetFault,
 )
-from balsamreach.budget.moves import Move, Moved, Plan, Records, plan_move
+from balsamreach.budget.moves import (
+    Move,
+    MovePlan,
+    MoveResult,
+    MoveRows,
+    plan_move,
+)
 from balsamreach.clock import Clock
 from balsamreach.services.base import Commit, Row, TableService
 from balsamreach.services.faults import CONFLICT, UNKNOWN, PlatformFault
 
-_ATTEMPTS = 8
+_ATTEMPT_LIMIT = 8
 _FIRST_PAUSE_S = 0.01
 
-Outcomes = dict[str, Moved | BudgetFault]
+Outcomes = dict[str, MoveResult | BudgetFault]
 
 
 @attrs.define
 class Drawer:
-    """Draws and returns for one incarnation, one commit at a time.
+    """Commits the moves of one incarnation, one commit at a time.
 
     Parameters
     ----------
     service : TableService
-        Where accounts and allotments are kept.
+        Where accounts and allotments are stored.
     incarnation : str
-        Whose allotments they are.
+        Whose allotments are moved.
     clock : Clock
         Time for pauses between attempts.
     rng : Random
         Jitter of those pauses.
-    remembers : bool
-        Whether it goes by what it wrote last in its own rows, which saves a
-        read for each move. Of use where hardly anybody else writes there.
+    caches_own_rows : bool
+        Whether it uses its last written version of its own rows, which saves
+        a read for each move. Worth it where others rarely write these rows.
+    conflicts : int
+        Commits that conflicted.
     """
 
     service: TableService
     incarnation: str
     clock: Clock
     rng: random.Random
-    remembers: bool = False
+    caches_own_rows: bool = False
     conflicts: int = 0
-    _number: int = 0
-    _unknown: dict[int, dict[str, Plan]] = attrs.field(factory=dict)
-    _written: dict[str, Row] = attrs.field(factory=dict)
+    _attempt_number: int = 0
+    _unresolved: dict[int, dict[str, MovePlan]] = attrs.field(factory=dict)
+    _cached_rows: dict[str, Row] = attrs.field(factory=dict)
 
     async def move(self, moves: tuple[Move, ...]) -> Outcomes | BudgetFault:
         """Apply moves of different teams in one commit.
@@ -62,25 +70,25 @@
         Returns
         -------
         dict or BudgetFault
-            For each team what was moved, or why nothing was. NO_ALLOTMENT
-            if the table service is away and TAKEN_OVER if a successor
-            closed an allotment, CONTENDED if others were always faster;
-            nothing is known to have moved then.
+            For each team its result, or why nothing was moved. A single
+            fault means that nothing is known to have moved: NO_ALLOTMENT if
+            the table service is away, TAKEN_OVER if a successor closed an
+            allotment, CONTENDED if each attempt conflicted with others.
         """
-        for attempt in range(_ATTEMPTS):
-            read = await self._read(moves)
-            if isinstance(read, PlatformFault):
-                return NO_ALLOTMENT.because(f'table service: {read.code}')
-            self._number += 1
+        for attempt in range(_ATTEMPT_LIMIT):
+            rows = await self._read(moves)
+            if isinstance(rows, PlatformFault):
+                return NO_ALLOTMENT.because(f'table service: {rows.code}')
+            self._attempt_number += 1
             plans = {
-                one.team: plan_move(one, self._records(one, read))
-                for one in moves
+                move.team: plan_move(move, self._move_rows(move, rows))
+                for move in moves
             }
             if TAKEN_OVER in plans.values():
                 return TAKEN_OVER.because('an allotment was closed')
             outcome = await self._commit(plans)
             if not isinstance(outcome, PlatformFault):
-                self._resolve(plans)
+                self._drop_resolved(plans)
                 return _outcomes(plans)
             if outcome not in {CONFLICT, UNKNOWN}:
                 return NO_ALLOTMENT.because(f'table service: {outcome.code}')
@@ -88,42 +96,44 @@
         return CONTENDED.because('the accounts are contended')
 
     def is_pending(self, team: str) -> bool:
-        """Return whether an attempt for a team may yet take effect."""
-        return any(team in unknown for unknown in self._unknown.values())
+        """Return whether an attempt for a team may still take effect."""
+        return any(team in plans for plans in self._unresolved.values())
 
     async def _read(
         self,
         moves: tuple[Move, ...],
     ) -> dict[str, Row] | PlatformFault:
         keys: set[str] = set()
-        for one in moves:
-            keys.add(account_key(one.team))
-            keys.add(allotment_key(self.incarnation, one.team))
+        for move in moves:
+            keys.add(account_key(move.team))
+            keys.add(allotment_key(self.incarnation, move.team))
             keys.update(
-                allotment_key(loan.lender, one.team) for loan in one.loans
+                allotment_key(loan.lender, move.team) for loan in move.loans
             )
-        # What this router wrote last in its own rows still stands there,
-        # unless a borrower has recorded a loan. Then the commit conflicts.
-        known = {key: self._written[key] for key in keys & set(self._written)}
-        rows = await self.service.read(tuple(sorted(keys - set(known))))
+        # A cached row is current unless a borrower has recorded a loan in
+        # it, and then the commit conflicts.
+        cached = {
+            key: self._cached_rows[key] for key in keys & set(self._cached_rows)
+        }
+        rows = await self.service.read(tuple(sorted(keys - set(cached))))
         if isinstance(rows, PlatformFault):
             return rows
-        return known | {row.key: row for row in rows}
+        return cached | {row.key: row for row in rows}
 
-    def _records(self, move: Move, read: dict[str, Row]) -> Records:
-        own = read[allotment_key(self.incarnation, move.team)]
+    def _move_rows(self, move: Move, rows: dict[str, Row]) -> MoveRows:
+        own = rows[allotment_key(self.incarnation, move.team)]
         # An attempt whose answer was lost has left its number in the row if
-        # it took effect. No two attempts share a number, so a loan is not
-        # recorded and a draw not made a second time.
+        # it took effect. No two attempts share a number, so neither a loan
+        # is recorded nor a draw made a second time.
         number = (own.value or {}).get('seq', 0)
-        landed = self._unknown.get(number, {}).get(move.team)
-        return Records(
-            number=self._number,
-            at=self.clock.wall(),
-            account=read[account_key(move.team)],
+        earlier_plan = self._unresolved.get(number, {}).get(move.team)
+        return MoveRows(
+            attempt_number=self._attempt_number,
+            wall_time=self.clock.wall(),
+            account=rows[account_key(move.team)],
             own=own,
             lenders=tuple(
-                read[key]
+                rows[key]
                 for key in sorted(
                     {
                         allotment_key(loan.lender, move.team)
@@ -131,15 +141,17 @@
                     }
                 )
             ),
-            landed=landed,
+            earlier_plan=earlier_plan,
         )
 
     async def _commit(
         self,
-        plans: dict[str, Plan | BudgetFault],
+        plans: dict[str, MovePlan | BudgetFault],
     ) -> int | PlatformFault:
         planned = {
-            team: plan for team, plan in plans.items() if isinstance(plan, Plan)
+            team: plan
+            for team, plan in plans.items()
+            if isinstance(plan, MovePlan)
         }
         writes = [write for plan in planned.values() for write in plan.writes]
         checks = [check for plan in planned.values() for check in plan.checks]
@@ -149,51 +161,51 @@
             Commit(tuple(writes), tuple(checks)),
         )
         if outcome == UNKNOWN:
-            self._unknown[self._number] = planned
+            self._unresolved[self._attempt_number] = planned
         elif outcome == CONFLICT:
             self.conflicts += 1
-        if self.remembers:
-            self._remember(planned, outcome)
+        if self.caches_own_rows:
+            self._update_cache(planned, outcome)
         return outcome
 
-    def _remember(
+    def _update_cache(
         self,
-        planned: dict[str, Plan],
+        planned: dict[str, MovePlan],
         outcome: int | PlatformFault,
     ) -> None:
         for team, plan in planned.items():
             own = allotment_key(self.incarnation, team)
-            self._written.pop(own, None)
+            self._cached_rows.pop(own, None)
             if isinstance(outcome, PlatformFault):
                 continue
             written = {write.key: write.value for write in plan.writes}
             if own in written:
-                self._written[own] = Row(own, outcome, written[own])
+                self._cached_rows[own] = Row(own, outcome, written[own])
 
-    def _resolve(self, plans: dict[str, Plan | BudgetFault]) -> None:
-        # An attempt that is still on its way fails once a later commit of
-        # ours stands in the row. Until then it may yet take effect.
-        over = {
+    def _drop_resolved(self, plans: dict[str, MovePlan | BudgetFault]) -> None:
+        # An attempt that is still in flight fails once the row holds a later
+        # commit of this router. Until then it may still take effect.
+        resolved = {
             team
             for team, plan in plans.items()
-            if isinstance(plan, Plan) and (plan.writes or plan.landed)
+            if isinstance(plan, MovePlan) and (plan.writes or plan.is_earlier)
         }
-        for number, unknown in tuple(self._unknown.items()):
-            for team in over.intersection(unknown):
-                unknown.pop(team)
-            if not unknown:
-                self._unknown.pop(number)
+        for number, unresolved in tuple(self._unresolved.items()):
+            for team in resolved.intersection(unresolved):
+                unresolved.pop(team)
+            if not unresolved:
+                self._unresolved.pop(number)
 
     async def _pause(self, attempt: int) -> None:
-        # Many routers draw on a busy team's account. Were they to repeat a
-        # conflicting commit in step, all but one would fail each time; it
-        # would show as many conflicts for each draw.
+        # Many routers draw on a busy team's account. If they repeated a
+        # conflicting commit in step, all but one would fail each time, with
+        # many conflicts for each draw. So pauses have full jitter.
         longest = _FIRST_PAUSE_S * 2**attempt
         await self.clock.sleep(self.rng.uniform(0, longest))
 
 
-def _outcomes(plans: dict[str, Plan | BudgetFault]) -> Outcomes:
+def _outcomes(plans: dict[str, MovePlan | BudgetFault]) -> Outcomes:
     return {
-        team: plan if isinstance(plan, BudgetFault) else plan.moved
+        team: plan if isinstance(plan, BudgetFault) else plan.result
         for team, plan in plans.items()
     }
--- a/src/balsamreach/budget/gifts.py
+++ b/src/balsamreach/budget/gifts.py
@@ -54,7 +54,7 @@
                 # It may have been taken. Given to another peer as well, the
                 # tokens would be there twice.
                 return 0
-            ledger.call_off(gift_id)
+            ledger.cancel_loan(gift_id)
         return 0
 
     async def _take(self, member: Member, gift: LoanGrant) -> Done:
--- a/src/balsamreach/budget/holdings.py
+++ b/src/balsamreach/budget/holdings.py
@@ -114,7 +114,7 @@
     ) -> Reservation | BudgetFault:
         """Set a request's worst case aside from what this router holds."""
         ledger = self._ledger(team)
-        ledger.squares.add(tokens**2, self.clock.now())
+        ledger.squares_rate.add(tokens**2, self.clock.now())
         reservation = None
         if not ledger.queue:
             reservation = ledger.reserve(tokens)
@@ -167,7 +167,7 @@
         # zone at once; it shows as a burst of calls where traffic begins.
         for ahead in held_ahead(self.teams(), self.net):
             ledger = self._ledger(ahead)
-            if ledger.free is None:
+            if ledger.account_free is None:
                 await self.book.move(partial(_first, self, ledger))
         for team in tuple(self.book.ledgers):
             if _is_kept(self.book.ledgers[team], self.net):
@@ -196,8 +196,8 @@
 
     def _ledger(self, team: str) -> Ledger:
         ledger = self.book.ledger(team)
-        if ledger.squares is None:
-            ledger.squares = Rate(self.clock.now(), self.rate_window)
+        if ledger.squares_rate is None:
+            ledger.squares_rate = Rate(self.clock.now(), self.rate_window)
         return ledger
 
     def _due(self, team: str) -> Iterable[Move]:
@@ -205,12 +205,12 @@
         return () if move is None else (move,)
 
     def _rest(self, ledger: Ledger) -> Iterable[Move]:
-        move = self.parts.sizing.for_recall(ledger)
+        move = self.parts.sizing.return_idle(ledger)
         return () if move is None else (move,)
 
 
 def _first(holdings: Holdings, ledger: Ledger) -> Iterable[Move]:
-    return (holdings.parts.sizing.first(ledger),)
+    return (holdings.parts.sizing.initial_draw(ledger),)
 
 
 def _is_kept(ledger: Ledger, net: PeerNet) -> bool:
--- a/src/balsamreach/budget/holdings_parts.py
+++ b/src/balsamreach/budget/holdings_parts.py
@@ -5,7 +5,7 @@
 import attrs
 
 from balsamreach.budget.book import Book
-from balsamreach.budget.covering import Covering
+from balsamreach.budget.covering import AdaptiveSizing
 from balsamreach.budget.drawing import Drawing
 from balsamreach.budget.draws import Drawer
 from balsamreach.budget.gifts import Gifts
@@ -21,10 +21,10 @@
 from balsamreach.budget.loans import Loans
 from balsamreach.budget.obtaining import Obtainer
 from balsamreach.budget.prepaid import PrepaidAccounts
-from balsamreach.budget.promises import Pace, Promise
+from balsamreach.budget.promises import Allowance, OpeningSchedule
 from balsamreach.budget.reporting import Reporter
 from balsamreach.budget.succession import Succession
-from balsamreach.budget.usage import promise
+from balsamreach.budget.usage import make_allowance
 from balsamreach.config.settings import BudgetSettings
 from balsamreach.peers.base import PeerNet
 
@@ -66,7 +66,7 @@
 
     book: Book
     reporter: Reporter
-    sizing: Covering
+    sizing: AdaptiveSizing
     loans: Loans
     gifts: Gifts
     obtainer: Obtainer
@@ -90,7 +90,7 @@
             holdings.incarnation,
             holdings.clock,
             holdings.rng,
-            remembers=True,
+            caches_own_rows=True,
         ),
         incarnations,
         holdings.clock,
@@ -98,16 +98,16 @@
         spends_loans=True,
         rate_window=holdings.rate_window,
     )
-    sizing = Covering(
+    sizing = AdaptiveSizing(
         holdings.cfg,
         holdings.clock,
         _RETURN_ABOVE,
         prepaid=holdings.prepaid,
-        routers=lambda: count_holders(holdings.net),
-        holds=lambda team: is_holder(team, holdings.net),
+        count_holders=lambda: count_holders(holdings.net),
+        is_holder=lambda team: is_holder(team, holdings.net),
     )
     reporter = _make_reporter(holdings, book, sizing)
-    book.limit = reporter.limit
+    book.usage_limit = reporter.limit
     loans = Loans(
         book,
         sizing,
@@ -120,8 +120,8 @@
     drawing = Drawing(
         book,
         sizing,
-        away=_AWAY_S,
-        patience=_PATIENCE_S,
+        backoff=_AWAY_S,
+        timeout=_PATIENCE_S,
         reporter=reporter,
     )
     return HoldingsParts(
@@ -157,7 +157,7 @@
 def _make_reporter(
     holdings: 'Holdings',
     book: Book,
-    sizing: Covering,
+    sizing: AdaptiveSizing,
 ) -> Reporter:
     return Reporter(
         holdings.service,
@@ -165,7 +165,9 @@
         holdings.times,
         holdings.clock,
         holdings.metrics,
-        Pace(holdings.cfg.report_patience, holdings.cfg.report_opening),
+        OpeningSchedule(
+            holdings.cfg.report_patience, holdings.cfg.report_opening
+        ),
         lambda: _promises(holdings, book, sizing),
         lambda: _hand_out(book),
         # Asked of the book each time: who follows the store sets it later.
@@ -192,19 +194,19 @@
 def _promises(
     holdings: 'Holdings',
     book: Book,
-    sizing: Covering,
-) -> dict[str, Promise]:
+    sizing: AdaptiveSizing,
+) -> dict[str, Allowance]:
     now = holdings.clock.now()
     seconds = report_interval(holdings.cfg, holdings.net) * _HEAD_SHARE
     return {
-        team: promise(ledger, _ahead(ledger, sizing, now, seconds))
+        team: make_allowance(ledger, _ahead(ledger, sizing, now, seconds))
         for team, ledger in book.ledgers.items()
     }
 
 
 def _ahead(
     ledger: Ledger,
-    sizing: Covering,
+    sizing: AdaptiveSizing,
     now: float,
     seconds: float,
 ) -> int:
@@ -214,7 +216,7 @@
     # reported". What is promised is lost where the router dies, so it is a
     # part alone, and only while there is plenty.
     spent = ledger.rate.per_second(now) * seconds
-    idle = max(0, ledger.own) * sizing.plenty(ledger) * _PROMISED_SHARE
+    idle = max(0, ledger.own) * sizing.abundance(ledger) * _PROMISED_SHARE
     return int(max(spent, idle))
 
 
--- a/src/balsamreach/budget/ledger.py
+++ b/src/balsamreach/budget/ledger.py
@@ -1,23 +1,25 @@
-"""What one router may still spend for one team, kept in memory."""
+"""One router's in-memory account of the tokens it holds for one team."""
 
 import attrs
 
 from balsamreach.budget.account import Allotment, Bill, Loan
 from balsamreach.budget.rate import Rate
-from balsamreach.budget.usage import Usage
-from balsamreach.budget.waiters import Queue
+from balsamreach.budget.usage import UsageLimiter
+from balsamreach.budget.waiters import WaitQueue
 
 
 @attrs.define(eq=False)
 class Reservation:
-    """Tokens set aside for one request until it is billed or released.
+    """Tokens reserved for one request until it is billed or released.
 
     Parameters
     ----------
     team : str
         Team that pays.
     tokens : int
-        Worst case the request may use.
+        Most tokens that the request may use.
+    open : bool
+        Whether it is neither billed nor released yet.
     """
 
     team: str
@@ -32,43 +34,43 @@
     Parameters
     ----------
     rate : Rate
-        Rate of spending here.
-    squares : Rate or None
-        Rate of the squares of what requests reserve; None where the size of
-        bursts isn't followed.
-    free : int or None
-        Tokens that the account had free at the last move.
-    usage : Usage or None
-        Bounds what may be in use by what was reported; None where routers
-        don't report.
+        Rate at which the team spends tokens at this router.
+    squares_rate : Rate or None
+        Rate of the squared sizes of reservations; None where the variance of
+        demand isn't tracked.
+    account_free : int or None
+        Tokens that the account had free after the last move.
+    limiter : UsageLimiter or None
+        Limits the tokens in use to what was reported; None where routers
+        don't report their use.
     granted : int
-        Tokens the durable allotment has granted.
+        Tokens granted by the stored allotment.
     seq : int
-        Number of the draw or return that ``granted`` stems from.
+        Number of the draw or return that ``granted`` results from.
     billed : int
-        Tokens of all bills made here, recorded or waiting.
+        Tokens of all bills made here, recorded or not.
     reserved : int
-        Tokens set aside for requests in progress.
+        Tokens reserved for requests in progress.
     returning : int
         Tokens of returns whose outcome is not known yet.
     lent : int
         Tokens lent, recorded or not, over all time.
     lendable : int
-        Most that ``lent`` may become, as the durable allotment says.
-    empty_until : float
-        Time until which the account is taken to have nothing free.
+        Upper limit of ``lent`` according to the stored allotment.
+    account_empty_until : float
+        Time until which the account is assumed to have no free tokens.
     recalled_until : float
-        Time until which no more is drawn than requests need, and what is
-        idle goes back.
-    asked : int
-        Tokens that peers ask for and that are not lendable yet.
-    loans : dict of str to int
-        Loans made and not known to be recorded, by loan id.
+        Time until which only what requests need is drawn and idle tokens are
+        returned.
+    requested_by_peers : int
+        Tokens that peers have requested and that are not lendable yet.
+    unconfirmed_loans : dict of str to int
+        Tokens by loan id of loans made and not known to be recorded.
     borrowed : dict of str to Loan
-        Loans taken and not recorded yet.
+        Loans taken and not recorded yet, by loan id.
     waiting : list of Bill
         Bills that are not recorded yet.
-    queue : Queue
+    queue : WaitQueue
         Requests that wait for tokens.
     spends_loans : bool
         Whether loans may be spent before they are recorded.
@@ -83,18 +85,18 @@
     returning: int = 0
     lent: int = 0
     lendable: int = 0
-    empty_until: float = 0
+    account_empty_until: float = 0
     recalled_until: float = 0
-    asked: int = 0
-    loans: dict[str, int] = attrs.field(factory=dict)
+    requested_by_peers: int = 0
+    unconfirmed_loans: dict[str, int] = attrs.field(factory=dict)
     borrowed: dict[str, Loan] = attrs.field(factory=dict)
     waiting: list[Bill] = attrs.field(factory=list)
-    queue: Queue = attrs.field(factory=Queue)
+    queue: WaitQueue = attrs.field(factory=WaitQueue)
     spends_loans: bool = True
-    squares: Rate | None = None
-    free: int | None = None
-    usage: Usage | None = None
-    _lendable_before: int = 0
+    squares_rate: Rate | None = None
+    account_free: int | None = None
+    limiter: UsageLimiter | None = None
+    _lendable_before_return: int = 0
 
     @property
     def available(self) -> int:
@@ -105,7 +107,7 @@
 
     @property
     def own(self) -> int:
-        """Tokens that the durable allotment still covers."""
+        """Unspent tokens that the stored allotment covers."""
         gone = self.billed + self.reserved + self.returning + self.lent
         return self.granted - gone
 
@@ -115,39 +117,39 @@
         return sum(loan.tokens for loan in self.borrowed.values())
 
     @property
-    def missing(self) -> int:
-        """Tokens that the requests which wait need beyond what there is."""
+    def shortfall(self) -> int:
+        """Tokens that waiting requests need beyond those available."""
         return self.queue.tokens - self.available
 
     def reserve(self, tokens: int) -> Reservation | None:
-        """Set tokens aside, or return None where too few are available."""
+        """Reserve tokens; return None if too few are available."""
         if tokens > self.available:
             return None
-        if self.usage is not None and tokens > self.usage.room(self):
+        if self.limiter is not None and tokens > self.limiter.room(self):
             return None
         self.reserved += tokens
         return Reservation(self.team, tokens)
 
     def hand_out(self) -> None:
-        """Reserve what is available for the requests that wait, in order."""
-        # Whoever brings tokens calls this in the same turn of the event loop.
-        # A request that had to wake up first would find that others, which
-        # came later, had taken what was drawn for it: it would be refused,
-        # and show as ``no_allotment`` while the budget has room.
+        """Reserve available tokens for the waiting requests, in order."""
+        # Code that adds tokens calls this in the same turn of the event
+        # loop. Otherwise later requests could take the tokens before the
+        # waiting request is scheduled, and it would be refused with
+        # ``no_allotment`` while the budget has room.
         for waiter in tuple(self.queue.waiters):
             reservation = self.reserve(waiter.tokens)
             if reservation is not None:
-                self.queue.answer(waiter, reservation)
+                self.queue.resolve(waiter, reservation)
 
     def release(self, reservation: Reservation, used: int = 0) -> None:
-        """Give a reservation back; a second call does nothing.
+        """Release a reservation; a second call does nothing.
 
         Parameters
         ----------
         reservation : Reservation
-            What was set aside.
+            The reservation to release.
         used : int
-            Tokens of it that count as spent where no bill is made.
+            Tokens of it that count as spent although no bill is made.
         """
         if reservation.open:
             reservation.open = False
@@ -161,9 +163,9 @@
         Parameters
         ----------
         reservation : Reservation
-            What was set aside; closed by the call.
+            The reservation; closed by the call.
         bill : Bill
-            The bill. It waits here until it is recorded.
+            The bill. It is kept in ``waiting`` until it is recorded.
         """
         reservation.open = False
         self.reserved -= reservation.tokens
@@ -171,8 +173,8 @@
         self.waiting.append(bill)
         self.hand_out()
 
-    def adopt(self, allotment: Allotment) -> None:
-        """Take over what the durable allotment says.
+    def apply_allotment(self, allotment: Allotment) -> None:
+        """Update the ledger from the stored allotment.
 
         Parameters
         ----------
@@ -182,56 +184,56 @@
         if allotment.seq < self.seq:
             return
         if allotment.seq > self.seq:
-            # A later commit of ours stands in the row, so a return that is
-            # still on its way fails its version check: it either is part
+            # The row holds a later commit of this router, so a return that
+            # is still in flight fails its version check: it either is part
             # of ``granted`` already or will never be.
             self.returning = 0
         self.seq = allotment.seq
         self.granted = allotment.granted
         self.lendable = allotment.lendable
 
-    def hold_back(self, tokens: int) -> None:
-        """Set tokens aside that are on their way back to the account.
+    def begin_return(self, tokens: int) -> None:
+        """Set tokens aside that are being returned to the account.
 
         Parameters
         ----------
         tokens : int
-            Neither spent nor lent from now on, whether the answer to the
-            return arrives or not.
+            Neither spent nor lent from now on, whether the outcome of the
+            return becomes known or not.
         """
         if not self.returning:
-            self._lendable_before = self.lendable
+            self._lendable_before_return = self.lendable
         self.returning += tokens
         self.lendable = self.lent
 
-    def undo_return(self) -> None:
-        """Free what was set aside by a return that never took effect."""
+    def cancel_return(self) -> None:
+        """Free the tokens of a return that never took effect."""
         if self.returning:
             self.returning = 0
-            self.lendable = self._lendable_before
+            self.lendable = self._lendable_before_return
 
     def lend(self, loan_id: str, tokens: int) -> int:
-        """Take a loan off and return how many tokens it has.
+        """Deduct a loan and return its tokens, 0 if nothing can be lent.
 
         Parameters
         ----------
         loan_id : str
-            Identity of the loan; asked for again, the same loan is told.
+            Identity of the loan; a repeated call returns the same loan.
         tokens : int
-            Tokens asked for.
+            Tokens requested.
         """
-        if loan_id not in self.loans:
-            # Tokens that this router borrowed itself are not lent on: until
-            # both loans are recorded, the row would show too few tokens for
-            # the second one, and its borrower's bills could not be settled.
+        if loan_id not in self.unconfirmed_loans:
+            # Borrowed tokens are not lent on: until both loans are recorded,
+            # the row would show too few tokens for the second one, and its
+            # borrower's bills could not be settled.
             most = min(tokens, self.own, self.lendable - self.lent)
-            if self.usage is not None:
-                most = min(most, self.usage.own_room(self))
-            self.loans[loan_id] = max(0, most)
-            self.lent += self.loans[loan_id]
-        return self.loans[loan_id]
-
-    def call_off(self, loan_id: str) -> None:
-        """Take back a loan that its borrower says it never received."""
-        self.lent -= self.loans.pop(loan_id, 0)
+            if self.limiter is not None:
+                most = min(most, self.limiter.room_without_loans(self))
+            self.unconfirmed_loans[loan_id] = max(0, most)
+            self.lent += self.unconfirmed_loans[loan_id]
+        return self.unconfirmed_loans[loan_id]
+
+    def cancel_loan(self, loan_id: str) -> None:
+        """Take back a loan that its borrower reports as never received."""
+        self.lent -= self.unconfirmed_loans.pop(loan_id, 0)
         self.hand_out()
--- a/src/balsamreach/budget/loans.py
+++ b/src/balsamreach/budget/loans.py
@@ -128,7 +128,7 @@
             missing = _missing(ledger)
             if missing <= 0 or not ledger.queue:
                 return attrs.evolve(found, more=True)
-            wanted = max(missing, self.sizing.ahead(ledger))
+            wanted = max(missing, self.sizing.expected_use(ledger))
             grant = await self._borrow_from(member, ledger, wanted)
             found = found.add(grant) if grant else found
         return found
@@ -150,10 +150,10 @@
 
     async def send_receipts(self) -> None:
         """Tell lenders which loans are recorded or never came."""
-        for loan in self.book.recorded:
+        for loan in self.book.recorded_loans:
             receipt = LoanReceipt(loan.loan_id, self.net.me.incarnation)
             self._receipts.append((loan.lender, receipt))
-        self.book.recorded.clear()
+        self.book.recorded_loans.clear()
         alive = {member.incarnation for member in self.net.members()}
         unsent = []
         for lender, told in self._receipts[-_MOST_RECEIPTS:]:
@@ -230,7 +230,9 @@
         # ``draw_wait``; did neither, both would refuse what one can serve.
         if ledger.queue and member.incarnation > self.net.me.incarnation:
             return self._tell(ledger, ask, 0)
-        if ask.loan_id not in ledger.loans and self._is_short(ledger, ask):
+        if ask.loan_id not in ledger.unconfirmed_loans and self._is_short(
+            ledger, ask
+        ):
             await self._make_lendable(ledger, ask.tokens)
         # During the await the allotment may have been taken over, or the
         # borrower may have called the loan off.
@@ -239,7 +241,7 @@
         return self._lend(ledger, ask)
 
     def _lend(self, ledger: Ledger, ask: LoanAsk) -> LoanGrant:
-        known = ask.loan_id in ledger.loans
+        known = ask.loan_id in ledger.unconfirmed_loans
         tokens = ledger.lend(ask.loan_id, ask.tokens)
         if not known:
             self.book.metrics.count(LENT, tokens)
@@ -256,7 +258,7 @@
         # it has lendable. Were tokens told of that can't be lent, since the
         # table service is away from here, borrowers would ask for them again
         # and again until ``draw_wait``.
-        if self.sizing.is_empty(ledger):
+        if self.sizing.is_account_empty(ledger):
             left = ledger.own + ledger.unrecorded
         return LoanGrant(
             ask.loan_id,
@@ -271,7 +273,7 @@
             return True
         lendable = ledger.lendable - ledger.lent
         # With the account empty all that there is to lend is here already.
-        if self.sizing.is_empty(ledger) and ledger.own <= lendable:
+        if self.sizing.is_account_empty(ledger) and ledger.own <= lendable:
             return False
         return ask.tokens > min(lendable, ledger.own)
 
@@ -279,12 +281,12 @@
         # Several asks may wait for the same move. Were it made for one of
         # them, the first to run on would take what was meant for the others,
         # and a lender with plenty would seem to have nothing.
-        ledger.asked += tokens
+        ledger.requested_by_peers += tokens
         work = asyncio.ensure_future(_bring(self, ledger, tokens))
         try:
             await asyncio.wait({work}, timeout=self.patience)
         finally:
-            ledger.asked -= tokens
+            ledger.requested_by_peers -= tokens
 
     def _may_lend(self, ask: LoanAsk) -> bool:
         # An ask may arrive after the word that it was called off; lending
@@ -298,9 +300,9 @@
     async def _take_receipt(self, member: Member, receipt: LoanReceipt) -> Done:
         for ledger in self.book.ledgers.values():
             if receipt.incarnation == NEVER_CAME:
-                ledger.call_off(receipt.loan_id)
+                ledger.cancel_loan(receipt.loan_id)
             else:
-                ledger.loans.pop(receipt.loan_id, None)
+                ledger.unconfirmed_loans.pop(receipt.loan_id, None)
         if receipt.incarnation == NEVER_CAME:
             self.book.metrics.count(CALLED_OFF)
             self._called_off[receipt.loan_id] = None
@@ -310,19 +312,19 @@
 
 
 def _missing(ledger: Ledger) -> int:
-    missing = ledger.missing
+    missing = ledger.shortfall
     if not ledger.spends_loans:
         missing -= ledger.unrecorded
     # A router may hold enough and not be allowed to use it yet.
-    if ledger.usage is not None:
-        short = ledger.queue.tokens - ledger.usage.room(ledger)
+    if ledger.limiter is not None:
+        short = ledger.queue.tokens - ledger.limiter.room(ledger)
         missing = max(missing, short)
     return missing
 
 
 async def _bring(loans: Loans, ledger: Ledger, tokens: int) -> None:
     if tokens > min(ledger.own, ledger.lendable - ledger.lent):
-        await loans.book.move(lambda: (loans.sizing.for_loan(ledger),))
+        await loans.book.move(lambda: (loans.sizing.make_lendable(ledger),))
     if loans.reporter is not None and _lacks_room(ledger, tokens):
         await loans.reporter.report()
 
@@ -331,9 +333,9 @@
     # A report makes room for what is here alone. Were one made for an ask
     # that finds nothing, each of many lenders in turn would keep the
     # borrower's request for some 10 ms, until ``draw_wait`` is over.
-    if ledger.usage is None:
+    if ledger.limiter is None:
         return False
-    return min(tokens, ledger.own) > ledger.usage.own_room(ledger)
+    return min(tokens, ledger.own) > ledger.limiter.room_without_loans(ledger)
 
 
 def new_loan_id(rng: random.Random) -> str:
--- a/src/balsamreach/budget/moves.py
+++ b/src/balsamreach/budget/moves.py
@@ -1,4 +1,4 @@
-"""Works out the writes of one draw, return or recording of loans."""
+"""Plans the writes of one draw, return or recording of loans."""
 
 import attrs
 
@@ -22,216 +22,231 @@
 
 @attrs.frozen(eq=False, kw_only=True)
 class Move:
-    """Tokens wanted from, or handed back to, one team's account.
+    """A draw on one team's account, or a return to it.
 
     Parameters
     ----------
     team : str
         Whose account.
-    least : int
-        Tokens without which a draw is of no use.
+    min_draw : int
+        Fewest tokens for which the draw is worth making.
     needed : int
-        Tokens that requests wait for; as many are drawn as are free.
-    most : int
+        Tokens that requests wait for; if the account has fewer, all of its
+        free tokens are drawn.
+    max_draw : int
         Tokens to draw if the account has them free.
-    share : float
-        Largest part of the free tokens to take beyond ``needed``.
-    floor : int
-        A draw beyond ``needed`` that is smaller than this is left alone.
-    back : int
-        Tokens to hand back.
-    keep : int
-        Granted tokens that are not to be lent.
-    lent : int
-        Tokens that may be lent by the time the move is applied.
-    lendable : int
-        Tokens that are to be lendable at least.
+    max_free_share : float
+        Largest share of the free tokens to take beyond ``needed``.
+    min_extra_draw : int
+        Smallest draw beyond ``needed``; a smaller one is reduced to
+        ``needed``.
+    give_back : int
+        Tokens to return to the account.
+    not_lendable : int
+        Granted tokens that must not be lent.
+    max_lent : int
+        Most tokens that may be lent by the time the move is applied.
+    min_lendable : int
+        Fewest tokens that must be lendable after the move.
     loans : tuple of Loan
         Loans taken, to be recorded.
-    confirm : bool
+    force_write : bool
         Whether to write the row even if nothing moves, so that an earlier
-        attempt that may be on its way can't take effect any more.
+        attempt that may be in flight can't take effect any more.
     """
 
     team: str
-    least: int = 0
+    min_draw: int = 0
     needed: int = 0
-    most: int = 0
-    share: float = 1
-    floor: int = 0
-    back: int = 0
-    keep: int = 0
-    lent: int = 0
-    lendable: int = 0
+    max_draw: int = 0
+    max_free_share: float = 1
+    min_extra_draw: int = 0
+    give_back: int = 0
+    not_lendable: int = 0
+    max_lent: int = 0
+    min_lendable: int = 0
     loans: tuple[Loan, ...] = ()
-    confirm: bool = False
+    force_write: bool = False
 
 
 @attrs.frozen
-class Moved:
-    """What a move did.
+class MoveResult:
+    """The state after a move.
 
     Parameters
     ----------
     allotment : Allotment
-        The allotment after it.
-    free : int
+        The allotment after the move.
+    account_free : int
         Tokens that the account has left.
-    recorded : tuple of str
-        Loans that are recorded.
-    dropped : tuple of str
-        Loans that can never be, because the lender's part is gone.
+    recorded_loans : tuple of str
+        Ids of loans that are recorded.
+    dropped_loans : tuple of str
+        Ids of loans that can never be recorded, because the lender's
+        allotment no longer covers them.
     """
 
     allotment: Allotment
-    free: int = 0
-    recorded: tuple[str, ...] = ()
-    dropped: tuple[str, ...] = ()
+    account_free: int = 0
+    recorded_loans: tuple[str, ...] = ()
+    dropped_loans: tuple[str, ...] = ()
 
 
 @attrs.frozen
-class Plan:
-    """The writes of a move, and what it comes to if they are applied.
+class MovePlan:
+    """The writes of a move, and its result if they are applied.
 
     Parameters
     ----------
-    landed : bool
-        Whether it is an earlier attempt that took effect; the move that it
-        was worked out for is left undone then.
+    result : MoveResult
+        The state once the writes are applied.
+    writes : tuple of Write
+        Rows to write.
+    checks : tuple of Check
+        Versions that the rows must still have.
+    is_earlier : bool
+        Whether this is an earlier attempt that took effect; the move that
+        was to be planned is not made then.
     """
 
-    moved: Moved
+    result: MoveResult
     writes: tuple[Write, ...] = ()
     checks: tuple[Check, ...] = ()
-    landed: bool = False
+    is_earlier: bool = False
 
 
 @attrs.frozen(kw_only=True)
-class Records:
+class MoveRows:
     """The rows that one move works on, as read.
 
     Parameters
     ----------
-    number : int
+    attempt_number : int
         Number of this attempt.
-    at : float
-        Wall time.
+    wall_time : float
+        Wall time in seconds.
     account, own : Row
         The team's account and this incarnation's allotment.
     lenders : tuple of Row
         Allotments that loans are to be recorded against.
-    landed : Plan or None
-        An earlier attempt that turned out to have taken effect.
+    earlier_plan : MovePlan or None
+        The plan of an earlier attempt that turned out to have taken effect.
     """
 
-    number: int
-    at: float
+    attempt_number: int
+    wall_time: float
     account: Row
     own: Row
     lenders: tuple[Row, ...] = ()
-    landed: Plan | None = None
+    earlier_plan: MovePlan | None = None
 
 
-def plan_move(move: Move, records: Records) -> Plan | BudgetFault:
-    """Work out a move's writes.
+def plan_move(move: Move, rows: MoveRows) -> MovePlan | BudgetFault:
+    """Plan a move's writes.
 
     Parameters
     ----------
     move : Move
         What is wanted.
-    records : Records
-        The rows as they are.
+    rows : MoveRows
+        The rows as read.
 
     Returns
     -------
-    Plan or BudgetFault
-        EXHAUSTED, NO_ACCOUNT or TAKEN_OVER if it can't be done.
+    MovePlan or BudgetFault
+        EXHAUSTED, NO_ACCOUNT or TAKEN_OVER if the move is not possible.
     """
-    if records.account.value is None:
+    if rows.account.value is None:
         return NO_ACCOUNT.because(f'team {move.team} has no account')
-    own = decode_allotment(records.own.value)
-    # The holder never deletes its own row while it serves. One that existed
-    # and is gone, or is marked closed, was closed by a successor, which gave
-    # the rest back to the account: spending here would spend it twice.
-    if own.closed or (records.own.value is None and records.own.version):
+    own = decode_allotment(rows.own.value)
+    # The holder never deletes its own row while it serves. A row that existed
+    # and is gone, or is marked closed, was closed by a successor, which
+    # returned the rest to the account: spent here, it would be spent twice.
+    if own.closed or (rows.own.value is None and rows.own.version):
         return TAKEN_OVER.because(f'allotment of {move.team} was closed')
-    if records.landed is not None:
-        earlier = records.landed.moved
-        return Plan(attrs.evolve(earlier, allotment=own), landed=True)
-    account = decode_account(records.account.value)
-    amount = _amount(move, account.free)
-    if amount < move.least:
+    if rows.earlier_plan is not None:
+        earlier = rows.earlier_plan.result
+        return MovePlan(attrs.evolve(earlier, allotment=own), is_earlier=True)
+    account = decode_account(rows.account.value)
+    amount = _draw_amount(move, account.free)
+    if amount < move.min_draw:
         return too_little(move.team)
-    loans = record_loans(move.loans, records.lenders)
-    drawn = attrs.evolve(
+    loans = record_loans(move.loans, rows.lenders)
+    allotment = attrs.evolve(
         own,
         granted=own.granted + amount + loans.tokens,
-        seq=records.number,
-        at=records.at,
+        seq=rows.attempt_number,
+        at=rows.wall_time,
     )
-    back = max(0, min(move.back, drawn.outstanding))
-    drawn = attrs.evolve(drawn, granted=drawn.granted - back)
-    drawn = attrs.evolve(drawn, lendable=_lendable(move, drawn))
-    moved = Moved(
-        drawn,
-        account.free - amount + back,
+    returned = max(0, min(move.give_back, allotment.outstanding))
+    allotment = attrs.evolve(allotment, granted=allotment.granted - returned)
+    allotment = attrs.evolve(allotment, lendable=_lendable(move, allotment))
+    result = MoveResult(
+        allotment,
+        account.free - amount + returned,
         loans.recorded,
         loans.dropped,
     )
-    changed = amount or back or loans.tokens or drawn.lendable > own.lendable
-    if not (changed or move.confirm):
-        return Plan(attrs.evolve(moved, allotment=own))
-    funding = _fund(records.account, account, amount - back)
-    return _with_writes(moved, funding, records, loans.writes)
-
-
-def _amount(move: Move, free: int) -> int:
-    shared = int(move.share * free)
-    # The last tokens of a budget go to whoever needs them for a request at
-    # hand: a reserve of a few at each router would be of use to none.
-    needed = max(move.least, move.needed)
-    if shared < max(move.floor, needed):
+    changed = (
+        amount or returned or loans.tokens or allotment.lendable > own.lendable
+    )
+    if not (changed or move.force_write):
+        return MovePlan(attrs.evolve(result, allotment=own))
+    account_change = _change_account(rows.account, account, amount - returned)
+    return _make_plan(result, account_change, rows, loans.writes)
+
+
+def _draw_amount(move: Move, free: int) -> int:
+    shared = int(move.max_free_share * free)
+    # The last tokens of a budget go to routers with requests that need them:
+    # a reserve of a few tokens at each router could serve no request.
+    needed = max(move.min_draw, move.needed)
+    if shared < max(move.min_extra_draw, needed):
         return min(needed, free)
-    return max(0, min(move.most, shared, free))
+    return max(0, min(move.max_draw, shared, free))
 
 
 def _lendable(move: Move, allotment: Allotment) -> int:
-    beyond = allotment.granted - move.keep
-    wanted = min(max(beyond, move.lendable), allotment.granted)
-    return max(move.lent, wanted)
+    beyond = allotment.granted - move.not_lendable
+    wanted = min(max(beyond, move.min_lendable), allotment.granted)
+    return max(move.max_lent, wanted)
 
 
 @attrs.frozen
-class _Funding:
+class _AccountChange:
     writes: tuple[Write, ...] = ()
     checks: tuple[Check, ...] = ()
 
 
-def _fund(row: Row, account: Account, drawn: int) -> _Funding:
-    # Loans and what may be lent move tokens between allotments alone. With
-    # the account in their commits all routers of a team would meet there:
-    # at the end of a budget, when most tokens move by loans, it would show
-    # as ``account_contended`` and as loans that come after ``draw_wait``.
+def _change_account(row: Row, account: Account, drawn: int) -> _AccountChange:
+    # Loans and changes of ``lendable`` affect allotments alone. If their
+    # commits included the account, all routers of a team would contend for
+    # it at the end of a budget, when most tokens move by loans: requests
+    # would be refused with ``account_contended``, or loans would arrive
+    # after ``draw_wait``.
     if not drawn:
-        return _Funding()
+        return _AccountChange()
     account = attrs.evolve(account, taken=account.taken + drawn)
-    return _Funding((Write(row.key, encode(account)),), (_unchanged(row),))
+    return _AccountChange(
+        (Write(row.key, encode(account)),),
+        (_check_unchanged(row),),
+    )
 
 
-def _unchanged(row: Row) -> Check:
+def _check_unchanged(row: Row) -> Check:
     return Check(row.key, row.version if row.value is not None else 0)
 
 
-def _with_writes(
-    moved: Moved,
-    funding: _Funding,
-    records: Records,
-    lent: tuple[Write, ...],
-) -> Plan:
+def _make_plan(
+    result: MoveResult,
+    account_change: _AccountChange,
+    rows: MoveRows,
+    loan_writes: tuple[Write, ...],
+) -> MovePlan:
     writes = (
-        *funding.writes,
-        Write(records.own.key, encode(moved.allotment)),
-        *lent,
+        *account_change.writes,
+        Write(rows.own.key, encode(result.allotment)),
+        *loan_writes,
     )
-    checks = tuple(map(_unchanged, (records.own, *records.lenders)))
-    return Plan(moved, writes, (*funding.checks, *checks))
+    checks = tuple(map(_check_unchanged, (rows.own, *rows.lenders)))
+    return MovePlan(result, writes, (*account_change.checks, *checks))
--- a/src/balsamreach/budget/obtaining.py
+++ b/src/balsamreach/budget/obtaining.py
@@ -103,10 +103,10 @@
         known = self._known(ledger, tokens)
         if known is not None:
             return known
-        waiter = ledger.queue.join(tokens)
+        waiter = ledger.queue.add(tokens)
         self._work(ledger)
         try:
-            await asyncio.wait({waiter.answer}, timeout=self.cfg.draw_wait)
+            await asyncio.wait({waiter.outcome}, timeout=self.cfg.draw_wait)
         except asyncio.CancelledError:
             # The draw goes on: what it brings is of use to the next request.
             reservation = self._leave(ledger, waiter)
@@ -125,8 +125,8 @@
     ) -> Reservation | BudgetFault:
         if waiter in ledger.queue:
             fault = NO_ALLOTMENT.because('the draw takes too long')
-            ledger.queue.answer(waiter, fault)
-        return waiter.answer.result()
+            ledger.queue.resolve(waiter, fault)
+        return waiter.outcome.result()
 
     def _known(self, ledger: Ledger, tokens: int) -> BudgetFault | None:
         # Without this every request of a team that has spent its budget
@@ -170,7 +170,7 @@
         for waiter in tuple(ledger.queue.waiters):
             known = self._known(ledger, waiter.tokens)
             if known is not None:
-                ledger.queue.answer(waiter, known)
+                ledger.queue.resolve(waiter, known)
 
     def _refuse(
         self,
@@ -191,7 +191,7 @@
             brought.fault,
         )
         for waiter in waiters:
-            ledger.queue.answer(waiter, brought.fault)
+            ledger.queue.resolve(waiter, brought.fault)
 
     async def _bring(self, ledger: Ledger) -> _Brought:
         fault = await self.drawing.draw(ledger)
@@ -201,7 +201,7 @@
         found = await self.loans.borrow(ledger)
         # A strict router spends a loan only once it is recorded, and the
         # tokens of a loan can be lent on only then.
-        if ledger.borrowed and not self.drawing.is_away():
+        if ledger.borrowed and not self.drawing.is_backing_off():
             await self.book.move(lambda: (self.sizing.for_loans(ledger),))
         if fault != EXHAUSTED:
             return _Brought(fault, self._opens(ledger))
@@ -211,11 +211,11 @@
         return _Brought(fault, reach, found.reserved + ledger.reserved)
 
     def _pause(self) -> float:
-        return _OPENING_PAUSE_S if self.drawing.is_away() else PAUSE_S
+        return _OPENING_PAUSE_S if self.drawing.is_backing_off() else PAUSE_S
 
     def _opens(self, ledger: Ledger) -> int:
         # What opens while a request may wait is worth waiting for.
-        if ledger.usage is None:
+        if ledger.limiter is None:
             return 0
-        room = ledger.usage.room(ledger, self.cfg.draw_wait)
+        room = ledger.limiter.room(ledger, self.cfg.draw_wait)
         return min(ledger.available, room)
--- a/src/balsamreach/budget/promises.py
+++ b/src/balsamreach/budget/promises.py
@@ -1,11 +1,11 @@
-"""What a router says beforehand of the tokens that it may use.
-
-Nobody knows what a router had used when it died. Were all that it held taken
-for used, a team's budget would be gone with its routers' power; it would show
-as teams that are out of budget after a restart. So each router reports how
-much it may use, and uses no more. Of the rest it may use a part that grows
-with its silence, so that it goes on while the store is away. Whoever comes
-after it knows for how long it was silent before it died.
+"""Reports in which a router commits to how many tokens it uses at most.
+
+After a router has died, its actual use is unknown. If all tokens it held
+counted as used, a power loss of the routers would consume whole budgets, and
+teams would be out of budget after a restart. So each router reports how many
+tokens it may use and stays within that. To keep serving while the table
+service is away, it may also use a share of the rest that grows with the time
+since its last report. Its successor knows how long that time was.
 """
 
 import math
@@ -16,22 +16,22 @@
 
 
 @attrs.frozen
-class Pace:
-    """How fast tokens become usable that no report has promised.
+class OpeningSchedule:
+    """How tokens beyond the reported use become usable over time.
 
     Parameters
     ----------
     patience : float
-        Seconds of silence before the first does.
+        Seconds after a report until the first of them become usable.
     opening : float
-        Seconds from then on until all are.
+        Seconds from then on until all of them are.
     """
 
     patience: float
     opening: float
 
-    def share(self, silence: float) -> float:
-        """Return the part of them that is usable.
+    def usable_share(self, silence: float) -> float:
+        """Return the usable share of those tokens, from 0 to 1.
 
         Parameters
         ----------
@@ -43,76 +43,78 @@
 
 
 @attrs.frozen
-class Promise:
+class Allowance:
     """What a router may use of one team's tokens, over all time.
 
     Parameters
     ----------
-    used : int
-        Tokens used, set aside or lent at most while the report is fresh.
-    most : int
-        The same once the pace has opened everything.
+    initial : int
+        Most tokens used, reserved or lent while the report is fresh.
+    maximum : int
+        The same once the usable share has reached 1.
     """
 
-    used: int
-    most: int
+    initial: int
+    maximum: int
 
     def allowed(self, share: float) -> int:
-        """Return the tokens in use at most where a share has opened."""
-        beyond = max(0, self.most - self.used)
-        return self.used + math.ceil(beyond * share)
+        """Return the most tokens in use at a usable share."""
+        beyond = max(0, self.maximum - self.initial)
+        return self.initial + math.ceil(beyond * share)
 
 
 @attrs.frozen
 class Report:
-    """One router's promises for all its teams.
+    """One router's allowances for all its teams.
 
     Parameters
     ----------
     number : int
-        Number of the report among those of this router.
+        Sequence number among the reports of this router.
     at : float
-        Seconds of the table service's clock; the report is no older.
-    pace : Pace
-        How fast the rest opens.
-    teams : mapping of str to Promise
-        Promises by team.
+        Seconds of the table service's clock; the report was made then or
+        later.
+    schedule : OpeningSchedule
+        How the rest becomes usable.
+    teams : mapping of str to Allowance
+        Allowances by team.
     """
 
     number: int
     at: float
-    pace: Pace
-    teams: Mapping[str, Promise]
+    schedule: OpeningSchedule
+    teams: Mapping[str, Allowance]
 
     def allowed(self, team: str, silence: float) -> int:
-        """Return a team's tokens in use at most after a silence in seconds."""
-        promise = self.teams.get(team)
-        if promise is None:
+        """Return the most tokens of a team in use after ``silence`` seconds."""
+        allowance = self.teams.get(team)
+        if allowance is None:
             return 0
-        return promise.allowed(self.pace.share(silence))
+        return allowance.allowed(self.schedule.usable_share(silence))
 
 
 def encode_report(report: Report) -> dict[str, Any]:
-    """Return a report as the JSON object of its row."""
+    """Return a report as the JSON object stored in its row."""
     return {
         'number': report.number,
         'at': report.at,
-        'patience': report.pace.patience,
-        'opening': report.pace.opening,
+        'patience': report.schedule.patience,
+        'opening': report.schedule.opening,
         'teams': {
-            team: [promise.used, promise.most]
-            for team, promise in report.teams.items()
+            team: [allowance.initial, allowance.maximum]
+            for team, allowance in report.teams.items()
         },
     }
 
 
 def decode_report(fields: Mapping[str, Any]) -> Report:
-    """Read a report from its row."""
+    """Return the report stored in a row."""
     return Report(
         number=fields['number'],
         at=fields['at'],
-        pace=Pace(fields['patience'], fields['opening']),
+        schedule=OpeningSchedule(fields['patience'], fields['opening']),
         teams={
-            team: Promise(*amounts) for team, amounts in fields['teams'].items()
+            team: Allowance(*amounts)
+            for team, amounts in fields['teams'].items()
         },
     )
--- a/src/balsamreach/budget/rate.py
+++ b/src/balsamreach/budget/rate.py
@@ -1,44 +1,45 @@
-"""The rate at which a team spends through this router."""
+"""Moving average of the tokens per second that a team spends here."""
 
 import math
 
 import attrs
 
-#: Usual seconds after which an amount counts for a third in the average.
-WINDOW_S = 60
-_SHORTEST_S = 1
+#: Default time constant in seconds: the age at which an amount's weight has
+#: fallen to 1/e.
+DEFAULT_WINDOW_S = 60
+_MIN_AGE_S = 1
 
 
 @attrs.define
 class Rate:
-    """Exponentially weighted average of tokens a second.
+    """Exponentially weighted moving average of tokens per second.
 
     Parameters
     ----------
-    since : float
+    start : float
         Time of the first amount.
     window : float
-        Seconds after which an amount counts for a third.
+        Time constant in seconds.
     """
 
-    since: float
-    window: float = WINDOW_S
-    _weight: float = 0
-    _at: float = 0
+    start: float
+    window: float = DEFAULT_WINDOW_S
+    _total: float = 0
+    _updated_at: float = 0
 
     def add(self, tokens: int, now: float) -> None:
         """Count tokens; a negative number corrects an earlier one."""
-        self._weight = self._decayed(now) + tokens
-        self._at = now
+        self._total = self._decayed_total(now) + tokens
+        self._updated_at = now
 
     def per_second(self, now: float) -> float:
-        """Return the average rate."""
-        age = max(now - self.since, _SHORTEST_S)
-        # A young average has seen less than its window; without this
-        # correction the first minute would show a fraction of the rate and
-        # every request of that minute would wait for a draw of its own.
-        seen = self.window * -math.expm1(-age / self.window)
-        return max(0, self._decayed(now) / seen)
-
-    def _decayed(self, now: float) -> float:
-        return self._weight * math.exp((self._at - now) / self.window)
+        """Return the average rate in tokens per second."""
+        age = max(now - self.start, _MIN_AGE_S)
+        # A new average covers less than its window. Without this correction
+        # the first minute would show a fraction of the rate, and every
+        # request of that minute would wait for a draw of its own.
+        covered = self.window * -math.expm1(-age / self.window)
+        return max(0, self._decayed_total(now) / covered)
+
+    def _decayed_total(self, now: float) -> float:
+        return self._total * math.exp((self._updated_at - now) / self.window)
--- a/src/balsamreach/budget/recalling.py
+++ b/src/balsamreach/budget/recalling.py
@@ -139,7 +139,7 @@
         return RecallTold(team, ledger.billed, max(0, held))
 
     def _moves(self, ledger: Ledger) -> tuple[Move, ...]:
-        move = self.sizing.for_recall(ledger)
+        move = self.sizing.return_idle(ledger)
         return () if move is None else (move,)
 
 
--- a/src/balsamreach/budget/reporting.py
+++ b/src/balsamreach/budget/reporting.py
@@ -7,8 +7,8 @@
 import attrs
 
 from balsamreach.budget.promises import (
-    Pace,
-    Promise,
+    Allowance,
+    OpeningSchedule,
     Report,
     decode_report,
     encode_report,
@@ -36,7 +36,7 @@
 _MS = 1000
 
 #: Returns what this router may use of each team's tokens.
-MakePromises = Callable[[], Mapping[str, Promise]]
+MakePromises = Callable[[], Mapping[str, Allowance]]
 
 
 @attrs.frozen
@@ -66,7 +66,7 @@
         Time of this host.
     metrics : Metrics
         Counts reports.
-    pace : Pace
+    pace : OpeningSchedule
         How fast tokens open that were not promised.
     make : callable
         Returns the promises of a new report.
@@ -82,7 +82,7 @@
     times: ServiceClock
     clock: Clock
     metrics: Metrics
-    pace: Pace
+    pace: OpeningSchedule
     make: MakePromises
     on_report: Callable[[], None]
     is_away: Callable[[], bool] = bool
@@ -95,7 +95,7 @@
     _recorded: bool = False
     _lock: asyncio.Lock = attrs.field(factory=asyncio.Lock)
 
-    def limit(self, team: str, ahead: float = 0) -> int:
+    def limit(self, team: str, seconds_ahead: float = 0) -> int:
         """Return the tokens that this router may have in use.
 
         While it is not known which of two reports stands in the row, only
@@ -105,12 +105,12 @@
         ----------
         team : str
             The team.
-        ahead : float
+        seconds_ahead : float
             Seconds from now at which that will hold without a new report.
         """
         if self._confirmed is None:
             return 0
-        now = self.clock.now() + ahead
+        now = self.clock.now() + seconds_ahead
         known = (self._confirmed, self._doubtful)
         return min(sent.allowed(team, now) for sent in known if sent)
 
--- a/src/balsamreach/budget/sizing.py
+++ b/src/balsamreach/budget/sizing.py
@@ -1,4 +1,4 @@
-"""Decides how much a router draws, hands back and keeps for itself."""
+"""Decides how many tokens a router draws, returns and keeps from lending."""
 
 import attrs
 
@@ -9,7 +9,7 @@
 from balsamreach.config.settings import BudgetSettings
 
 _REFILL_BELOW = 0.8
-_RETURN_ABOVE = 2
+_RETURN_FACTOR = 2
 
 
 @attrs.frozen
@@ -19,47 +19,47 @@
     Parameters
     ----------
     cfg : BudgetSettings
-        Time that a draw covers and bounds of its size.
+        Time that a draw covers and limits of its size.
     clock : Clock
         Time for the rates.
-    return_above : float
-        Times the wanted tokens beyond which the rest goes back.
+    return_factor : float
+        Multiple of the desired tokens beyond which the excess is returned.
     """
 
     cfg: BudgetSettings
     clock: Clock
-    return_above: float = _RETURN_ABOVE
+    return_factor: float = _RETURN_FACTOR
 
-    def ahead(self, ledger: Ledger) -> int:
+    def expected_use(self, ledger: Ledger) -> int:
         """Return the tokens that this router expects to need soon."""
         rate = ledger.rate.per_second(self.clock.now())
         return int(rate * self.cfg.draw_ahead)
 
-    def target(self, ledger: Ledger) -> int:
+    def desired_tokens(self, ledger: Ledger) -> int:
         """Return the tokens that this router wants to hold unspent."""
         if self._is_recalled(ledger):
             return 0
         rate = ledger.rate.per_second(self.clock.now())
-        cover = self.cfg.draw_ahead + self.cfg.partition_cover
-        return int(rate * cover)
+        cover_s = self.cfg.draw_ahead + self.cfg.partition_cover
+        return int(rate * cover_s)
 
-    def for_queue(self, ledger: Ledger) -> Move:
-        """Return the draw for the requests that wait, of which there is one.
+    def draw_for_queue(self, ledger: Ledger) -> Move:
+        """Return the draw for the waiting requests; at least one must wait.
 
         Parameters
         ----------
         ledger : Ledger
             The team's ledger.
         """
-        needed = ledger.missing
+        needed = ledger.shortfall
         least_draw = self.cfg.least_draw
         if self._is_recalled(ledger):
             least_draw = 0
-        wanted = self.target(ledger) - ledger.available
-        move = self._move(
+        wanted = self.desired_tokens(ledger) - ledger.available
+        move = self._make_move(
             ledger,
-            least=1,
-            most=max(needed, wanted, least_draw),
+            min_draw=1,
+            max_draw=max(needed, wanted, least_draw),
         )
         return attrs.evolve(move, needed=needed)
 
@@ -69,79 +69,95 @@
         Parameters
         ----------
         ledger : Ledger
-            The team's ledger; tokens that go back are held back in it.
+            The team's ledger; tokens to be returned are set aside in it.
         """
-        target = self.target(ledger)
+        desired = self.desired_tokens(ledger)
         held = ledger.available
         if self._is_recalled(ledger) and ledger.own > 0:
-            return self._hand_back(ledger, ledger.own)
+            return self._begin_return(ledger, ledger.own)
         if held < 0:
-            return self._move(ledger, least=-held, most=target - held)
-        if held < target * _REFILL_BELOW:
-            return self._move(ledger, most=target - held)
-        if held > target * self.return_above + self.cfg.least_draw:
-            # A router that spends loans before they are recorded has less
-            # than nothing of its own. Handing that back would be a draw that
-            # nobody compares with what is left of the budget.
-            back = max(0, min(ledger.own, held - target))
-            return self._hand_back(ledger, back)
-        # With nothing to draw nobody would find out what became of a return
-        # whose answer was lost, and its tokens could not be spent for as
-        # long; it shows as ``returning`` of a ledger that stays.
+            return self._make_move(
+                ledger,
+                min_draw=-held,
+                max_draw=desired - held,
+            )
+        if held < desired * _REFILL_BELOW:
+            return self._make_move(ledger, max_draw=desired - held)
+        if held > desired * self.return_factor + self.cfg.least_draw:
+            # ``own`` is negative while loans are spent before they are
+            # recorded. Returning a negative number would be a draw that is
+            # not compared with what is left of the budget.
+            excess = max(0, min(ledger.own, held - desired))
+            return self._begin_return(ledger, excess)
+        # Without another move the outcome of a return whose answer was lost
+        # would stay unknown, and ``returning`` of an otherwise idle ledger
+        # would hold tokens that can't be spent.
         if ledger.returning:
-            return attrs.evolve(self._move(ledger), confirm=True)
+            return attrs.evolve(self._make_move(ledger), force_write=True)
         if ledger.borrowed:
-            return self._move(ledger)
+            return self._make_move(ledger)
         return None
 
-    def for_loan(self, ledger: Ledger) -> Move:
-        """Return the move that makes lendable what other routers ask for."""
-        move = self._move(ledger, most=max(0, ledger.asked - ledger.available))
-        return attrs.evolve(move, lendable=ledger.lent + ledger.asked)
+    def make_lendable(self, ledger: Ledger) -> Move:
+        """Return the move that makes lendable what peers have requested."""
+        move = self._make_move(
+            ledger,
+            max_draw=max(0, ledger.requested_by_peers - ledger.available),
+        )
+        return attrs.evolve(
+            move,
+            min_lendable=ledger.lent + ledger.requested_by_peers,
+        )
 
     def for_loans(self, ledger: Ledger) -> Move:
         """Return the move that only records loans taken."""
-        return self._move(ledger)
+        return self._make_move(ledger)
 
-    def for_recall(self, ledger: Ledger) -> Move | None:
-        """Return the move that hands all idle tokens back, if any."""
+    def return_idle(self, ledger: Ledger) -> Move | None:
+        """Return the move that returns all idle tokens, if any."""
         if ledger.own > 0:
-            return self._hand_back(ledger, ledger.own)
-        return self._move(ledger) if ledger.borrowed else None
+            return self._begin_return(ledger, ledger.own)
+        return self._make_move(ledger) if ledger.borrowed else None
 
-    def is_empty(self, ledger: Ledger) -> bool:
+    def is_account_empty(self, ledger: Ledger) -> bool:
         """Return whether the account is known to have nothing free."""
-        return self.clock.now() < ledger.empty_until
-
-    def _hand_back(self, ledger: Ledger, tokens: int) -> Move:
-        move = self._move(ledger)
-        ledger.hold_back(tokens)
-        return attrs.evolve(move, back=tokens, lent=ledger.lent)
-
-    def _move(self, ledger: Ledger, least: int = 0, most: int = 0) -> Move:
+        return self.clock.now() < ledger.account_empty_until
+
+    def _begin_return(self, ledger: Ledger, tokens: int) -> Move:
+        move = self._make_move(ledger)
+        ledger.begin_return(tokens)
+        return attrs.evolve(move, give_back=tokens, max_lent=ledger.lent)
+
+    def _make_move(
+        self,
+        ledger: Ledger,
+        min_draw: int = 0,
+        max_draw: int = 0,
+    ) -> Move:
         return Move(
             team=ledger.team,
-            least=least,
-            most=most,
-            share=self.cfg.largest_share,
-            floor=self.cfg.least_draw,
-            keep=self._keep(ledger),
-            lent=max(ledger.lent, ledger.lendable),
-            loans=_recordable(ledger),
+            min_draw=min_draw,
+            max_draw=max_draw,
+            max_free_share=self.cfg.largest_share,
+            min_extra_draw=self.cfg.least_draw,
+            not_lendable=self._not_lendable(ledger),
+            max_lent=max(ledger.lent, ledger.lendable),
+            loans=_recordable_loans(ledger),
         )
 
-    def _keep(self, ledger: Ledger) -> int:
-        # With the account empty routers live by small loans. Were a part
-        # kept, each loan of it would need a commit of the lender first.
-        if self.is_empty(ledger):
+    def _not_lendable(self, ledger: Ledger) -> int:
+        # While the account is empty routers depend on small loans. If some
+        # tokens were kept from lending, each loan of them would first need a
+        # commit of the lender.
+        if self.is_account_empty(ledger):
             return 0
-        return ledger.billed + ledger.reserved + self.ahead(ledger)
+        return ledger.billed + ledger.reserved + self.expected_use(ledger)
 
     def _is_recalled(self, ledger: Ledger) -> bool:
         return self.clock.now() < ledger.recalled_until
 
 
-def _recordable(ledger: Ledger) -> tuple[Loan, ...]:
-    if ledger.usage is None:
+def _recordable_loans(ledger: Ledger) -> tuple[Loan, ...]:
+    if ledger.limiter is None:
         return tuple(ledger.borrowed.values())
-    return ledger.usage.recordable(ledger)
+    return ledger.limiter.recordable_loans(ledger)
--- a/src/balsamreach/budget/usage.py
+++ b/src/balsamreach/budget/usage.py
@@ -1,68 +1,73 @@
-"""What a router may use of a team's tokens by what it has reported."""
+"""Limits a router's use of a team's tokens to what it has reported."""
 
 from typing import TYPE_CHECKING, Protocol
 
 import attrs
 
 from balsamreach.budget.account import Loan
-from balsamreach.budget.promises import Promise
+from balsamreach.budget.promises import Allowance
 
 if TYPE_CHECKING:
     from balsamreach.budget.ledger import Ledger
 
 
-class Limit(Protocol):
-    """Tells how many of a team's tokens a router may have in use."""
+class UsageLimit(Protocol):
+    """Returns how many of a team's tokens this router may have in use."""
 
-    def __call__(self, team: str, ahead: float = 0) -> int:
-        """Return it for so many seconds from now."""
+    def __call__(self, team: str, seconds_ahead: float = 0) -> int:
+        """Return the limit that holds in ``seconds_ahead`` seconds."""
 
 
 @attrs.define(eq=False)
-class Usage:
-    """Bounds one ledger by the router's reports.
+class UsageLimiter:
+    """Applies the limit of the router's reports to one ledger.
 
     Parameters
     ----------
     limit : callable
-        Tells how much may be in use.
+        Returns how many tokens may be in use.
     """
 
-    limit: Limit
+    limit: UsageLimit
     _recording: set[str] = attrs.field(factory=set)
 
-    def own_room(self, ledger: 'Ledger') -> int:
-        """Return what may be used of the tokens granted here."""
-        return self.limit(ledger.team) - in_use(ledger)
+    def room_without_loans(self, ledger: 'Ledger') -> int:
+        """Return how many more tokens may be used, loans taken left out."""
+        return self.limit(ledger.team) - tokens_in_use(ledger)
 
-    def room(self, ledger: 'Ledger', ahead: float = 0) -> int:
-        """Return what may be used, loans included.
+    def room(self, ledger: 'Ledger', seconds_ahead: float = 0) -> int:
+        """Return how many more tokens may be used, loans taken included.
 
         Parameters
         ----------
         ledger : Ledger
             The team's ledger.
-        ahead : float
-            Seconds from now.
+        seconds_ahead : float
+            Seconds from now at which the result holds.
         """
-        # What was borrowed is part of the lender's report until it is
-        # recorded here.
+        # Borrowed tokens are covered by the lender's report until the loan
+        # is recorded here.
         borrowed = sum(
             loan.tokens
             for loan in ledger.borrowed.values()
             if loan.loan_id not in self._recording
         )
-        return self.limit(ledger.team, ahead) + borrowed - in_use(ledger)
+        return (
+            self.limit(ledger.team, seconds_ahead)
+            + borrowed
+            - tokens_in_use(ledger)
+        )
 
-    def recordable(self, ledger: 'Ledger') -> tuple[Loan, ...]:
+    def recordable_loans(self, ledger: 'Ledger') -> tuple[Loan, ...]:
         """Return the loans that may be recorded now.
 
-        A recorded loan is granted here, and a successor gives back what is
-        granted beyond the last report. Were a loan recorded whose spending
-        isn't reported yet, it would be given back and spent twice.
+        The tokens of a recorded loan count as granted here, and a successor
+        returns whatever is granted beyond the last report. If a loan were
+        recorded before its spending is reported, its tokens would be
+        returned and spent twice.
         """
         self._recording.intersection_update(ledger.borrowed)
-        if self.own_room(ledger) >= 0:
+        if self.room_without_loans(ledger) >= 0:
             self._recording.update(ledger.borrowed)
         return tuple(
             loan
@@ -71,20 +76,25 @@
         )
 
 
-def in_use(ledger: 'Ledger') -> int:
-    """Return tokens billed, set aside or lent, over all time."""
+def tokens_in_use(ledger: 'Ledger') -> int:
+    """Return the tokens billed, reserved or lent, over all time."""
     return ledger.billed + ledger.reserved + ledger.lent
 
 
-def promise(ledger: 'Ledger', ahead: int) -> Promise:
-    """Return what a router is to report of a team.
+def make_allowance(ledger: 'Ledger', expected: int) -> Allowance:
+    """Return the allowance to report for a team.
 
     Parameters
     ----------
     ledger : Ledger
         The team's ledger.
-    ahead : int
-        Tokens that requests will need before the next report.
+    expected : int
+        Tokens that new requests are expected to need before the next report.
     """
-    used = in_use(ledger) + ledger.queue.tokens + ledger.asked + ahead
-    return Promise(used, max(used, ledger.granted))
+    used = (
+        tokens_in_use(ledger)
+        + ledger.queue.tokens
+        + ledger.requested_by_peers
+        + expected
+    )
+    return Allowance(used, max(used, ledger.granted))
--- a/src/balsamreach/budget/waiters.py
+++ b/src/balsamreach/budget/waiters.py
@@ -1,4 +1,4 @@
-"""Requests that wait for tokens, first come first."""
+"""FIFO queue of requests that wait for tokens."""
 
 import asyncio
 
@@ -12,17 +12,17 @@
     Parameters
     ----------
     tokens : int
-        Worst case the request may use.
-    answer : Future
+        Most tokens that the request may use.
+    outcome : Future
         A ``Reservation``, or the ``BudgetFault`` that refuses the request.
     """
 
     tokens: int
-    answer: asyncio.Future
+    outcome: asyncio.Future
 
 
 @attrs.define
-class Queue:
+class WaitQueue:
     """The requests of one team that wait at this router."""
 
     waiters: list[Waiter] = attrs.field(factory=list)
@@ -37,21 +37,21 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens of all requests that wait."""
+        """Tokens of all waiting requests."""
         return sum(waiter.tokens for waiter in self.waiters)
 
     @property
     def smallest(self) -> int:
-        """Tokens of the smallest request that waits, 0 if none does."""
+        """Tokens of the smallest waiting request, 0 if none waits."""
         return min((waiter.tokens for waiter in self.waiters), default=0)
 
-    def join(self, tokens: int) -> Waiter:
-        """Let a request wait at the end."""
+    def add(self, tokens: int) -> Waiter:
+        """Append a request to the queue."""
         waiter = Waiter(tokens, asyncio.get_running_loop().create_future())
         self.waiters.append(waiter)
         return waiter
 
-    def answer(self, waiter: Waiter, outcome: object) -> None:
-        """Let a request go on, with a reservation or a fault."""
+    def resolve(self, waiter: Waiter, outcome: object) -> None:
+        """Remove a request and give it a reservation or a fault."""
         self.waiters.remove(waiter)
-        waiter.answer.set_result(outcome)
+        waiter.outcome.set_result(outcome)
--- a/tests/test_budget_holdings.py
+++ b/tests/test_budget_holdings.py
@@ -7,7 +7,7 @@
 from parameterized import parameterized
 
 from balsamreach.budget.account import account_key, allotment_key
-from balsamreach.budget.covering import Covering
+from balsamreach.budget.covering import AdaptiveSizing
 from balsamreach.budget.faults import BudgetFault
 from balsamreach.budget.holdings_parts import report_interval
 from balsamreach.budget.ledger import Ledger, Reservation
@@ -177,8 +177,8 @@
         fleet.gates[name].open = False
         fleet.clock.seconds += 1.2
         ledger = fleet.routers[name].book.ledger(TEAM)
-        wanted = ledger.usage.room(ledger, 0.2)
-        self.assertGreater(wanted, ledger.usage.room(ledger))
+        wanted = ledger.limiter.room(ledger, 0.2)
+        self.assertGreater(wanted, ledger.limiter.room(ledger))
         held = await fleet.serve(name, wanted, 0)
         self.assertIsInstance(held, Reservation)
 
@@ -394,18 +394,18 @@
 
     def ledger(self, free, routers=910):
         clock = VirtualClock()
-        ledger = Ledger(TEAM, Rate(clock.now(), 5), free=free)
+        ledger = Ledger(TEAM, Rate(clock.now(), 5), account_free=free)
         for _ in range(10):
             clock.seconds += 1
             ledger.rate.add(100, clock.now())
-        covering = Covering(
+        covering = AdaptiveSizing(
             CFG,
             clock,
             prepaid=lambda _team: 100_000,
-            holds=lambda _team: True,
-            routers=lambda: routers,
+            is_holder=lambda _team: True,
+            count_holders=lambda: routers,
         )
-        return covering.target(ledger)
+        return covering.desired_tokens(ledger)
 
     def test_early_in_a_budget(self):
         self.assertAlmostEqual(self.ledger(free=100_000), 900, delta=150)
--- a/tests/test_budget_promises.py
+++ b/tests/test_budget_promises.py
@@ -1,23 +1,23 @@
-"""Tests of what routers say beforehand of their tokens."""
+"""Tests of the reports that limit a router's use of tokens."""
 
 import unittest
 
 from parameterized import parameterized
 
 from balsamreach.budget.promises import (
-    Pace,
-    Promise,
+    Allowance,
+    OpeningSchedule,
     Report,
     decode_report,
     encode_report,
 )
 
-_PACE = Pace(patience=1, opening=4)
-_REPORT = Report(3, 1234.5, _PACE, {'team': Promise(100, 500)})
+_SCHEDULE = OpeningSchedule(patience=1, opening=4)
+_REPORT = Report(3, 1234.5, _SCHEDULE, {'team': Allowance(100, 500)})
 
 
 class ReportTest(unittest.TestCase):
-    """What is usable grows with the silence, and never beyond all."""
+    """Usable tokens grow with the age of a report, up to the maximum."""
 
     @parameterized.expand(
         [
@@ -33,12 +33,12 @@
     def test_allowed(self, _name, silence, expected):
         self.assertEqual(_REPORT.allowed('team', silence), expected)
 
-    def test_nothing_of_a_team_that_was_not_reported(self):
+    def test_unreported_team_may_use_nothing(self):
         self.assertEqual(_REPORT.allowed('other', 3600), 0)
 
     def test_more_in_use_than_granted(self):
-        # Tokens on loan are in use before they are granted here.
-        self.assertEqual(Promise(900, 500).allowed(1), 900)
+        # Borrowed tokens are in use before they are granted here.
+        self.assertEqual(Allowance(900, 500).allowed(1), 900)
 
     def test_row(self):
         self.assertEqual(decode_report(encode_report(_REPORT)), _REPORT)
--- a/tests/test_budget_reporting.py
+++ b/tests/test_budget_reporting.py
@@ -6,7 +6,11 @@
 import attrs
 from parameterized import parameterized
 
-from balsamreach.budget.promises import Pace, Promise, decode_report
+from balsamreach.budget.promises import (
+    Allowance,
+    OpeningSchedule,
+    decode_report,
+)
 from balsamreach.budget.reporting import Reporter, usage_key
 from balsamreach.services.base import Commit, Row
 from balsamreach.services.faults import (
@@ -20,7 +24,7 @@
 from balsamreach.telemetry.metrics import Metrics
 from tests.budget_world import Gate, VirtualClock
 
-_PACE = Pace(patience=1, opening=10)
+_PACE = OpeningSchedule(patience=1, opening=10)
 
 
 @attrs.define
@@ -54,7 +58,7 @@
         self.clock = VirtualClock()
         self.table = MemoryPlatform.start(self.clock).table
         self.gate = Faulty(self.table)
-        self.promise = Promise(100, 1100)
+        self.promise = Allowance(100, 1100)
         times = ServiceClock(self.clock)
         times.note(self.clock.now(), self.clock.now(), self.clock.now())
         self.handed_out = 0
@@ -113,7 +117,7 @@
         self.clock.seconds += 6
         self.gate.faults = [UNKNOWN, UNKNOWN, UNKNOWN]
         self.gate.applies = applies
-        self.promise = Promise(150, 1100)
+        self.promise = Allowance(150, 1100)
         self.assertFalse(await self.reporter.report())
         self.assertEqual(self.reporter.limit('team'), 150)
         # The same report is sent until it stands, so its silence counts.
@@ -134,7 +138,7 @@
         await self.reporter.report()
         self.clock.seconds += 6
         self.gate.faults = [fault]
-        self.promise = Promise(150, 1100)
+        self.promise = Allowance(150, 1100)
         self.assertFalse(await self.reporter.report())
         self.assertEqual(self.reporter.limit('team'), 600)
 
--- a/tests/test_budget_waiters.py
+++ b/tests/test_budget_waiters.py
@@ -15,20 +15,26 @@
 
 
 @attrs.define
-class Meanwhile(Gate):
-    """Lets something happen just as a commit takes effect."""
+class CallbackGate(Gate):
+    """Calls a function as soon as a commit has taken effect.
 
-    then: Callable[[], object] = attrs.field(kw_only=True)
+    Parameters
+    ----------
+    on_commit : callable
+        Called before the committing router gets its answer.
+    """
+
+    on_commit: Callable[[], object] = attrs.field(kw_only=True)
 
     async def commit(self, change):
-        """Commit, and then do it."""
+        """Commit, and then call the function."""
         outcome = await self.service.commit(change)
-        self.then()
+        self.on_commit()
         return outcome
 
 
 class WaitersTest(unittest.IsolatedAsyncioTestCase):
-    """A router and a team with little left."""
+    """One router, and a team with few tokens left."""
 
     async def asyncSetUp(self):
         self.world = World()
@@ -38,27 +44,28 @@
     def reserve(self, tokens=_TOKENS):
         return asyncio.ensure_future(self.router.reserve('team', tokens))
 
-    def meanwhile(self, then):
+    def call_on_commit(self, on_commit):
         gate = self.world.gates['a']
-        gate.service = Meanwhile(gate.service, then=then)
+        gate.service = CallbackGate(gate.service, on_commit=on_commit)
 
-    async def test_draw_goes_to_who_waits(self):
-        """Symptom: a request is refused although its draw came.
+    async def test_drawn_tokens_go_to_the_waiting_request(self):
+        """Guards against refusing a request although its draw succeeded.
 
-        Sequence: a request draws the last tokens; before it runs on, a
-        second one arrives. Cause: what was drawn lies free for a moment.
+        A request draws the last tokens, and a second one arrives before the
+        first continues. If the drawn tokens were free for a moment, the
+        second would take them.
         """
         others = []
-        self.meanwhile(lambda: others.append(self.reserve()))
+        self.call_on_commit(lambda: others.append(self.reserve()))
         held = await self.world.clock.drive(self.reserve())
         self.assertIsInstance(held, Reservation)
         self.assertEqual(await self.world.clock.drive(others[-1]), EXHAUSTED)
 
-    async def test_one_draw_for_all(self):
-        """Symptom: requests are refused after ``draw_wait``.
+    async def test_waiting_requests_share_one_draw(self):
+        """Guards against refusals after ``draw_wait`` when many wait at once.
 
-        Sequence: many wait at once. Cause: each draws for itself, after
-        those before it.
+        They occur if each request makes a draw of its own after those of the
+        requests before it.
         """
         await self.world.clock.drive(self.router.book.enter())
         writes = self.world.platform.weather.writes
@@ -67,14 +74,14 @@
         self.assertTrue(all(isinstance(one, Reservation) for one in held))
         self.assertEqual(self.world.platform.weather.writes, writes + 1)
 
-    async def test_caller_that_went_away(self):
-        """Symptom: tokens stay reserved for nobody.
+    async def test_cancelled_request_frees_its_tokens(self):
+        """Guards against tokens that stay reserved for a cancelled request.
 
-        Sequence: a request's caller goes away in the moment in which its
-        tokens come. Cause: a reservation that was handed to it already.
+        The caller disconnects just as the tokens arrive, so the request
+        already has a reservation when it is cancelled.
         """
         work = self.reserve()
-        self.meanwhile(work.cancel)
+        self.call_on_commit(work.cancel)
         with self.assertRaises(asyncio.CancelledError):
             await self.world.clock.drive(work)
         for _ in range(10):
@@ -90,8 +97,8 @@
         self.world = World(attrs.evolve(SETTINGS, posture='strict'))
         self.routers = {name: self.world.start(name) for name in 'abc'}
 
-    async def hold(self, **tokens):
-        """Fund the team, and let routers hold all of it idle."""
+    async def fund_and_hold(self, **tokens):
+        """Fund the team; let routers draw all of it and keep it idle."""
         await self.world.fund('team', sum(tokens.values()))
         for name, amount in tokens.items():
             held = await self.reserve(name, amount)
@@ -102,55 +109,56 @@
         work = (self.routers[name].reserve('team', tokens) for name in names)
         return self.world.clock.drive(asyncio.gather(*work))
 
-    def count(self, outcomes):
+    def count_reserved(self, outcomes):
         return sum(isinstance(one, Reservation) for one in outcomes)
 
-    async def test_one_of_two(self):
-        """Symptom: two requests are refused though one can be served.
+    async def test_one_of_two_competing_requests_is_served(self):
+        """Guards against refusing two requests though one can be served.
 
-        Sequence: two routers hold half each and both need more. Cause: each
-        lends the other what its own request waits for.
+        Two routers hold half of the tokens each, and both need more. Both
+        requests would fail if each router lent the other the tokens that its
+        own request waits for.
         """
-        await self.hold(a=50, b=50)
+        await self.fund_and_hold(a=50, b=50)
         outcomes = await self.reserve('ab', 80)
-        self.assertEqual(self.count(outcomes), 1)
+        self.assertEqual(self.count_reserved(outcomes), 1)
         self.assertIn(EXHAUSTED, outcomes)
 
-    async def test_two_borrowers(self):
-        """Symptom: a lender with plenty seems to have nothing.
+    async def test_two_borrowers_of_one_lender(self):
+        """Guards against a lender with plenty that appears to have nothing.
 
-        Sequence: two routers ask a third one at once. Cause: it makes
-        lendable what one of them needs; and the account, which no loan
-        changes, is written for each.
+        Two routers ask a third one at once, and it makes lendable only what
+        one of them needs. Also checks that the account, which no loan
+        changes, is not written.
         """
-        await self.hold(c=300)
+        await self.fund_and_hold(c=300)
         before = await self.world.peek(account_key('team'))
         outcomes = await self.reserve('ab', 150)
-        self.assertEqual(self.count(outcomes), 2)
+        self.assertEqual(self.count_reserved(outcomes), 2)
         self.assertEqual(await self.world.peek(before.key), before)
 
-    async def test_rest_of_a_reservation(self):
-        """Symptom: a refusal while what it needs lies idle at a peer.
+    async def test_refusal_ends_when_a_reservation_frees_tokens(self):
+        """Guards against refusals while a peer holds enough idle tokens.
 
-        Sequence: a request is refused; another one ends and uses little;
-        the first is sent again. Cause: the refusal is remembered for a
-        second even though tokens were about to come free.
+        A request is refused, another one ends and uses little, and the first
+        is sent again. It would be refused again if the refusal were kept for
+        a second although reserved tokens were about to become free.
         """
         await self.world.fund('team', _TOKENS)
         held = await self.reserve('a', _TOKENS)
         self.assertEqual(await self.reserve('b', 60), [EXHAUSTED])
         self.routers['a'].bill(held[0], Bill('team', 'k', 30))
         self.world.clock.seconds += 0.1
-        self.assertEqual(self.count(await self.reserve('b', 60)), 1)
+        self.assertEqual(self.count_reserved(await self.reserve('b', 60)), 1)
 
     async def test_tokens_that_cannot_be_lent(self):
-        """Symptom: requests wait for ``draw_wait`` and are refused then.
+        """Guards against requests that wait ``draw_wait`` and are refused.
 
-        Sequence: what is left is at a router that the table service is away
-        from, and that may not lend it. Cause: it tells of those tokens, and
-        the borrower asks for them again and again.
+        The remaining tokens are at a router that can't reach the table
+        service and may not lend them. If it reported them as available, the
+        borrower would ask for them again and again.
         """
-        await self.hold(b=300)
+        await self.fund_and_hold(b=300)
         lender = self.routers['b'].book.ledger('team')
         lender.lendable = 0
         self.world.cut('b')
