--- a/src/balsamreach/budget/drawing.py
+++ b/src/balsamreach/budget/drawing.py
@@ -9,7 +9,7 @@
 from balsamreach.budget.faults import NO_ALLOTMENT, BudgetFault, too_little
 from balsamreach.budget.ledger import Ledger
 from balsamreach.budget.moves import Move
-from balsamreach.budget.reporting import Reporter
+from balsamreach.budget.reporting import UsageReporter
 from balsamreach.budget.sizing import Sizing
 
 #: Seconds after a failure during which no request causes a draw.
@@ -33,7 +33,7 @@
         Seconds after which a draw is no longer waited for and peers are
         asked; a service that stopped answering would delay callers for far
         longer.
-    reporter : Reporter or None
+    reporter : UsageReporter or None
         Reports what requests will use; None where routers don't report.
     """
 
@@ -41,7 +41,7 @@
     sizing: Sizing
     backoff: float = FAILURE_BACKOFF_S
     timeout: float = DRAW_TIMEOUT_S
-    reporter: Reporter | None = None
+    reporter: UsageReporter | None = None
     _backoff_until: float = 0
 
     async def draw(self, ledger: Ledger) -> BudgetFault | None:
--- a/src/balsamreach/budget/holdings.py
+++ b/src/balsamreach/budget/holdings.py
@@ -1,9 +1,9 @@
-"""What one router may spend where nothing is recorded request by request.
+"""Admits requests against the tokens that this router holds.
 
-Each router, or in a large fleet each hub for its zone, draws tokens from a
-team's account ahead of need and counts in memory what its requests use of
-them. It reports beforehand how much it may use. Who serves its address after
-it gives the rest of what it held back to the account.
+Nothing is recorded request by request. Each router, or in a large fleet each
+hub for its zone, draws tokens from a team's account ahead of need and counts
+the use of its requests in memory. It reports in advance how much it may use.
+Its successor on its address returns the rest of its tokens to the account.
 """
 
 import random
@@ -19,8 +19,8 @@
     make_parts,
     report_interval,
 )
-from balsamreach.budget.homes import held_ahead, is_holder
-from balsamreach.budget.homing import HomeReservation
+from balsamreach.budget.home_client import HomeReservation
+from balsamreach.budget.homes import home_teams, is_holder
 from balsamreach.budget.ledger import Ledger, Reservation
 from balsamreach.budget.moves import Move
 from balsamreach.budget.prepaid import Prepaid
@@ -32,8 +32,9 @@
 from balsamreach.services.times import ServiceClock
 from balsamreach.telemetry.metrics import Metrics
 
-#: Seconds between two looks whether what others had set aside is settled.
-_LEAVE_PAUSE_S = 0.1
+#: Seconds between two checks, while leaving, whether the requests of other
+#: routers are settled.
+_LEAVE_POLL_S = 0.1
 
 
 @attrs.define
@@ -43,7 +44,7 @@
     Parameters
     ----------
     service : TableService
-        Where accounts and allotments are kept.
+        Where accounts and allotments are stored.
     prepaid : callable
         Returns a team's prepaid tokens, None where it is not metered.
     incarnation : str
@@ -51,17 +52,20 @@
     cfg : BudgetSettings
         Sizes and intervals.
     rate_window : float
-        Seconds over which rates of spending are averaged.
+        Time constant in seconds of the average spending rates.
     net : PeerNet
-        The other routers, which lend while the store is away.
-    times : ServiceClock
-        The store's time.
+        The other routers, which lend while the table service is away.
+    service_clock : ServiceClock
+        The table service's time.
     address : str
-        ``ip:port`` that this router has bound; who bound it before is dead.
+        ``ip:port`` that this router has bound; the process that bound it
+        before has ended.
     clock, rng, metrics
         Time, jitter and counters.
-    teams : callable
+    metered_teams : callable
         Returns the teams that are metered.
+    parts : HoldingsParts
+        The components.
     """
 
     service: TableService
@@ -70,21 +74,21 @@
     cfg: BudgetSettings
     rate_window: float
     net: PeerNet
-    times: ServiceClock
+    service_clock: ServiceClock
     address: str
     clock: Clock
     rng: random.Random
     metrics: Metrics
-    teams: Callable[[], Iterable[str]] = tuple
+    metered_teams: Callable[[], Iterable[str]] = tuple
     parts: HoldingsParts = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Put the parts together."""
+        """Make the components."""
         self.parts = make_parts(self)
 
     @property
     def book(self) -> Book:
-        """The ledgers."""
+        """The ledgers of all teams."""
         return self.parts.book
 
     async def reserve(
@@ -92,7 +96,7 @@
         team: str,
         tokens: int,
     ) -> Reservation | BudgetFault:
-        """Set a request's worst case aside before it runs.
+        """Reserve the most tokens that a request may use before it runs.
 
         Returns
         -------
@@ -112,7 +116,7 @@
         team: str,
         tokens: int,
     ) -> Reservation | BudgetFault:
-        """Set a request's worst case aside from what this router holds."""
+        """Reserve tokens for a request out of what this router holds."""
         ledger = self._ledger(team)
         ledger.squares_rate.add(tokens**2, self.clock.now())
         reservation = None
@@ -124,7 +128,7 @@
         return await self.parts.obtainer.obtain(ledger, tokens)
 
     def charge(self, reservation: Reservation, tokens: int) -> None:
-        """Charge what a request used; the rest of it is free again."""
+        """Charge what a request used and free the rest."""
         if isinstance(reservation, HomeReservation):
             self.parts.homing.charge(reservation, tokens)
             return
@@ -134,65 +138,69 @@
         ledger.rate.add(-unused, self.clock.now())
 
     def spent(self, team: str) -> int:
-        """Return the tokens that a team has used, as far as is known here."""
+        """Return the tokens that a team has used, as far as known here."""
         ledger = self.book.ledgers.get(team)
         billed = ledger.billed if ledger else 0
         return max(billed, self.parts.homing.spent(team))
 
     async def run_reports(self) -> None:
-        """Report in rounds what may be used, until cancelled.
+        """Report periodically how much may be used, until cancelled.
 
-        A successor takes all silence for time in which tokens were used, so
-        this router is never silent for long. One that holds nothing has
-        nothing to tell.
+        A successor assumes that tokens were used in all the time since the
+        last report, so reports continue also where nothing changed. A router
+        that holds no tokens makes none.
         """
         while True:
-            if any(map(_is_in_use, self.book.ledgers.values())):
+            if any(map(_is_active, self.book.ledgers.values())):
                 await self.parts.reporter.report()
             await self.clock.sleep(report_interval(self.cfg, self.net))
 
     async def run(self) -> None:
-        """Draw ahead and hand back in rounds, until cancelled."""
+        """Draw and return tokens periodically, until cancelled."""
         await self.parts.succession.inherit(self.book)
         while True:
             await self.clock.sleep(self.cfg.flush_interval)
             await self.round()
 
     async def round(self) -> None:
-        """Do what is due for each team once."""
+        """Make the moves that are due, once for each team."""
         if not self.book.is_away() and await self.book.enter() is None:
             await self.parts.succession.close_predecessors()
-        # Requests of a team that comes first would find its home without a
-        # token. Each would wait for a draw and a report of its own, all of a
-        # zone at once; it shows as a burst of calls where traffic begins.
-        for ahead in held_ahead(self.teams(), self.net):
-            ledger = self._ledger(ahead)
+        # A team's home draws before the team's first request. Otherwise
+        # each of the first requests would wait for a draw and a report of
+        # its own, with a burst of calls from the whole zone when traffic
+        # begins.
+        for home_team in home_teams(self.metered_teams(), self.net):
+            ledger = self._ledger(home_team)
             if ledger.account_free is None:
-                await self.book.move(partial(_first, self, ledger))
+                await self.book.move(partial(_initial_draw, self, ledger))
         for team in tuple(self.book.ledgers):
-            if _is_kept(self.book.ledgers[team], self.net):
-                await self.book.move(partial(self._due, team))
+            if _needs_move(self.book.ledgers[team], self.net):
+                await self.book.move(partial(self._due_moves, team))
         await self.parts.loans.send_receipts()
-        self.parts.hosting.sweep()
+        self.parts.home_server.charge_lost()
         held = sum(ledger.own for ledger in self.book.ledgers.values())
         self.metrics.gauge(HELD, held)
 
     async def leave(self, until: float = 0) -> None:
-        """Hand back all that is not in use, for good.
+        """Return all tokens that are not in use, permanently.
 
         Parameters
         ----------
         until : float
-            Monotonic seconds up to which requests of other routers are
-            waited for; what they have set aside here is lost after that.
+            Monotonic seconds until which requests of other routers are
+            waited for; tokens still reserved for them after that are lost.
         """
         await self.parts.homing.settle()
-        while self.parts.hosting.is_held() and self.clock.now() < until:
-            await self.clock.sleep(_LEAVE_PAUSE_S)
+        while (
+            self.parts.home_server.has_reservations()
+            and self.clock.now() < until
+        ):
+            await self.clock.sleep(_LEAVE_POLL_S)
         for ledger in tuple(self.book.ledgers.values()):
-            outcome = await self.book.move(partial(self._rest, ledger))
+            outcome = await self.book.move(partial(self._return_moves, ledger))
             if isinstance(outcome, BudgetFault):
-                await self.parts.gifts.give_away(ledger)
+                await self.parts.handover.hand_over(ledger)
 
     def _ledger(self, team: str) -> Ledger:
         ledger = self.book.ledger(team)
@@ -200,27 +208,28 @@
             ledger.squares_rate = Rate(self.clock.now(), self.rate_window)
         return ledger
 
-    def _due(self, team: str) -> Iterable[Move]:
+    def _due_moves(self, team: str) -> Iterable[Move]:
         move = self.parts.sizing.in_background(self.book.ledgers[team])
         return () if move is None else (move,)
 
-    def _rest(self, ledger: Ledger) -> Iterable[Move]:
+    def _return_moves(self, ledger: Ledger) -> Iterable[Move]:
         move = self.parts.sizing.return_idle(ledger)
         return () if move is None else (move,)
 
 
-def _first(holdings: Holdings, ledger: Ledger) -> Iterable[Move]:
+def _initial_draw(holdings: Holdings, ledger: Ledger) -> Iterable[Move]:
     return (holdings.parts.sizing.initial_draw(ledger),)
 
 
-def _is_kept(ledger: Ledger, net: PeerNet) -> bool:
-    return _is_in_use(ledger) or is_holder(ledger.team, net)
+def _needs_move(ledger: Ledger, net: PeerNet) -> bool:
+    return _is_active(ledger) or is_holder(ledger.team, net)
 
 
-def _is_in_use(ledger: Ledger) -> bool:
-    # A router that has handed all back has nothing to report or to move. In a
-    # large fleet each one drew for itself until it knew the homes of teams;
-    # their calls for nothing would be more than the hubs make.
+def _is_active(ledger: Ledger) -> bool:
+    # A router that has returned all tokens has nothing to report or to move.
+    # In a large fleet each router draws for itself until it knows the homes
+    # of teams; afterwards their needless calls would outnumber those of the
+    # hubs.
     return bool(
         ledger.own > 0 or ledger.queue or ledger.borrowed or ledger.returning,
     )
--- a/src/balsamreach/budget/holdings_parts.py
+++ b/src/balsamreach/budget/holdings_parts.py
@@ -1,4 +1,4 @@
-"""Puts together what keeps the tokens that one router holds."""
+"""Builds the components that manage the tokens held by one router."""
 
 from typing import TYPE_CHECKING
 
@@ -8,22 +8,22 @@
 from balsamreach.budget.covering import AdaptiveSizing
 from balsamreach.budget.drawing import Drawing
 from balsamreach.budget.draws import Drawer
-from balsamreach.budget.gifts import Gifts
+from balsamreach.budget.home_client import HomeClient
+from balsamreach.budget.home_server import HomeServer
 from balsamreach.budget.homes import (
     count_holders,
-    count_reporting,
+    count_reporters,
     is_holder,
 )
-from balsamreach.budget.homing import Homing
-from balsamreach.budget.hosting import Hosting
 from balsamreach.budget.incarnations import Incarnations
 from balsamreach.budget.ledger import Ledger
 from balsamreach.budget.loans import Loans
 from balsamreach.budget.obtaining import Obtainer
 from balsamreach.budget.prepaid import PrepaidAccounts
 from balsamreach.budget.promises import Allowance, OpeningSchedule
-from balsamreach.budget.reporting import Reporter
+from balsamreach.budget.reporting import UsageReporter
 from balsamreach.budget.succession import Succession
+from balsamreach.budget.token_handover import TokenHandover
 from balsamreach.budget.usage import make_allowance
 from balsamreach.config.settings import BudgetSettings
 from balsamreach.peers.base import PeerNet
@@ -31,58 +31,60 @@
 if TYPE_CHECKING:
     from balsamreach.budget.holdings import Holdings
 
-#: After a failure the store is not asked for a request's sake for so many
-#: seconds. It is away for seconds, not minutes, and holdings are small.
-_AWAY_S = 0.5
-#: Seconds after which peers are asked beside a draw. Source: a draw is three
-#: calls of at most some 10 ms each; one of 0.15 s has met an outage.
-_PATIENCE_S = 0.15
+#: Seconds after a failure during which no request causes a draw. Outages last
+#: for seconds, not minutes, and holdings are small.
+_FAILURE_BACKOFF_S = 0.5
+#: Seconds after which peers are asked although a draw is pending. A draw is
+#: three calls of at most some 10 ms each, so one of 0.15 s has met an outage.
+_DRAW_TIMEOUT_S = 0.15
 #: The same where a peer waits for a loan; its requests wait no longer than
 #: ``draw_wait``, and it asks several lenders in turn.
-_LENDER_PATIENCE_S = 0.05
-#: The same for a team's home. It may have to draw, and to ask lenders where
-#: the store is away; one that is gone must not use up the time for the rest.
-_HOME_PATIENCE_S = 0.3
-
-#: Part of the time to the next report whose spending a report promises beyond
-#: what is in use. It is lost where this router dies, and what it doesn't cover
-#: waits for a report of its own, which takes some 10 ms.
-_HEAD_SHARE = 0.6
-#: Part of what is held that a report promises beside while there is plenty of
-#: a budget left. A router whose host loses power costs its team no more.
-_PROMISED_SHARE = 0.3
-#: Where the wall clock jumps, the start of a router is told by no time of
-#: day. None is needed: only one process at a time has bound an address.
-_STARTED = 0.0
-
-#: Times the wanted tokens beyond which the rest goes back. What lies idle here
-#: is of use to others, and a part may be lost with this router's power.
-_RETURN_ABOVE = 1.3
+_LENDER_TIMEOUT_S = 0.05
+#: Seconds within which a team's home must answer. It may have to draw, and to
+#: ask lenders while the table service is away; waiting for one that is gone
+#: must leave enough time for other sources.
+_HOME_TIMEOUT_S = 0.3
+
+#: Part of the report interval whose expected spending a report covers beyond
+#: the tokens in use. These tokens are lost if this router dies; spending that
+#: is not covered waits for a report of its own, which takes some 10 ms.
+_INTERVAL_SHARE = 0.6
+#: Part of the idle tokens that a report covers in addition while abundance is
+#: 1. A power loss of a router's host costs its team no more than this.
+_IDLE_SHARE = 0.3
+#: Start time of this router. The wall clock may jump, so no real start time
+#: is given. None is needed: only one process at a time can bind an address.
+_START_TIME = 0.0
+
+#: Multiple of the desired tokens beyond which the excess is returned. Idle
+#: tokens are of use to other routers, and a part of them is lost if this
+#: router loses power.
+_RETURN_FACTOR = 1.3
 
 
 @attrs.frozen(kw_only=True)
 class HoldingsParts:
-    """What holdings consist of."""
+    """The components of ``Holdings``."""
 
     book: Book
-    reporter: Reporter
+    reporter: UsageReporter
     sizing: AdaptiveSizing
     loans: Loans
-    gifts: Gifts
+    handover: TokenHandover
     obtainer: Obtainer
     succession: Succession
-    homing: Homing
-    hosting: Hosting
+    homing: HomeClient
+    home_server: HomeServer
 
 
 def make_parts(holdings: 'Holdings') -> HoldingsParts:
-    """Make the parts; nothing is sent yet."""
+    """Make the components; nothing is sent yet."""
     accounts = PrepaidAccounts(holdings.service, holdings.prepaid)
     incarnations = Incarnations(
         accounts,
         holdings.address,
         holdings.incarnation,
-        _STARTED,
+        _START_TIME,
     )
     book = Book(
         Drawer(
@@ -101,7 +103,7 @@
     sizing = AdaptiveSizing(
         holdings.cfg,
         holdings.clock,
-        _RETURN_ABOVE,
+        _RETURN_FACTOR,
         prepaid=holdings.prepaid,
         count_holders=lambda: count_holders(holdings.net),
         is_holder=lambda team: is_holder(team, holdings.net),
@@ -114,14 +116,14 @@
         holdings.net,
         holdings.rng,
         reporter=reporter,
-        patience=_LENDER_PATIENCE_S,
-        from_homes=True,
+        timeout=_LENDER_TIMEOUT_S,
+        homes_only=True,
     )
     drawing = Drawing(
         book,
         sizing,
-        backoff=_AWAY_S,
-        timeout=_PATIENCE_S,
+        backoff=_FAILURE_BACKOFF_S,
+        timeout=_DRAW_TIMEOUT_S,
         reporter=reporter,
     )
     return HoldingsParts(
@@ -129,22 +131,22 @@
         reporter=reporter,
         sizing=sizing,
         loans=loans,
-        gifts=Gifts(loans),
+        handover=TokenHandover(loans),
         obtainer=Obtainer(book, sizing, loans, holdings.cfg, drawing),
         succession=Succession(
             accounts,
             incarnations,
-            holdings.times,
+            holdings.service_clock,
             holdings.clock.now(),
             holdings.metrics,
         ),
-        homing=Homing(
+        homing=HomeClient(
             holdings.net,
             holdings.clock,
             holdings.metrics,
-            _HOME_PATIENCE_S,
+            _HOME_TIMEOUT_S,
         ),
-        hosting=Hosting(
+        home_server=HomeServer(
             holdings.net,
             holdings.clock,
             holdings.reserve_here,
@@ -158,19 +160,20 @@
     holdings: 'Holdings',
     book: Book,
     sizing: AdaptiveSizing,
-) -> Reporter:
-    return Reporter(
+) -> UsageReporter:
+    return UsageReporter(
         holdings.service,
         holdings.incarnation,
-        holdings.times,
+        holdings.service_clock,
         holdings.clock,
         holdings.metrics,
         OpeningSchedule(
-            holdings.cfg.report_patience, holdings.cfg.report_opening
+            holdings.cfg.report_patience,
+            holdings.cfg.report_opening,
         ),
-        lambda: _promises(holdings, book, sizing),
-        lambda: _hand_out(book),
-        # Asked of the book each time: who follows the store sets it later.
+        lambda: _make_allowances(holdings, book, sizing),
+        lambda: _hand_out_all(book),
+        # ``book.is_away`` is replaced after this, so it is looked up late.
         lambda: book.is_away(),
     )
 
@@ -178,48 +181,52 @@
 def report_interval(cfg: BudgetSettings, net: PeerNet) -> float:
     """Return the seconds between two reports of one router.
 
-    A fleet of 910 that reports twice a second would take more writes than
-    the store has; it would show as calls that it turns away.
+    A fleet of 910 routers that reported twice a second would make more
+    writes than the table service can take, and calls would be refused.
 
     Parameters
     ----------
     cfg : BudgetSettings
-        The least interval, and the reports of all routers a second.
+        The shortest interval, and the most reports of all routers per second.
     net : PeerNet
         Tells how many routers report.
     """
-    return max(cfg.report_interval, count_reporting(net) / cfg.report_rate)
+    return max(cfg.report_interval, count_reporters(net) / cfg.report_rate)
 
 
-def _promises(
+def _make_allowances(
     holdings: 'Holdings',
     book: Book,
     sizing: AdaptiveSizing,
 ) -> dict[str, Allowance]:
     now = holdings.clock.now()
-    seconds = report_interval(holdings.cfg, holdings.net) * _HEAD_SHARE
+    seconds = report_interval(holdings.cfg, holdings.net) * _INTERVAL_SHARE
     return {
-        team: make_allowance(ledger, _ahead(ledger, sizing, now, seconds))
+        team: make_allowance(
+            ledger,
+            _expected_use(ledger, sizing, now, seconds),
+        )
         for team, ledger in book.ledgers.items()
     }
 
 
-def _ahead(
+def _expected_use(
     ledger: Ledger,
     sizing: AdaptiveSizing,
     now: float,
     seconds: float,
 ) -> int:
-    # Until a report fails nobody knows that the store is away. Were only the
-    # next moment's spending promised then, requests would be refused while
-    # the router holds plenty; it shows as "what requests need is not
-    # reported". What is promised is lost where the router dies, so it is a
-    # part alone, and only while there is plenty.
+    # An outage of the table service is not noticed until a report fails. If
+    # a report covered only the spending until the next one, requests would
+    # be refused while the router holds plenty, with the reason "what
+    # requests need is not reported". Covered tokens are lost if the router
+    # dies, so only a part of the idle ones is covered, and only while the
+    # budget is plentiful.
     spent = ledger.rate.per_second(now) * seconds
-    idle = max(0, ledger.own) * sizing.abundance(ledger) * _PROMISED_SHARE
+    idle = max(0, ledger.own) * sizing.abundance(ledger) * _IDLE_SHARE
     return int(max(spent, idle))
 
 
-def _hand_out(book: Book) -> None:
+def _hand_out_all(book: Book) -> None:
     for ledger in book.ledgers.values():
         ledger.hand_out()
--- a/src/balsamreach/budget/homes.py
+++ b/src/balsamreach/budget/homes.py
@@ -1,4 +1,4 @@
-"""Which routers hold a team's tokens in a fleet that has hubs."""
+"""Finds a team's home: the hub that holds its tokens for a zone."""
 
 from collections.abc import Iterable
 
@@ -6,10 +6,10 @@
 from balsamreach.peers.homes import heaviest
 from balsamreach.wire.membership import Member
 
-#: Most teams that a home holds tokens of before their first request. Beyond
-#: it most of a configuration's teams are idle, and what is held of each is
-#: lost with the host's power.
-_MOST_AHEAD = 200
+#: Most teams for which a home draws tokens before their first request. With
+#: more teams in a configuration most of them are idle, and the tokens held
+#: for each are lost if the host loses power.
+_MAX_HOME_TEAMS = 200
 
 
 def home_of(team: str, net: PeerNet, zone: str) -> Member | None:
@@ -27,20 +27,21 @@
     Returns
     -------
     Member or None
-        One of the zone's hubs; None where each router holds its own.
+        One of the zone's hubs; None if there are no hubs and each router
+        holds its own tokens.
     """
     return heaviest(team, net.hubs.of(zone))
 
 
-def homes_of(team: str, net: PeerNet) -> tuple[Member, ...]:
-    """Return whom this router may ask for a team's tokens.
+def potential_lenders(team: str, net: PeerNet) -> tuple[Member, ...]:
+    """Return the routers that this one may ask for a team's tokens.
 
-    These are the homes of all zones, and the other hubs of its own, which
-    may reach the table service where the home does not.
+    These are the homes of all zones, and the other hubs of its own zone,
+    which may reach the table service where the home does not.
     """
     homes = [home_of(team, net, zone) for zone in net.hubs.zones()]
-    near = net.hubs.of(net.me.zone)
-    found = {home.incarnation: home for home in (*homes, *near) if home}
+    local_hubs = net.hubs.of(net.me.zone)
+    found = {home.incarnation: home for home in (*homes, *local_hubs) if home}
     found.pop(net.me.incarnation, None)
     return tuple(found.values())
 
@@ -51,8 +52,8 @@
     return home is None or home.incarnation == net.me.incarnation
 
 
-def held_ahead(teams: Iterable[str], net: PeerNet) -> tuple[str, ...]:
-    """Return the teams whose home this router is, few in a large fleet.
+def home_teams(teams: Iterable[str], net: PeerNet) -> tuple[str, ...]:
+    """Return the teams whose home this router is.
 
     Parameters
     ----------
@@ -64,20 +65,21 @@
     Returns
     -------
     tuple of str
-        None where each router holds its own, or there are too many.
+        Empty if there are no hubs, or if there are more teams than this
+        router should draw for before their first requests.
     """
     if not net.hubs.of(net.me.zone):
         return ()
     held = tuple(team for team in teams if is_holder(team, net))
-    return held if len(held) <= _MOST_AHEAD else ()
+    return held if len(held) <= _MAX_HOME_TEAMS else ()
 
 
 def count_holders(net: PeerNet) -> int:
-    """Return how many routers hold a team's tokens: one a zone, or all."""
+    """Return how many routers hold a team's tokens: one per zone, or all."""
     return len(net.hubs.zones()) or len(net.members())
 
 
-def count_reporting(net: PeerNet) -> int:
-    """Return how many routers report what they may use: the hubs, or all."""
+def count_reporters(net: PeerNet) -> int:
+    """Return how many routers report their use: the hubs, or all."""
     hubs = sum(len(net.hubs.of(zone)) for zone in net.hubs.zones())
     return hubs or len(net.members())
--- a/src/balsamreach/budget/loans.py
+++ b/src/balsamreach/budget/loans.py
@@ -10,9 +10,9 @@
 
 from balsamreach.budget.account import Loan
 from balsamreach.budget.book import Book
-from balsamreach.budget.homes import homes_of
+from balsamreach.budget.homes import potential_lenders
 from balsamreach.budget.ledger import Ledger
-from balsamreach.budget.reporting import Reporter
+from balsamreach.budget.reporting import UsageReporter
 from balsamreach.budget.sizing import Sizing
 from balsamreach.budget.wakeup import Wakeup
 from balsamreach.peers.base import PeerNet
@@ -28,41 +28,42 @@
 BORROWED = 'balsamreach_budget_borrowed_tokens_total'
 CALLED_OFF = 'balsamreach_budget_loans_called_off_total'
 
-#: Receipt of a loan whose grant never arrived and never will be taken.
-NEVER_CAME = ''
+#: Stands for the incarnation in the receipt of a loan whose grant never
+#: arrived and will not be accepted any more.
+NOT_RECEIVED = ''
 
 _ID_BITS = 128
-#: Seconds in which a lender makes tokens lendable.
-_LENDER_PATIENCE_S = 2.0
-_MOST_RECEIPTS = 1000
-_MOST_CALLED_OFF = 10000
+#: Seconds within which a lender makes tokens lendable.
+_LENDER_TIMEOUT_S = 2.0
+_MAX_RECEIPTS = 1000
+_MAX_REMEMBERED = 10000
 
 
 @attrs.frozen
-class Elsewhere:
-    """What the peers that were asked have of a team's tokens.
+class PeerHoldings:
+    """What the peers that were asked hold of a team's tokens.
 
     Parameters
     ----------
     left : int
-        Tokens for no request, or on their way to one that waits.
+        Tokens not reserved, or about to reach a waiting request.
     reserved : int
-        Tokens set aside for requests in progress.
-    more : bool
-        Whether to ask again: something came, or peers were not asked.
+        Tokens reserved for requests in progress.
+    ask_again : bool
+        Whether to ask again: tokens arrived, or peers were not asked.
     """
 
     left: int = 0
     reserved: int = 0
-    more: bool = False
+    ask_again: bool = False
 
     def add(self, grant: LoanGrant) -> Self:
-        """Return the sum with what one more peer says."""
+        """Return the sum with one more peer's answer."""
         return attrs.evolve(
             self,
             left=self.left + grant.left,
             reserved=self.reserved + grant.reserved,
-            more=self.more or grant.tokens > 0,
+            ask_again=self.ask_again or grant.tokens > 0,
         )
 
 
@@ -75,21 +76,22 @@
     book : Book
         The ledgers.
     sizing : Sizing
-        Says how much is worth asking for.
+        Determines how much to ask for.
     net : PeerNet
         The other routers.
     rng : Random
         Loan ids and the order of lenders.
     wakeup : Wakeup or None
         Tells whether this process may have been paused and taken over; set
-        after the router was put together.
-    reporter : Reporter or None
-        Reports what is lent; None where nobody reports.
-    patience : float
-        Seconds after which what is lendable already is lent. A store that
-        went silent answers nothing for far longer, and meanwhile the
-        borrower's request gives up.
-    from_homes : bool
+        after the router is built.
+    reporter : UsageReporter or None
+        Reports what is lent; None where routers don't report.
+    timeout : float
+        Seconds to wait for more tokens to become lendable; after that, what
+        is lendable already is lent. If the table service has stopped
+        answering, waiting for it would take far longer than the borrower's
+        request can wait.
+    homes_only : bool
         Whether only homes of teams hold tokens, in a fleet that has hubs.
     """
 
@@ -98,81 +100,82 @@
     net: PeerNet
     rng: random.Random
     wakeup: Wakeup | None = None
-    reporter: Reporter | None = None
-    patience: float = _LENDER_PATIENCE_S
-    from_homes: bool = False
-    _done_with: OrderedDict[str, None] = attrs.field(factory=OrderedDict)
+    reporter: UsageReporter | None = None
+    timeout: float = _LENDER_TIMEOUT_S
+    homes_only: bool = False
+    _refused_lenders: OrderedDict[str, None] = attrs.field(factory=OrderedDict)
     _receipts: list[tuple[str, LoanReceipt]] = attrs.field(factory=list)
-    _called_off: OrderedDict[str, None] = attrs.field(factory=OrderedDict)
+    _cancelled: OrderedDict[str, None] = attrs.field(factory=OrderedDict)
 
     def __attrs_post_init__(self) -> None:
-        """Take the peers' messages about loans."""
-        self.net.on(LoanAsk, self._take_ask)
-        self.net.on(LoanReceipt, self._take_receipt)
+        """Register the message handlers."""
+        self.net.on(LoanAsk, self._handle_ask)
+        self.net.on(LoanReceipt, self._handle_receipt)
 
-    async def borrow(self, ledger: Ledger) -> Elsewhere:
-        """Ask peers in turn until the requests that wait are covered.
+    async def borrow(self, ledger: Ledger) -> PeerHoldings:
+        """Ask peers in turn until the waiting requests are covered.
 
         Parameters
         ----------
         ledger : Ledger
-            The team's ledger; loans are entered in it.
+            The team's ledger; loans are added to it.
 
         Returns
         -------
-        Elsewhere
-            What the peers that were asked have beyond what they lent.
+        PeerHoldings
+            What the peers that were asked hold beyond what they lent.
         """
-        found = Elsewhere()
-        for member in self.lenders(ledger.team):
-            missing = _missing(ledger)
-            if missing <= 0 or not ledger.queue:
-                return attrs.evolve(found, more=True)
-            wanted = max(missing, self.sizing.expected_use(ledger))
+        found = PeerHoldings()
+        for member in self.peers_to_ask(ledger.team):
+            shortfall = _shortfall(ledger)
+            if shortfall <= 0 or not ledger.queue:
+                return attrs.evolve(found, ask_again=True)
+            wanted = max(shortfall, self.sizing.expected_use(ledger))
             grant = await self._borrow_from(member, ledger, wanted)
             found = found.add(grant) if grant else found
         return found
 
-    def lenders(self, team: str) -> list[Member]:
-        """Return the routers to ask for a team's tokens, in turn.
+    def peers_to_ask(self, team: str) -> list[Member]:
+        """Return the routers to ask for a team's tokens, in order.
 
-        In a large fleet the hubs alone hold tokens: of each zone the team's
-        home, and the others of the own zone, which may reach the service.
+        In a large fleet only the hubs hold tokens: the team's home of each
+        zone, and the other hubs of this router's zone, which may reach the
+        table service.
         """
-        homes = homes_of(team, self.net) if self.from_homes else ()
+        homes = potential_lenders(team, self.net) if self.homes_only else ()
         candidates = homes or self.net.neighbours()
         others = [member for member in candidates if not member.leaving]
         self.rng.shuffle(others)
-        # The own zone first: its routers are a shorter way off and are
-        # likely to stay in reach while zones are cut off from each other.
+        # Routers of this zone come first: they are closer, and are likely to
+        # stay reachable while zones are cut off from each other.
         others.sort(key=lambda member: member.zone != self.net.me.zone)
         return others
 
     async def send_receipts(self) -> None:
-        """Tell lenders which loans are recorded or never came."""
+        """Tell lenders which loans are recorded or were never received."""
         for loan in self.book.recorded_loans:
             receipt = LoanReceipt(loan.loan_id, self.net.me.incarnation)
             self._receipts.append((loan.lender, receipt))
         self.book.recorded_loans.clear()
         alive = {member.incarnation for member in self.net.members()}
         unsent = []
-        for lender, told in self._receipts[-_MOST_RECEIPTS:]:
-            answer = await self.net.ask(lender, told)
+        for lender, pending in self._receipts[-_MAX_RECEIPTS:]:
+            answer = await self.net.ask(lender, pending)
             if isinstance(answer, PeerFault) and lender in alive:
-                unsent.append((lender, told))
+                unsent.append((lender, pending))
         self._receipts = unsent
 
     def has_done_with(self, lender: str) -> bool:
-        """Take no more loans of a lender; return whether none is here.
+        """Refuse further loans of a lender; return whether none is held here.
 
         Parameters
         ----------
         lender : str
-            A router that is gone. A grant of it may still be on its way.
+            A router that is gone. A grant from it may still arrive.
         """
-        self._done_with[lender] = None
-        while len(self._done_with) > _MOST_CALLED_OFF:
-            self._done_with.popitem(last=False)
+        self._refused_lenders[lender] = None
+        while len(self._refused_lenders) > _MAX_REMEMBERED:
+            self._refused_lenders.popitem(last=False)
         return not any(
             loan.lender == lender
             for ledger in self.book.ledgers.values()
@@ -187,15 +190,15 @@
     ) -> LoanGrant | None:
         ask = LoanAsk(new_loan_id(self.rng), ledger.team, tokens)
         answer = await self.net.ask(member.incarnation, ask)
-        # Others were told that nothing of this lender is here.
-        if member.incarnation in self._done_with:
+        # Other routers were told that no loan of this lender is here.
+        if member.incarnation in self._refused_lenders:
             return None
         if isinstance(answer, PeerFault):
-            # The lender may have taken the tokens off already. An answer
-            # that comes later is never taken, and only this side knows that,
-            # so the lender is told; until then the tokens are stranded.
+            # The lender may have deducted the tokens already. A later answer
+            # is never accepted, but the lender can't know that, so it is
+            # told; until then the tokens can't be used by anyone.
             if answer != NOT_CONNECTED:
-                receipt = LoanReceipt(ask.loan_id, NEVER_CAME)
+                receipt = LoanReceipt(ask.loan_id, NOT_RECEIVED)
                 self._receipts.append((member.incarnation, receipt))
             return None
         if not isinstance(answer, LoanGrant):
@@ -219,23 +222,24 @@
             self.book.metrics.count(BORROWED, loan.tokens)
         return answer
 
-    async def _take_ask(self, member: Member, ask: LoanAsk) -> LoanGrant:
+    async def _handle_ask(self, member: Member, ask: LoanAsk) -> LoanGrant:
         ledger = self.book.ledger(ask.team)
         if self.wakeup is not None and self.wakeup.is_due():
             await self.wakeup.check()
         if not self._may_lend(ask):
             return LoanGrant(ask.loan_id, ask.team, 0)
-        # Of two routers whose requests wait, both with too little, one has to
-        # give way. Did both lend, they would swap their tokens until
-        # ``draw_wait``; did neither, both would refuse what one can serve.
+        # If two routers with waiting requests both hold too little, one must
+        # give way. If both lent, they would swap their tokens until
+        # ``draw_wait`` is over; if neither did, both would refuse although
+        # one of the requests can be served.
         if ledger.queue and member.incarnation > self.net.me.incarnation:
-            return self._tell(ledger, ask, 0)
+            return self._make_grant(ledger, ask, 0)
         if ask.loan_id not in ledger.unconfirmed_loans and self._is_short(
             ledger, ask
         ):
             await self._make_lendable(ledger, ask.tokens)
-        # During the await the allotment may have been taken over, or the
-        # borrower may have called the loan off.
+        # While this waited, the allotment may have been taken over, or the
+        # borrower may have cancelled the loan.
         if not self._may_lend(ask):
             return LoanGrant(ask.loan_id, ask.team, 0)
         return self._lend(ledger, ask)
@@ -245,19 +249,19 @@
         tokens = ledger.lend(ask.loan_id, ask.tokens)
         if not known:
             self.book.metrics.count(LENT, tokens)
-        return self._tell(ledger, ask, tokens)
+        return self._make_grant(ledger, ask, tokens)
 
-    def _tell(
+    def _make_grant(
         self,
         ledger: Ledger,
         ask: LoanAsk,
         tokens: int,
     ) -> LoanGrant:
         left = min(ledger.own, ledger.lendable - ledger.lent)
-        # Who has heard just now that the account is empty can make all that
-        # it has lendable. Were tokens told of that can't be lent, since the
-        # table service is away from here, borrowers would ask for them again
-        # and again until ``draw_wait``.
+        # A router that has just learnt that the account is empty can make
+        # all its tokens lendable. In other cases tokens that can't be lent
+        # now, since the table service is out of reach, are not counted:
+        # borrowers would ask for them again and again until ``draw_wait``.
         if self.sizing.is_account_empty(ledger):
             left = ledger.own + ledger.unrecorded
         return LoanGrant(
@@ -272,57 +276,61 @@
         if _lacks_room(ledger, ask.tokens):
             return True
         lendable = ledger.lendable - ledger.lent
-        # With the account empty all that there is to lend is here already.
+        # While the account is empty, a draw would add nothing.
         if self.sizing.is_account_empty(ledger) and ledger.own <= lendable:
             return False
         return ask.tokens > min(lendable, ledger.own)
 
     async def _make_lendable(self, ledger: Ledger, tokens: int) -> None:
-        # Several asks may wait for the same move. Were it made for one of
-        # them, the first to run on would take what was meant for the others,
-        # and a lender with plenty would seem to have nothing.
+        # Several asks may wait for the same move. If it covered only one of
+        # them, the first to continue would take the tokens of the others,
+        # and a lender with plenty would appear to have nothing.
         ledger.requested_by_peers += tokens
-        work = asyncio.ensure_future(_bring(self, ledger, tokens))
+        task = asyncio.ensure_future(_move_and_report(self, ledger, tokens))
         try:
-            await asyncio.wait({work}, timeout=self.patience)
+            await asyncio.wait({task}, timeout=self.timeout)
         finally:
             ledger.requested_by_peers -= tokens
 
     def _may_lend(self, ask: LoanAsk) -> bool:
-        # An ask may arrive after the word that it was called off; lending
-        # then would strand the tokens until the allotment is closed.
-        # So may one whose tokens were given back while it was paused.
+        # An ask may arrive after the message that cancels it; its tokens
+        # would then be unusable until the allotment is closed. Or this
+        # process was paused, and its tokens were returned in the meantime.
         is_due = self.wakeup is not None and self.wakeup.is_due()
         if self.book.closed is not None or is_due:
             return False
-        return ask.loan_id not in self._called_off
+        return ask.loan_id not in self._cancelled
 
-    async def _take_receipt(self, member: Member, receipt: LoanReceipt) -> Done:
+    async def _handle_receipt(
+        self,
+        member: Member,
+        receipt: LoanReceipt,
+    ) -> Done:
         for ledger in self.book.ledgers.values():
-            if receipt.incarnation == NEVER_CAME:
+            if receipt.incarnation == NOT_RECEIVED:
                 ledger.cancel_loan(receipt.loan_id)
             else:
                 ledger.unconfirmed_loans.pop(receipt.loan_id, None)
-        if receipt.incarnation == NEVER_CAME:
+        if receipt.incarnation == NOT_RECEIVED:
             self.book.metrics.count(CALLED_OFF)
-            self._called_off[receipt.loan_id] = None
-            while len(self._called_off) > _MOST_CALLED_OFF:
-                self._called_off.popitem(last=False)
+            self._cancelled[receipt.loan_id] = None
+            while len(self._cancelled) > _MAX_REMEMBERED:
+                self._cancelled.popitem(last=False)
         return Done()
 
 
-def _missing(ledger: Ledger) -> int:
-    missing = ledger.shortfall
+def _shortfall(ledger: Ledger) -> int:
+    shortfall = ledger.shortfall
     if not ledger.spends_loans:
-        missing -= ledger.unrecorded
+        shortfall -= ledger.unrecorded
     # A router may hold enough and not be allowed to use it yet.
     if ledger.limiter is not None:
         short = ledger.queue.tokens - ledger.limiter.room(ledger)
-        missing = max(missing, short)
-    return missing
+        shortfall = max(shortfall, short)
+    return shortfall
 
 
-async def _bring(loans: Loans, ledger: Ledger, tokens: int) -> None:
+async def _move_and_report(loans: Loans, ledger: Ledger, tokens: int) -> None:
     if tokens > min(ledger.own, ledger.lendable - ledger.lent):
         await loans.book.move(lambda: (loans.sizing.make_lendable(ledger),))
     if loans.reporter is not None and _lacks_room(ledger, tokens):
@@ -330,9 +338,9 @@
 
 
 def _lacks_room(ledger: Ledger, tokens: int) -> bool:
-    # A report makes room for what is here alone. Were one made for an ask
-    # that finds nothing, each of many lenders in turn would keep the
-    # borrower's request for some 10 ms, until ``draw_wait`` is over.
+    # A report makes room only for tokens held here. If one were made also
+    # for an ask that finds no tokens, each of many lenders in turn would
+    # delay the borrower's request by some 10 ms, until ``draw_wait`` is over.
     if ledger.limiter is None:
         return False
     return min(tokens, ledger.own) > ledger.limiter.room_without_loans(ledger)
--- a/src/balsamreach/budget/obtaining.py
+++ b/src/balsamreach/budget/obtaining.py
@@ -1,4 +1,4 @@
-"""Gets tokens for a request that this router's allotment does not cover."""
+"""Obtains tokens for requests that this router's allotment doesn't cover."""
 
 import asyncio
 
@@ -18,16 +18,17 @@
 from balsamreach.budget.waiters import Waiter
 from balsamreach.config.settings import BudgetSettings
 
-#: A refusal answers the team's next requests of that size for so long.
-REFUSAL_S = 1
-#: The same while requests in progress may give tokens back.
-BRIEF_REFUSAL_S = 0.05
-#: Time for tokens that are on their way between routers to arrive.
-PAUSE_S = 0.01
-#: The same where they open with this router's silence alone.
+#: Seconds for which a refusal also answers the team's next requests of at
+#: least that size.
+REFUSAL_TTL_S = 1
+#: The same while requests in progress may free tokens.
+SHORT_REFUSAL_TTL_S = 0.05
+#: Seconds to wait for tokens that are in transit between routers.
+TRANSIT_PAUSE_S = 0.01
+#: The same where tokens become usable only with the age of the last report.
 _OPENING_PAUSE_S = 0.05
 #: Faults of a draw after which peers are asked.
-_BORROWS = frozenset((EXHAUSTED, NO_ALLOTMENT, CONTENDED))
+_FAULTS_TO_BORROW_AFTER = frozenset((EXHAUSTED, NO_ALLOTMENT, CONTENDED))
 
 
 @attrs.frozen
@@ -38,33 +39,33 @@
 
 
 @attrs.frozen
-class _Brought:
-    """What a try to bring tokens came to.
+class _TryResult:
+    """Outcome of one try to get tokens for the waiting requests.
 
     Parameters
     ----------
     fault : BudgetFault
-        Why requests that wait still are refused.
-    reach : int
-        Tokens that are left here and at peers; a request that needs no more
-        may get them yet.
+        Reason to refuse requests that still wait.
+    reachable : int
+        Tokens left here and at peers; a request that needs no more may still
+        get them.
     reserved : int
-        Tokens set aside for requests in progress, here and at peers.
+        Tokens reserved for requests in progress, here and at peers.
     """
 
     fault: BudgetFault
-    reach: int = 0
+    reachable: int = 0
     reserved: int = 0
 
 
 @attrs.define
 class Obtainer:
-    """Draws, and borrows where that fails, for requests that wait.
+    """Draws, and borrows where that fails, for waiting requests.
 
     Parameters
     ----------
     book, sizing
-        The parts that drawing takes.
+        The ledgers, and the sizes of moves.
     loans : Loans or None
         None for a router without peers.
     cfg : BudgetSettings
@@ -86,7 +87,7 @@
         ledger: Ledger,
         tokens: int,
     ) -> Reservation | BudgetFault:
-        """Wait until a request's tokens are reserved, or can't be had.
+        """Wait until a request's tokens are reserved or refused.
 
         Parameters
         ----------
@@ -98,27 +99,27 @@
         Returns
         -------
         Reservation or BudgetFault
-            A fault comes within ``draw_wait``.
+            A fault is returned within ``draw_wait``.
         """
-        known = self._known(ledger, tokens)
-        if known is not None:
-            return known
+        refusal = self._current_refusal(ledger, tokens)
+        if refusal is not None:
+            return refusal
         waiter = ledger.queue.add(tokens)
-        self._work(ledger)
+        self._start_worker(ledger)
         try:
             await asyncio.wait({waiter.outcome}, timeout=self.cfg.draw_wait)
         except asyncio.CancelledError:
-            # The draw goes on: what it brings is of use to the next request.
-            reservation = self._leave(ledger, waiter)
+            # The draw goes on: its tokens can serve the next request.
+            reservation = self._leave_queue(ledger, waiter)
             if isinstance(reservation, Reservation):
                 ledger.release(reservation)
             raise
-        obtained = self._leave(ledger, waiter)
+        obtained = self._leave_queue(ledger, waiter)
         if isinstance(obtained, Reservation):
             ledger.rate.add(tokens, self.book.clock.now())
         return obtained
 
-    def _leave(
+    def _leave_queue(
         self,
         ledger: Ledger,
         waiter: Waiter,
@@ -128,7 +129,11 @@
             ledger.queue.resolve(waiter, fault)
         return waiter.outcome.result()
 
-    def _known(self, ledger: Ledger, tokens: int) -> BudgetFault | None:
+    def _current_refusal(
+        self,
+        ledger: Ledger,
+        tokens: int,
+    ) -> BudgetFault | None:
         # Without this every request of a team that has spent its budget
         # would cost the table service a read and each peer a message.
         refusal = self._refusals.get(ledger.team)
@@ -136,85 +141,97 @@
             return None
         return refusal.fault if tokens >= refusal.tokens else None
 
-    def _work(self, ledger: Ledger) -> None:
-        # One task brings tokens for all requests of a team that wait. Were
-        # each to draw for itself, they would queue up behind each other's
-        # commits until ``draw_wait`` is over.
-        work = self._workers.get(ledger.team)
-        if work is None or work.done():
+    def _start_worker(self, ledger: Ledger) -> None:
+        # One task gets tokens for all waiting requests of a team. If each
+        # request drew for itself, they would wait for each other's commits
+        # until ``draw_wait`` is over.
+        worker = self._workers.get(ledger.team)
+        if worker is None or worker.done():
             self._workers[ledger.team] = asyncio.ensure_future(
-                self._bring_all(ledger),
+                self._serve_queue(ledger),
             )
 
-    async def _bring_all(self, ledger: Ledger) -> None:
-        doubted: list[Waiter] = []
+    async def _serve_queue(self, ledger: Ledger) -> None:
+        unreachable_before: list[Waiter] = []
         while ledger.queue:
             ledger.hand_out()
-            self._refuse_known(ledger)
+            self._apply_current_refusal(ledger)
             asking = ledger.queue.waiters.copy()
             if not asking:
                 return
-            brought = await self._bring(ledger)
-            # Who came while this was under way gets a try of its own.
+            tried = await self._try_once(ledger)
+            # Requests that arrived during this try get a try of their own.
             left = [waiter for waiter in asking if waiter in ledger.queue]
-            beyond = [one for one in left if one.tokens > brought.reach]
-            lost = [
-                one for one in beyond if one in doubted or not brought.reserved
+            unreachable = [
+                waiter for waiter in left if waiter.tokens > tried.reachable
             ]
-            doubted = beyond
-            self._refuse(ledger, lost, brought)
-            if len(left) > len(lost):
+            refused = [
+                waiter
+                for waiter in unreachable
+                if waiter in unreachable_before or not tried.reserved
+            ]
+            unreachable_before = unreachable
+            self._refuse(ledger, refused, tried)
+            if len(left) > len(refused):
                 await self.book.clock.sleep(self._pause())
 
-    def _refuse_known(self, ledger: Ledger) -> None:
+    def _apply_current_refusal(self, ledger: Ledger) -> None:
         for waiter in tuple(ledger.queue.waiters):
-            known = self._known(ledger, waiter.tokens)
-            if known is not None:
-                ledger.queue.resolve(waiter, known)
+            refusal = self._current_refusal(ledger, waiter.tokens)
+            if refusal is not None:
+                ledger.queue.resolve(waiter, refusal)
 
     def _refuse(
         self,
         ledger: Ledger,
         waiters: list[Waiter],
-        brought: _Brought,
+        tried: _TryResult,
     ) -> None:
         if not waiters:
             return
         smallest = min(waiter.tokens for waiter in waiters)
-        # Requests in progress give back what they don't use. While that may
-        # be enough, an answer holds hardly for a moment.
-        hopeless = brought.reach + brought.reserved < smallest
-        span = REFUSAL_S if hopeless else BRIEF_REFUSAL_S
+        # Requests in progress free the tokens that they don't use. While
+        # these may be enough, a refusal is valid only for a short time.
+        is_final = tried.reachable + tried.reserved < smallest
+        ttl = REFUSAL_TTL_S if is_final else SHORT_REFUSAL_TTL_S
         self._refusals[ledger.team] = _Refusal(
             smallest,
-            self.book.clock.now() + span,
-            brought.fault,
+            self.book.clock.now() + ttl,
+            tried.fault,
         )
         for waiter in waiters:
-            ledger.queue.resolve(waiter, brought.fault)
+            ledger.queue.resolve(waiter, tried.fault)
 
-    async def _bring(self, ledger: Ledger) -> _Brought:
+    async def _try_once(self, ledger: Ledger) -> _TryResult:
         fault = await self.drawing.draw(ledger)
-        fault = fault or NO_ALLOTMENT.because('too few tokens came')
-        if not ledger.queue or self.loans is None or fault not in _BORROWS:
-            return _Brought(fault)
+        fault = fault or NO_ALLOTMENT.because('too few tokens were obtained')
+        if (
+            not ledger.queue
+            or self.loans is None
+            or fault not in _FAULTS_TO_BORROW_AFTER
+        ):
+            return _TryResult(fault)
         found = await self.loans.borrow(ledger)
-        # A strict router spends a loan only once it is recorded, and the
-        # tokens of a loan can be lent on only then.
+        # A strict router can spend or lend the tokens of a loan only once
+        # the loan is recorded.
         if ledger.borrowed and not self.drawing.is_backing_off():
             await self.book.move(lambda: (self.sizing.for_loans(ledger),))
         if fault != EXHAUSTED:
-            return _Brought(fault, self._opens(ledger))
-        reach = found.left + ledger.own + ledger.unrecorded
-        if found.more:
-            reach = ledger.queue.tokens
-        return _Brought(fault, reach, found.reserved + ledger.reserved)
+            return _TryResult(fault, self._opening_tokens(ledger))
+        reachable = found.left + ledger.own + ledger.unrecorded
+        if found.ask_again:
+            reachable = ledger.queue.tokens
+        return _TryResult(fault, reachable, found.reserved + ledger.reserved)
 
     def _pause(self) -> float:
-        return _OPENING_PAUSE_S if self.drawing.is_backing_off() else PAUSE_S
+        return (
+            _OPENING_PAUSE_S
+            if self.drawing.is_backing_off()
+            else TRANSIT_PAUSE_S
+        )
 
-    def _opens(self, ledger: Ledger) -> int:
-        # What opens while a request may wait is worth waiting for.
+    def _opening_tokens(self, ledger: Ledger) -> int:
+        # Tokens that become usable within ``draw_wait`` are waited for.
         if ledger.limiter is None:
             return 0
         room = ledger.limiter.room(ledger, self.cfg.draw_wait)
--- a/src/balsamreach/budget/promises.py
+++ b/src/balsamreach/budget/promises.py
@@ -30,15 +30,15 @@
     patience: float
     opening: float
 
-    def usable_share(self, silence: float) -> float:
+    def usable_share(self, age: float) -> float:
         """Return the usable share of those tokens, from 0 to 1.
 
         Parameters
         ----------
-        silence : float
+        age : float
             Seconds since the last report.
         """
-        beyond = max(0.0, silence - self.patience)
+        beyond = max(0.0, age - self.patience)
         return min(1.0, beyond / self.opening)
 
 
@@ -85,12 +85,12 @@
     schedule: OpeningSchedule
     teams: Mapping[str, Allowance]
 
-    def allowed(self, team: str, silence: float) -> int:
-        """Return the most tokens of a team in use after ``silence`` seconds."""
+    def allowed(self, team: str, age: float) -> int:
+        """Return the most tokens of a team in use at an age in seconds."""
         allowance = self.teams.get(team)
         if allowance is None:
             return 0
-        return allowance.allowed(self.schedule.usable_share(silence))
+        return allowance.allowed(self.schedule.usable_share(age))
 
 
 def encode_report(report: Report) -> dict[str, Any]:
--- a/src/balsamreach/budget/recalling.py
+++ b/src/balsamreach/budget/recalling.py
@@ -1,4 +1,4 @@
-"""Calls back what routers hold of a budget that is to be lowered."""
+"""Recalls routers' idle tokens of a budget that is to be lowered."""
 
 import asyncio
 from collections.abc import Iterator
@@ -18,15 +18,16 @@
 from balsamreach.wire.membership import Member
 
 #: Seconds for which a router draws no more than its requests need.
-RECALL_S = 60
-#: What was lent to a router can go back once a first move has recorded it.
+RECALL_PERIOD_S = 60
+#: Moves to make: the first records loans, and only then can the second return
+#: their tokens.
 _MOVES = 2
-_AT_ONCE = 16
+_MAX_CONCURRENT_ASKS = 16
 
 
 @attrs.frozen
-class Holding:
-    """What a router has of a budget after it handed back what it could.
+class RouterHolding:
+    """What a router holds of a budget after it returned what it could.
 
     Parameters
     ----------
@@ -35,7 +36,7 @@
     spent : int
         Tokens of the bills that it made.
     held : int
-        Tokens set aside for requests in progress, or not yet handed back.
+        Tokens reserved for requests in progress, or not yet returned.
     """
 
     host: str
@@ -45,7 +46,7 @@
 
 @attrs.frozen
 class Outstanding:
-    """Where the tokens are that an account has handed out.
+    """Where the tokens are that were drawn from an account.
 
     Parameters
     ----------
@@ -53,7 +54,7 @@
         All of them, and so the least that the budget can be set to.
     spent : int
         Tokens of bills, of routers that answered and of closed allotments.
-    holdings : tuple of Holding
+    holdings : tuple of RouterHolding
         Routers that hold some, the largest first.
     elsewhere : int
         Tokens at routers that are gone or did not answer.
@@ -61,13 +62,13 @@
 
     taken: int
     spent: int
-    holdings: tuple[Holding, ...]
+    holdings: tuple[RouterHolding, ...]
     elsewhere: int
 
 
 @attrs.define
 class Recalls:
-    """Hands idle tokens of a team back, here and at all peers.
+    """Returns idle tokens of a team, from here and from all peers.
 
     Parameters
     ----------
@@ -82,68 +83,71 @@
     net: PeerNet | None
 
     def __attrs_post_init__(self) -> None:
-        """Take the peers' asks."""
+        """Register the message handler."""
         if self.net is not None:
-            self.net.on(RecallAsk, self._take_ask)
+            self.net.on(RecallAsk, self._handle_ask)
 
     async def recall(self, team: str) -> Outstanding | BudgetFault:
-        """Let all routers hand back what they can, and tell what is out.
+        """Let all routers return idle tokens; return what is outstanding.
 
         Parameters
         ----------
         team : str
             Whose budget.
         """
-        holdings = await self._call_back(team)
+        holdings = await self._recall_all(team)
         service = self.book.drawer.service
         rows = await service.read((account_key(team),))
         if isinstance(rows, PlatformFault):
             return NO_ALLOTMENT.because(f'table service: {rows.code}')
-        return _sum_up(decode_account(rows[0].value), holdings)
-
-    async def _call_back(self, team: str) -> list[Holding]:
-        own = await self._hand_back(team)
-        holdings = [Holding('this router', own.spent, own.held)]
-        others = list(self._others())
-        for start in range(0, len(others), _AT_ONCE):
-            part = others[start : start + _AT_ONCE]
-            asks = (self._ask(member, team) for member in part)
-            told = await asyncio.gather(*asks)
-            holdings.extend(one for one in told if one is not None)
+        return _make_outstanding(decode_account(rows[0].value), holdings)
+
+    async def _recall_all(self, team: str) -> list[RouterHolding]:
+        own = await self._return_idle(team)
+        holdings = [RouterHolding('this router', own.spent, own.held)]
+        peers = list(self._peers())
+        for start in range(0, len(peers), _MAX_CONCURRENT_ASKS):
+            batch = peers[start : start + _MAX_CONCURRENT_ASKS]
+            asks = (self._ask(member, team) for member in batch)
+            answers = await asyncio.gather(*asks)
+            holdings.extend(one for one in answers if one is not None)
         return holdings
 
-    def _others(self) -> Iterator[Member]:
+    def _peers(self) -> Iterator[Member]:
         if self.net is None:
             return
         for member in self.net.members():
             if member.incarnation != self.net.me.incarnation:
                 yield member
 
-    async def _ask(self, member: Member, team: str) -> Holding | None:
+    async def _ask(self, member: Member, team: str) -> RouterHolding | None:
         answer = await self.net.ask(member.incarnation, RecallAsk(team))
         if not isinstance(answer, RecallTold):
             return None
-        return Holding(member.host, answer.spent, answer.held)
+        return RouterHolding(member.host, answer.spent, answer.held)
 
-    async def _take_ask(self, member: Member, ask: RecallAsk) -> RecallTold:
-        return await self._hand_back(ask.team)
+    async def _handle_ask(self, member: Member, ask: RecallAsk) -> RecallTold:
+        return await self._return_idle(ask.team)
 
-    async def _hand_back(self, team: str) -> RecallTold:
+    async def _return_idle(self, team: str) -> RecallTold:
         ledger = self.book.ledgers.get(team)
         if ledger is None:
             return RecallTold(team)
-        ledger.recalled_until = self.book.clock.now() + RECALL_S
+        ledger.recalled_until = self.book.clock.now() + RECALL_PERIOD_S
         for _ in range(_MOVES):
-            await self.book.move(partial(self._moves, ledger))
+            await self.book.move(partial(self._return_moves, ledger))
         held = ledger.reserved + ledger.own + ledger.returning
         return RecallTold(team, ledger.billed, max(0, held))
 
-    def _moves(self, ledger: Ledger) -> tuple[Move, ...]:
+    def _return_moves(self, ledger: Ledger) -> tuple[Move, ...]:
         move = self.sizing.return_idle(ledger)
         return () if move is None else (move,)
 
 
-def _sum_up(account: Account, holdings: list[Holding]) -> Outstanding:
+def _make_outstanding(
+    account: Account,
+    holdings: list[RouterHolding],
+) -> Outstanding:
     spent = account.folded + sum(one.spent for one in holdings)
     held = sum(one.held for one in holdings)
     holding = (one for one in holdings if one.held)
--- a/src/balsamreach/budget/reporting.py
+++ b/src/balsamreach/budget/reporting.py
@@ -1,4 +1,4 @@
-"""Brings a router's reports of what it may use to the table service."""
+"""Writes a router's usage reports to the table service."""
 
 import asyncio
 import logging
@@ -31,111 +31,111 @@
 USAGE_PREFIX = 'usage/'
 
 _logger = logging.getLogger(__name__)
-#: Times that a report whose answer was lost is sent again at once.
-_ATTEMPTS = 3
+#: Immediate attempts for a report whose answer was lost.
+_ATTEMPT_LIMIT = 3
 _MS = 1000
 
-#: Returns what this router may use of each team's tokens.
-MakePromises = Callable[[], Mapping[str, Allowance]]
+#: Returns how much this router may use of each team's tokens.
+MakeAllowances = Callable[[], Mapping[str, Allowance]]
 
 
 @attrs.frozen
-class _Sent:
-    """A report and when it was made, in monotonic seconds here."""
+class _SentReport:
+    """A report and this host's monotonic time when it was made."""
 
     report: Report
-    made: float
+    made_at: float
 
     def allowed(self, team: str, now: float) -> int:
-        return self.report.allowed(team, now - self.made)
+        return self.report.allowed(team, now - self.made_at)
 
 
 @attrs.define(eq=False)
-class Reporter:
-    """Reports for one incarnation, one report at a time.
+class UsageReporter:
+    """Writes the reports of one incarnation, one at a time.
 
     Parameters
     ----------
     service : TableService
-        Where reports are kept.
+        Where reports are stored.
     incarnation : str
-        Whose they are.
-    times : ServiceClock
+        Whose reports they are.
+    service_clock : ServiceClock
         The table service's time.
     clock : Clock
         Time of this host.
     metrics : Metrics
         Counts reports.
-    pace : OpeningSchedule
-        How fast tokens open that were not promised.
-    make : callable
-        Returns the promises of a new report.
+    schedule : OpeningSchedule
+        How tokens beyond the reported use become usable.
+    make_allowances : callable
+        Returns the allowances for a new report.
     on_report : callable
         Called once a report is recorded.
     is_away : callable
-        Tells whether the service is known to be away, so that a report would
-        only hold up those who wait for it.
+        Returns whether the table service is known to be away, in which case
+        a report would only delay its callers.
     """
 
     service: TableService
     incarnation: str
-    times: ServiceClock
+    service_clock: ServiceClock
     clock: Clock
     metrics: Metrics
-    pace: OpeningSchedule
-    make: MakePromises
+    schedule: OpeningSchedule
+    make_allowances: MakeAllowances
     on_report: Callable[[], None]
     is_away: Callable[[], bool] = bool
     _version: int = ABSENT
-    _number: int = 0
-    _confirmed: _Sent | None = None
-    _doubtful: _Sent | None = None
-    _asked: int = 0
-    _served: int = 0
-    _recorded: bool = False
+    _report_number: int = 0
+    _confirmed: _SentReport | None = None
+    _unconfirmed: _SentReport | None = None
+    _last_requested: int = 0
+    _last_completed: int = 0
+    _was_recorded: bool = False
     _lock: asyncio.Lock = attrs.field(factory=asyncio.Lock)
 
     def limit(self, team: str, seconds_ahead: float = 0) -> int:
-        """Return the tokens that this router may have in use.
+        """Return how many tokens this router may have in use.
 
-        While it is not known which of two reports stands in the row, only
-        what both allow may be used.
+        While it is unknown which of two reports is in the row, the smaller
+        limit of the two applies.
 
         Parameters
         ----------
         team : str
             The team.
         seconds_ahead : float
-            Seconds from now at which that will hold without a new report.
+            Seconds from now at which the limit holds without a new report.
         """
         if self._confirmed is None:
             return 0
         now = self.clock.now() + seconds_ahead
-        known = (self._confirmed, self._doubtful)
-        return min(sent.allowed(team, now) for sent in known if sent)
+        candidates = (self._confirmed, self._unconfirmed)
+        return min(sent.allowed(team, now) for sent in candidates if sent)
 
     async def report(self) -> bool:
         """Return whether a report made after this call was recorded.
 
-        All who ask while one is under way share the next one.
+        All calls made while a report is in progress share the next one.
         """
         if self.is_away():
             return False
-        self._asked += 1
-        task = asyncio.ensure_future(self._report(self._asked))
-        # A caller that goes away cancels its task; the report serves others.
+        self._last_requested += 1
+        task = asyncio.ensure_future(self._report(self._last_requested))
+        # A cancelled caller must not cancel the report: it serves others.
         return await asyncio.shield(task)
 
     async def _report(self, number: int) -> bool:
         async with self._lock:
-            if self._served < number:
-                asked = self._asked
-                self._recorded = await self._send()
-                self._served = asked
-            return self._recorded
+            if self._last_completed < number:
+                requested = self._last_requested
+                self._was_recorded = await self._send()
+                self._last_completed = requested
+            return self._was_recorded
 
     async def _send(self) -> bool:
-        for _ in range(_ATTEMPTS):
+        for _ in range(_ATTEMPT_LIMIT):
             outcome = await self._attempt()
             if not isinstance(outcome, PlatformFault):
                 self.metrics.count(REPORTS, outcome='recorded')
@@ -147,58 +147,64 @@
         return False
 
     async def _attempt(self) -> int | PlatformFault:
-        earlier = self._doubtful
-        # A report whose answer was lost may yet take effect. It is sent
-        # again as it was: with another in its place nobody would know which
-        # of them a successor finds, and silence would never open anything.
+        earlier = self._unconfirmed
+        # A report whose answer was lost may still take effect, so the same
+        # report is sent again. With a different one it would be unknown
+        # which of them a successor finds, and no tokens would become usable
+        # over time.
         sent = earlier or await self._make()
         if isinstance(sent, PlatformFault):
             return sent
-        # From here on the row may hold it.
-        self._doubtful = sent
-        outcome = await self.service.commit(self._change(sent.report))
+        # From here on the row may hold this report.
+        self._unconfirmed = sent
+        outcome = await self.service.commit(self._make_commit(sent.report))
         if outcome == CONFLICT:
-            return await self._look()
+            return await self._resolve_conflict()
         if isinstance(outcome, PlatformFault):
             if outcome != UNKNOWN:
-                self._doubtful = earlier
+                self._unconfirmed = earlier
             return outcome
         self._confirm(sent, outcome)
         return outcome
 
-    async def _make(self) -> _Sent | PlatformFault:
-        if self.times.at_least() is None:
-            row = await self._read()
+    async def _make(self) -> _SentReport | PlatformFault:
+        if self.service_clock.at_least() is None:
+            row = await self._read_row()
             if isinstance(row, PlatformFault):
                 return row
-        told = self.times.at_least()
-        if told is None:
-            return UNKNOWN.because('the service tells no time')
-        self._number += 1
-        report = Report(self._number, told, self.pace, dict(self.make()))
-        return _Sent(report, self.clock.now())
-
-    def _change(self, report: Report) -> Commit:
+        service_time = self.service_clock.at_least()
+        if service_time is None:
+            return UNKNOWN.because('no time of the table service is known')
+        self._report_number += 1
+        report = Report(
+            self._report_number,
+            service_time,
+            self.schedule,
+            dict(self.make_allowances()),
+        )
+        return _SentReport(report, self.clock.now())
+
+    def _make_commit(self, report: Report) -> Commit:
         write = Write(self._key, encode_report(report))
         return Commit((write,), (Check(self._key, self._version),))
 
-    async def _look(self) -> int | PlatformFault:
-        # Only this router writes the row, so an earlier attempt got through.
-        row = await self._read()
+    async def _resolve_conflict(self) -> int | PlatformFault:
+        # Only this router writes the row, so an earlier attempt took effect.
+        row = await self._read_row()
         if isinstance(row, PlatformFault):
             return row
         self._version = ABSENT if row.value is None else row.version
-        doubtful = self._doubtful
-        if row.value is None or doubtful is None:
+        unconfirmed = self._unconfirmed
+        if row.value is None or unconfirmed is None:
             return CONFLICT
-        if decode_report(row.value).number != doubtful.report.number:
+        if decode_report(row.value).number != unconfirmed.report.number:
             return CONFLICT
-        self._confirm(doubtful, row.version)
+        self._confirm(unconfirmed, row.version)
         return row.version
 
-    def _confirm(self, sent: _Sent, version: int) -> None:
+    def _confirm(self, sent: _SentReport, version: int) -> None:
         self._confirmed = sent
-        self._doubtful = None
+        self._unconfirmed = None
         self._version = version
         log_event(
             _logger,
@@ -206,11 +212,11 @@
             'usage_reported',
             report=sent.report.number,
             row_version=version,
-            age_ms=round((self.clock.now() - sent.made) * _MS),
+            age_ms=round((self.clock.now() - sent.made_at) * _MS),
             teams=len(sent.report.teams),
         )
 
-    async def _read(self) -> Row | PlatformFault:
+    async def _read_row(self) -> Row | PlatformFault:
         rows = await self.service.read((self._key,))
         return rows if isinstance(rows, PlatformFault) else rows[0]
 
@@ -220,5 +226,5 @@
 
 
 def usage_key(incarnation: str) -> str:
-    """Return the key of an incarnation's report."""
+    """Return the key of the row that holds an incarnation's report."""
     return USAGE_PREFIX + incarnation
--- a/tests/holdings_fleet.py
+++ b/tests/holdings_fleet.py
@@ -1,4 +1,4 @@
-"""Routers that hold tokens and report what they may use, for tests."""
+"""Routers that hold tokens and report their use, for tests."""
 
 import random
 from typing import TypeVar
@@ -31,41 +31,41 @@
 )
 
 
-#: Lead of the table service's clock over the hosts', in seconds.
-LEAD_S = 1000
+#: Seconds by which the table service's clock is ahead of the hosts' clocks.
+CLOCK_LEAD_S = 1000
 
 
 @attrs.define
 class TimedGate(Gate):
-    """A way to the table service whose answers tell its time."""
+    """A connection to the table service whose answers contain its time."""
 
-    times: ServiceClock = attrs.field(kw_only=True)
-    lead: float = LEAD_S
+    service_clock: ServiceClock = attrs.field(kw_only=True)
+    clock_lead: float = CLOCK_LEAD_S
     read_keys: list[str] = attrs.field(factory=list)
     commits: int = 0
 
     async def commit(self, change: Commit) -> int | PlatformFault:
-        """Commit, and note the time unless no answer came."""
+        """Commit, and note the time if there is an answer."""
         self.commits += 1
         return self._note(await super().commit(change))
 
     async def read(
         self, keys: tuple[str, ...]
     ) -> tuple[Row, ...] | PlatformFault:
-        """Read, and note the time unless no answer came."""
+        """Read, and note the time if there is an answer."""
         self.read_keys.extend(keys)
         return self._note(await super().read(keys))
 
     def _note(self, outcome: Outcome) -> Outcome:
         if not isinstance(outcome, PlatformFault):
-            now = self.times.clock.now()
-            self.times.note(now + self.lead, now, now)
+            now = self.service_clock.clock.now()
+            self.service_clock.note(now + self.clock_lead, now, now)
         return outcome
 
 
 @attrs.define(eq=False)
 class Fleet:
-    """Routers that hold tokens of one team, and what they let through."""
+    """Routers that hold tokens of one team, and what their requests used."""
 
     prepaid: int
     seed: int = 1
@@ -75,7 +75,7 @@
     gates: dict[str, Gate] = attrs.field(factory=dict)
     routers: dict[str, Holdings] = attrs.field(factory=dict)
     addresses: dict[str, str] = attrs.field(factory=dict)
-    lead: float = LEAD_S
+    clock_lead: float = CLOCK_LEAD_S
     teams: tuple[str, ...] = ()
     spent: int = 0
     started: int = 0
@@ -85,14 +85,14 @@
         self.platform = MemoryPlatform.start(self.clock)
 
     def start(self, address: str = '', zone: str = 'zone-a') -> str:
-        """Start a router, on an address of its own or on one given."""
+        """Start a router, on its own address or a given one."""
         self.started += 1
         name = f'router-{self.started}'
-        times = ServiceClock(self.clock)
+        service_clock = ServiceClock(self.clock)
         self.gates[name] = TimedGate(
             self.platform.table,
-            times=times,
-            lead=self.lead,
+            service_clock=service_clock,
+            clock_lead=self.clock_lead,
         )
         self.addresses[name] = address or name
         self.routers[name] = Holdings(
@@ -102,7 +102,7 @@
             CFG,
             5,
             self.fabric.join(name, zone),
-            times,
+            service_clock,
             self.addresses[name],
             self.clock,
             random.Random(f'{self.seed}{name}'),
@@ -112,7 +112,7 @@
         return name
 
     def kill(self, name: str) -> None:
-        """End a router without a word."""
+        """End a router without shutdown."""
         self.routers.pop(name)
         self.fabric.kill(name)
 
@@ -122,7 +122,7 @@
         tokens: int,
         used: int,
     ) -> Reservation | BudgetFault:
-        """Let one request through, if its router may."""
+        """Serve one request if its router admits it."""
         router = self.routers[name]
         held = await self.clock.drive(router.reserve(TEAM, tokens))
         if isinstance(held, Reservation):
@@ -131,16 +131,16 @@
         return held
 
     async def round(self, name: str) -> None:
-        """Let one router draw ahead or hand back."""
+        """Let one router make the moves that are due."""
         await self.clock.drive(self.routers[name].round())
 
     async def report(self, name: str) -> None:
-        """Let one router report what it may use."""
+        """Let one router report its use."""
         parts = self.routers[name].parts
         await self.clock.drive(parts.reporter.report())
 
     async def taken(self) -> int:
-        """Return what counts as taken of the account."""
+        """Return the tokens that count as taken from the account."""
         rows = await self.platform.table.read((account_key(TEAM),))
         return (rows[0].value or {}).get('taken', 0)
 
--- a/tests/test_budget_holdings.py
+++ b/tests/test_budget_holdings.py
@@ -18,21 +18,21 @@
 
 
 class HoldingsTest(unittest.IsolatedAsyncioTestCase):
-    """Spending stays within what is prepaid, whoever dies."""
+    """Spending stays within the prepaid tokens, whichever router dies."""
 
-    async def test_nothing_is_spent_beyond_the_prepaid(self):
+    async def test_spending_stops_at_the_prepaid_tokens(self):
         fleet = Fleet(1000)
         names = [fleet.start() for _ in range(3)]
         for number in range(60):
             await fleet.serve(names[number % 3], 50, 50)
         self.assertEqual(fleet.spent, 1000)
 
-    async def test_what_a_dead_router_held_is_not_spent_again(self):
-        """Symptom: a team gets more than it paid for.
+    async def test_spent_tokens_of_a_dead_router_are_not_spent_again(self):
+        """Guards against a team that gets more than it paid for.
 
-        Sequence: a router dies with tokens that it had spent and never
-        recorded; the next one on its address draws.
-        Cause: what the dead one held went back to the account.
+        A router dies with tokens that it had spent and not recorded, and a
+        new router draws. The tokens of the dead one must not return to the
+        account.
         """
         fleet = Fleet(1000)
         name = fleet.start()
@@ -44,20 +44,20 @@
         self.assertLessEqual(fleet.spent, 1000)
         self.assertGreaterEqual(await fleet.taken(), fleet.spent)
 
-    async def test_what_a_dead_router_had_not_used_comes_back(self):
-        """Symptom: after a loss of power teams are out of budget.
+    async def test_unused_tokens_of_a_dead_router_are_returned(self):
+        """Guards against teams that are out of budget after a power loss.
 
-        Sequence: a router holds most of a budget and has used little of it;
-        its host loses power and starts again two seconds later.
-        Cause: all that it held counted as spent.
+        A router holds most of a budget and has used little of it. Its host
+        loses power and starts again two seconds later. Not all that the
+        router held may count as spent.
         """
         fleet = Fleet(10_000)
-        name = await self.succeed(fleet)
+        name = await self.start_successor(fleet)
         await fleet.round(name)
         self.assertLess(await fleet.taken(), 1500)
 
-    async def succeed(self, fleet):
-        """Let a router die that holds most, and return its successor."""
+    async def start_successor(self, fleet):
+        """Kill a router that holds most, and return its successor."""
         name = fleet.start()
         await fleet.serve(name, 3000, 100)
         await fleet.report(name)
@@ -65,24 +65,27 @@
         fleet.clock.seconds += 2
         return fleet.start(fleet.addresses[name])
 
-    async def answers(self, fleet):
-        """Let the store be away from all for a moment."""
+    async def interrupt_store(self, fleet):
+        """Cut all routers off from the table service for a moment."""
         for is_open in (False, True):
             for gate in fleet.gates.values():
                 gate.open = is_open
             await fleet.clock.sleep(0.35)
 
-    async def test_it_comes_back_before_the_first_round(self):
-        """Symptom: requests are refused in the first second after a start.
+    async def test_tokens_are_returned_before_the_first_round(self):
+        """Guards against refusals in the first second after a start.
 
-        Sequence: the same; the store answers at once, or a moment later.
-        Cause: what the dead one held was looked for in the first round only.
+        As above, with a table service that answers only after a moment. The
+        successor must not wait for its first round to return the tokens of
+        the dead router.
         """
         fleet = Fleet(10_000)
-        name = await self.succeed(fleet)
+        name = await self.start_successor(fleet)
         parts = fleet.routers[name].parts
         inherit = parts.succession.inherit(parts.book)
-        await fleet.clock.drive(asyncio.gather(inherit, self.answers(fleet)))
+        await fleet.clock.drive(
+            asyncio.gather(inherit, self.interrupt_store(fleet)),
+        )
         self.assertLess(await fleet.taken(), 1500)
 
     @parameterized.expand(
@@ -93,11 +96,11 @@
         ]
     )
     async def test_all_hosts_lose_power(self, _name, spent, least):
-        """Symptom: after a power loss all teams are out of budget.
+        """Guards against teams that are out of budget after a power loss.
 
-        Sequence: four routers hold what their requests need for a store that
-        is away for long; all hosts lose power at once and come back.
-        Cause: what they held and had not used counted as spent.
+        Four routers hold what their requests need during a long outage of
+        the table service. All hosts lose power at once and come back. Not
+        all of the unused tokens may count as spent.
         """
         fleet = Fleet(60_000)
         names = [fleet.start() for _ in range(4)]
@@ -113,19 +116,18 @@
             fleet.kill(name)
         fleet.clock.seconds += 2
         for name in names:
-            after = fleet.start(fleet.addresses[name])
-            await fleet.round(after)
+            successor = fleet.start(fleet.addresses[name])
+            await fleet.round(successor)
         left = fleet.prepaid - await fleet.taken()
         self.assertGreater(left, (fleet.prepaid - fleet.spent) * least)
         self.assertGreaterEqual(await fleet.taken(), fleet.spent)
 
-    async def test_silence_before_a_death_counts_as_use(self):
-        """Symptom: a team gets more than it paid for.
+    async def test_time_without_reports_counts_as_use(self):
+        """Guards against a team that gets more than it paid for.
 
-        Sequence: the store is cut off from a router, which serves on from
-        what it holds; its power fails; the next router on its address gives
-        back what it held by its last report.
-        Cause: what it used after that report was not counted.
+        A router that is cut off from the table service serves from what it
+        holds until its host loses power. Its successor returns tokens by its
+        last report, and must allow for use after that report.
         """
         fleet = Fleet(10_000)
         name = fleet.start()
@@ -142,12 +144,12 @@
         self.assertGreaterEqual(await fleet.taken(), fleet.spent)
 
     async def test_the_service_clock_goes_back(self):
-        """Symptom: a team gets more than it paid for.
+        """Guards against a team that gets more than it paid for.
 
-        Sequence: a router serves on without the store and dies; the service
-        starts anew with a clock that is behind; the next router takes over.
-        Cause: the last report seemed to come from after the death, which
-        passed for no silence at all.
+        A router serves without the table service and dies. The service
+        restarts with a clock that is behind, and a successor takes over. The
+        last report then appears to be later than the death, which must not
+        count as no time without reports.
         """
         fleet = Fleet(10_000)
         name = fleet.start()
@@ -158,17 +160,16 @@
         await fleet.serve(name, 2500, 2500)
         self.assertGreater(fleet.spent, 2000)
         fleet.kill(name)
-        fleet.lead -= 600
+        fleet.clock_lead -= 600
         name = fleet.start(fleet.addresses[name])
         await fleet.round(name)
         self.assertGreaterEqual(await fleet.taken(), fleet.spent)
 
-    async def test_a_request_waits_for_what_opens(self):
-        """Symptom: requests are refused as the store goes away.
+    async def test_a_request_waits_for_tokens_about_to_become_usable(self):
+        """Guards against refusals at the start of an outage.
 
-        Sequence: the store is cut off; a request comes for which too little
-        has opened yet, though enough will have in a moment.
-        Cause: nobody reckoned with what opens while it may wait.
+        A request arrives while the table service is cut off. Too few tokens
+        are usable at that moment, but enough will be before its wait ends.
         """
         fleet = Fleet(10_000)
         name = fleet.start()
@@ -182,13 +183,13 @@
         held = await fleet.serve(name, wanted, 0)
         self.assertIsInstance(held, Reservation)
 
-    async def test_the_first_moment_of_an_outage(self):
-        """Symptom: requests are refused though their router holds plenty.
+    async def test_a_burst_before_an_outage_is_noticed(self):
+        """Guards against refusals at a router that holds plenty.
 
-        Sequence: a team has used little of its budget; the store goes away,
-        and a clump of requests comes before anybody knows.
-        Cause: only the next moment's spending had been promised, so the rest
-        of what was held could not be used yet.
+        A team has used little of its budget. The table service goes away,
+        and a burst of requests arrives before the outage is noticed. If
+        reports covered only the spending until the next one, the rest of the
+        tokens would not be usable yet.
         """
         fleet = Fleet(60_000)
         name = fleet.start()
@@ -200,12 +201,11 @@
         for held in served:
             self.assertIsInstance(held, Reservation)
 
-    async def test_peers_lend_while_the_store_is_away(self):
-        """Symptom: requests are refused although the budget has room.
+    async def test_peers_lend_during_an_outage(self):
+        """Guards against refusals although the budget has room.
 
-        Sequence: the store is cut off from all routers; the team's requests
-        come through one that holds little, while others hold plenty.
-        Cause: nobody asked the others.
+        All routers are cut off from the table service. The team's requests
+        arrive at one that holds little and must ask those that hold plenty.
         """
         fleet = Fleet(10_000)
         rich, poor = fleet.start(), fleet.start()
@@ -217,10 +217,10 @@
         self.assertLessEqual(fleet.spent, await fleet.taken())
 
     async def test_a_lender_without_tokens_answers_at_once(self):
-        """Symptom: in a large fleet requests are refused near a budget's end.
+        """Guards against refusals in a large fleet near a budget's end.
 
-        Sequence: a request asks sixteen peers in turn; none has a token.
-        Cause: each made a report to the store before it said so.
+        A request asks sixteen peers in turn, and none has a token. A peer
+        must not write a report before it answers.
         """
         fleet = Fleet(1000)
         names = [fleet.start() for _ in range(3)]
@@ -234,11 +234,11 @@
         after = [fleet.gates[peer].commits for peer in names[1:]]
         self.assertEqual(after, before)
 
-    async def test_a_router_that_leaves_while_the_store_is_away(self):
-        """Symptom: after a rolling restart teams are out of budget.
+    async def test_a_router_that_leaves_during_an_outage(self):
+        """Guards against teams out of budget after a rolling restart.
 
-        Sequence: the store is cut off; routers are restarted in turn.
-        Cause: what each held could not be handed back, and was lost.
+        Routers are restarted in turn while the table service is cut off.
+        Their tokens can't be returned and must not be lost.
         """
         fleet = Fleet(10_000)
         leaves, stays = fleet.start(), fleet.start()
@@ -251,11 +251,11 @@
         self.assertIsInstance(held, Reservation)
         self.assertLessEqual(fleet.spent, await fleet.taken())
 
-    async def test_known_outage_holds_nobody_up(self):
-        """Symptom: requests wait for a store that doesn't answer.
+    async def test_requests_do_not_wait_for_a_known_outage(self):
+        """Guards against requests that wait for a silent table service.
 
-        Sequence: the store went silent a second ago; requests come.
-        Cause: each tried a draw of its own before its peers were asked.
+        The service stopped answering a second ago. A request must not try a
+        draw of its own before it asks peers.
         """
         fleet = Fleet(10_000)
         name = fleet.start()
@@ -266,8 +266,8 @@
         self.assertIsInstance(held, BudgetFault)
         self.assertLess(fleet.clock.now() - before, CFG.draw_wait)
 
-    async def test_a_draw_reads_the_account_alone(self):
-        """What a router wrote last in its own row is not read again."""
+    async def test_a_draw_reads_only_the_account(self):
+        """A router's own row, written last by itself, is not read again."""
         fleet = Fleet(100_000)
         name = fleet.start()
         await fleet.serve(name, 100, 100)
@@ -277,12 +277,11 @@
         self.assertIn(account_key(TEAM), gate.read_keys)
         self.assertNotIn(allotment_key(name, TEAM), gate.read_keys)
 
-    async def test_a_loan_recorded_meanwhile(self):
-        """Symptom: tokens are spent twice after a loan.
+    async def test_a_loan_recorded_by_the_borrower(self):
+        """Guards against tokens that are spent twice after a loan.
 
-        Sequence: a borrower records its loan in the lender's row; the lender
-        draws by what it wrote there before.
-        Cause: the lender's write undid the loan's record.
+        A borrower records its loan in the lender's row, and the lender then
+        draws based on its cached row. Its write must not undo the record.
         """
         fleet = Fleet(3000)
         lender, borrower = fleet.start(), fleet.start()
@@ -298,14 +297,14 @@
         self.assertGreater(rows[0].value['lent'], 0)
         self.assertLessEqual(fleet.spent, await fleet.taken())
 
-    async def test_a_graceful_end_hands_back(self):
+    async def test_leaving_returns_unused_tokens(self):
         fleet = Fleet(1000)
         name = fleet.start()
         await fleet.serve(name, 200, 150)
         await fleet.clock.drive(fleet.routers[name].leave())
         self.assertEqual(await fleet.taken(), 150)
 
-    async def test_a_top_up_is_there_at_once(self):
+    async def test_a_top_up_is_available_at_once(self):
         fleet = Fleet(100)
         name = fleet.start()
         self.assertIsInstance(await fleet.serve(name, 150, 0), BudgetFault)
@@ -315,7 +314,7 @@
 
     @parameterized.expand([(seed,) for seed in range(40)])
     async def test_random_histories(self, seed):
-        """Kills, cuts, lost answers, loans: never past the budget."""
+        """Kills, partitions, lost answers, loans: never over the budget."""
         fleet = Fleet(20_000, seed)
         rng = random.Random(seed)
         for _ in range(4):
@@ -330,8 +329,8 @@
     name = rng.choice(sorted(fleet.routers))
     steps = {
         _serve: 70,
-        _draw: 15,
-        _cut_store: 5,
+        _round: 15,
+        _toggle_store: 5,
         _lose_answer: 4,
         _restart: 3,
         _leave: 3,
@@ -354,11 +353,11 @@
     await fleet.serve(name, tokens, rng.randrange(tokens + 1))
 
 
-async def _draw(fleet: Fleet, name: str, _rng: random.Random) -> None:
+async def _round(fleet: Fleet, name: str, _rng: random.Random) -> None:
     await fleet.round(name)
 
 
-def _cut_store(fleet: Fleet, name: str, _rng: random.Random) -> None:
+def _toggle_store(fleet: Fleet, name: str, _rng: random.Random) -> None:
     fleet.gates[name].open = not fleet.gates[name].open
 
 
@@ -380,7 +379,7 @@
 
 
 class ReportIntervalTest(unittest.TestCase):
-    """A large fleet reports no more often than the store bears."""
+    """A large fleet's reports stay within the table service's capacity."""
 
     @parameterized.expand([(8, 0.5), (50, 0.5), (910, 9.1)])
     def test_by_routers(self, routers, expected):
@@ -389,41 +388,44 @@
         self.assertAlmostEqual(report_interval(CFG, nets[0]), expected)
 
 
-class CoveringTest(unittest.TestCase):
-    """What is held covers an outage, and shrinks with the budget."""
+class AdaptiveSizingTest(unittest.TestCase):
+    """Held tokens cover an outage, and shrink with the budget."""
 
-    def ledger(self, free, routers=910):
+    def desired_tokens(self, free, routers=910):
         clock = VirtualClock()
         ledger = Ledger(TEAM, Rate(clock.now(), 5), account_free=free)
         for _ in range(10):
             clock.seconds += 1
             ledger.rate.add(100, clock.now())
-        covering = AdaptiveSizing(
+        sizing = AdaptiveSizing(
             CFG,
             clock,
             prepaid=lambda _team: 100_000,
             is_holder=lambda _team: True,
             count_holders=lambda: routers,
         )
-        return covering.desired_tokens(ledger)
+        return sizing.desired_tokens(ledger)
 
-    def test_early_in_a_budget(self):
-        self.assertAlmostEqual(self.ledger(free=100_000), 900, delta=150)
+    def test_with_a_full_budget(self):
+        self.assertAlmostEqual(
+            self.desired_tokens(free=100_000),
+            900,
+            delta=150,
+        )
 
-    def test_towards_its_end(self):
-        """Symptom: after a power loss all teams are out of budget.
+    def test_with_little_of_the_budget_left(self):
+        """Guards against teams that are out of budget after a power loss.
 
-        Sequence: the last tokens are shared out among all routers; then
-        the power of all hosts fails.
-        Cause: the cover was the same however little was left.
+        All hosts lose power when routers hold the last tokens. So a router
+        must hold fewer when less is left.
         """
-        early = self.ledger(free=100_000)
-        self.assertLess(self.ledger(free=3000), early / 3)
+        early = self.desired_tokens(free=100_000)
+        self.assertLess(self.desired_tokens(free=3000), early / 3)
         self.assertEqual(
-            self.ledger(free=3000, routers=6),
-            self.ledger(free=3000),
+            self.desired_tokens(free=3000, routers=6),
+            self.desired_tokens(free=3000),
         )
-        self.assertLess(self.ledger(free=100), 36)
+        self.assertLess(self.desired_tokens(free=100), 36)
 
     @parameterized.expand(
         [
@@ -433,11 +435,11 @@
         ]
     )
     def test_a_team_that_hardly_used_this_router(self, _, free, expected):
-        """Symptom: a new team is refused while most of its budget is free.
+        """Guards against refusing a team while most of its budget is free.
 
-        Sequence: the store goes away from six routers; a team's callers,
-        who went through another one so far, come to this one.
-        Cause: each held what the team used there, which was hardly anything.
+        The table service goes away from six routers, and a team's callers
+        move to a router that they have hardly used. It must hold more than
+        that past use calls for.
         """
-        held = self.ledger(free=free, routers=6)
+        held = self.desired_tokens(free=free, routers=6)
         self.assertAlmostEqual(held, expected, delta=150)
--- a/tests/test_budget_homing_histories.py
+++ b/tests/test_budget_homing_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of budgets that hubs hold: never past the budget."""
+"""Random histories of budgets held by hubs: never over the budget."""
 
 import random
 import unittest
@@ -14,15 +14,15 @@
 _STEPS = 250
 _PREPAID = 4_000
 _ZONES = ('zone-a', 'zone-b')
-_ROUTERS = 5
+_ROUTERS_PER_ZONE = 5
 
 
 @attrs.define(eq=False)
 class _World:
-    """Routers of two zones, and requests that are in progress at them.
+    """Routers of two zones, and the requests in progress at them.
 
-    What a request has set aside counts as used until its end: it may go on
-    though its router's home has died, and use all of it.
+    The reserved tokens of a request count as used until it ends: it may go
+    on after its router's home has died, and use all of them.
     """
 
     rng: random.Random
@@ -32,7 +32,7 @@
     used: int = 0
 
     @property
-    def at_most(self) -> int:
+    def max_used(self) -> int:
         """Tokens that are used, or may be by requests in progress."""
         return self.used + sum(held.tokens for _, held in self.running)
 
@@ -40,21 +40,21 @@
         """Start a router."""
         self.zones[self.fleet.start(address, zone)] = zone
 
-    def router(self) -> str:
-        """Return some router."""
+    def pick_router(self) -> str:
+        """Return a random router."""
         return self.rng.choice(sorted(self.fleet.routers))
 
-    async def begin(self) -> None:
-        """Let a request begin."""
-        name = self.router()
+    async def begin_request(self) -> None:
+        """Begin a request."""
+        name = self.pick_router()
         router = self.fleet.routers[name]
         tokens = self.rng.randrange(1, 400)
         held = await self.fleet.clock.drive(router.reserve(TEAM, tokens))
         if isinstance(held, Reservation):
             self.running.append((name, held))
 
-    async def end(self) -> None:
-        """Let a request end, wherever its router is by now."""
+    async def end_request(self) -> None:
+        """End a request, whether its router still exists or not."""
         if not self.running:
             return
         name, held = self.running.pop(self.rng.randrange(len(self.running)))
@@ -65,85 +65,86 @@
 
     async def settle(self) -> None:
         """Let a router tell homes what was used."""
-        router = self.fleet.routers[self.router()]
+        router = self.fleet.routers[self.pick_router()]
         await self.fleet.clock.drive(router.parts.homing.settle())
 
-    async def keep(self) -> None:
-        """Let a router report, and draw or hand back."""
-        name = self.router()
+    async def report_and_move(self) -> None:
+        """Let a router report, and draw or return tokens."""
+        name = self.pick_router()
         await self.fleet.report(name)
         await self.fleet.round(name)
 
     async def restart(self) -> None:
-        """Let a router lose power; another one takes its address."""
-        name = self.router()
+        """Kill a router; another one takes its address."""
+        name = self.pick_router()
         self.fleet.kill(name)
         self.fleet.clock.seconds += self.rng.choice((0.1, 2, 8))
         self.start(self.zones[name], self.fleet.addresses[name])
 
     async def leave(self) -> None:
-        """Let a router leave in order, with requests in progress."""
-        name = self.router()
+        """Shut a router down while it has requests in progress."""
+        name = self.pick_router()
         await self.fleet.clock.drive(self.fleet.routers[name].leave())
         self.fleet.kill(name)
         self.start(self.zones[name], self.fleet.addresses[name])
 
-    async def cut(self) -> None:
-        """Cut one router off, or a zone, or heal."""
+    async def partition(self) -> None:
+        """Cut off one router or a zone, or heal all partitions."""
         fabric = self.fleet.fabric
         fabric.heal()
         names = sorted(self.fleet.routers)
-        near = self.rng.choice(
+        one_side = self.rng.choice(
             (
                 [],
-                [self.router()],
+                [self.pick_router()],
                 [name for name in names if self.zones[name] == 'zone-a'],
             )
         )
-        fabric.cut(near, [name for name in names if name not in near])
+        fabric.cut(one_side, [name for name in names if name not in one_side])
 
-    async def lose(self) -> None:
-        """Lose messages, answers, or the way to the store."""
+    async def inject_faults(self) -> None:
+        """Lose messages or answers, and toggle a router's table service."""
         fabric = self.fleet.fabric
-        gate = self.fleet.gates[self.router()]
+        gate = self.fleet.gates[self.pick_router()]
         gate.open = not gate.open
         lost = self.rng.choice((fabric.lost, fabric.answers_lost))
         lost[self.rng.choice((TokensAsk, TokensUsed))] += 1
         self.fleet.platform.weather.lose_answers = self.rng.choice((0, 1))
 
     async def change_hubs(self) -> None:
-        """Let routers know their hubs, or not any more."""
+        """Change the number of hubs that routers know."""
         self.fleet.fabric.hubs_per_zone = self.rng.choice((0, 1, 2, 2))
 
 
 _WEIGHTS = {
-    _World.begin: 60,
-    _World.end: 50,
+    _World.begin_request: 60,
+    _World.end_request: 50,
     _World.settle: 25,
-    _World.keep: 25,
+    _World.report_and_move: 25,
     _World.restart: 4,
     _World.leave: 3,
-    _World.cut: 4,
-    _World.lose: 8,
+    _World.partition: 4,
+    _World.inject_faults: 8,
     _World.change_hubs: 2,
 }
 
 
 class HomingHistoriesTest(unittest.IsolatedAsyncioTestCase):
-    """Kills, cuts, lost words and changing hubs, one after the other."""
+    """Kills, partitions, lost messages and changing hubs in sequence."""
 
     @parameterized.expand([(seed,) for seed in range(20)])
-    async def test_never_past_the_budget(self, seed):
-        """Symptom: a team gets more than it paid for.
+    async def test_never_over_the_budget(self, seed):
+        """Guards against a team that gets more than it paid for.
 
-        Sequence: homes die or change with requests of others in progress;
-        what these had set aside is given back by a successor, or twice.
-        Cause: it is not in the home's reports, or is freed too early.
+        Homes die or change while requests of other routers are in progress.
+        Their reserved tokens must be in the home's reports, and must not be
+        freed too early, or a successor returns tokens that are used, or they
+        are returned twice.
         """
         fleet = Fleet(_PREPAID, seed, fabric=FakeNet(hubs_per_zone=2))
         fleet.teams = (TEAM,)
         world = _World(random.Random(seed), fleet)
-        for zone in _ZONES * _ROUTERS:
+        for zone in _ZONES * _ROUTERS_PER_ZONE:
             world.start(zone)
         for _ in range(_STEPS):
             fleet.clock.seconds += 0.05
@@ -152,5 +153,5 @@
                 tuple(_WEIGHTS.values()),
             )[0]
             await step(world)
-            self.assertLessEqual(world.at_most, fleet.prepaid)
+            self.assertLessEqual(world.max_used, fleet.prepaid)
         self.assertGreater(world.used, 0)
--- a/tests/test_budget_promises.py
+++ b/tests/test_budget_promises.py
@@ -30,8 +30,8 @@
             ('a clock that seems to run back', -5, 100),
         ]
     )
-    def test_allowed(self, _name, silence, expected):
-        self.assertEqual(_REPORT.allowed('team', silence), expected)
+    def test_allowed(self, _name, age, expected):
+        self.assertEqual(_REPORT.allowed('team', age), expected)
 
     def test_unreported_team_may_use_nothing(self):
         self.assertEqual(_REPORT.allowed('other', 3600), 0)
--- a/tests/test_budget_recalling.py
+++ b/tests/test_budget_recalling.py
@@ -13,7 +13,7 @@
 
 
 class LoweringTest(unittest.IsolatedAsyncioTestCase):
-    """Two routers, and a team of which each of them holds a part."""
+    """Two routers that each hold a part of a team's budget."""
 
     async def asyncSetUp(self):
         self.world = World()
@@ -45,11 +45,11 @@
     async def account(self):
         return (await self.world.sums()).account
 
-    async def test_idle_tokens_come_back(self):
-        """Symptom: a budget cannot be lowered though little is spent.
+    async def test_idle_tokens_are_returned(self):
+        """Guards against a budget that can't be lowered to little spending.
 
-        Sequence: routers hold more than the new budget, most of it idle.
-        Cause: nobody asks them to hand it back.
+        Routers hold more than the new budget, most of it idle, and must be
+        asked to return it.
         """
         self.assertGreater((await self.account()).taken, 400)
         lowered = await self.edit(1, 400)
@@ -60,11 +60,11 @@
         self.assertEqual(report.breaches, [])
         self.assertEqual(report.teams['team'].account.taken, 400)
 
-    async def test_what_is_out_is_told(self):
-        """Symptom: an operator does not learn how far a budget can go down.
+    async def test_refusal_explains_what_is_outstanding(self):
+        """Guards against a refusal that doesn't say what is possible.
 
-        Sequence: a request holds 300 at a router. Cause: the refusal names
-        neither the place nor the least that is possible.
+        A request holds 300 tokens at a router. The refusal must name the
+        host and the least that the budget can be lowered to.
         """
         refused = await self.edit(1, 399)
         self.assertEqual(refused, faults.BELOW_TAKEN)
@@ -76,10 +76,10 @@
         self.assertIsInstance(lowered, Accepted)
 
     async def test_router_that_does_not_answer(self):
-        """Symptom: a budget goes below what a router may be spending.
+        """Guards against a budget below what a router may be spending.
 
-        Sequence: a router that holds tokens is cut off from its peers.
-        Cause: what nobody accounts for is taken for returned.
+        A router that holds tokens is cut off from its peers. Its tokens must
+        not count as returned only because no router reports them.
         """
         self.routers[1].release(self.held[1])
         self.world.fabric.cut(['a'], ['b'])
--- a/tests/test_budget_reporting.py
+++ b/tests/test_budget_reporting.py
@@ -1,4 +1,4 @@
-"""Tests of the reports of what a router may use."""
+"""Tests of the usage reports that a router writes."""
 
 import asyncio
 import unittest
@@ -11,7 +11,7 @@
     OpeningSchedule,
     decode_report,
 )
-from balsamreach.budget.reporting import Reporter, usage_key
+from balsamreach.budget.reporting import UsageReporter, usage_key
 from balsamreach.services.base import Commit, Row
 from balsamreach.services.faults import (
     UNAVAILABLE,
@@ -24,17 +24,17 @@
 from balsamreach.telemetry.metrics import Metrics
 from tests.budget_world import Gate, VirtualClock
 
-_PACE = OpeningSchedule(patience=1, opening=10)
+_SCHEDULE = OpeningSchedule(patience=1, opening=10)
 
 
 @attrs.define
-class Faulty(Gate):
-    """A way to the table service that fails commits in a given manner.
+class FaultyGate(Gate):
+    """A connection to the table service with scripted commit faults.
 
     Parameters
     ----------
     faults : list
-        Fault of each next commit, None for none.
+        Faults of the next commits in order, None for none.
     applies : bool
         Whether a commit whose answer is lost takes effect.
     """
@@ -51,42 +51,46 @@
         return fault
 
 
-class ReporterTest(unittest.IsolatedAsyncioTestCase):
-    """A router uses no more than any report that a successor may find."""
+class UsageReporterTest(unittest.IsolatedAsyncioTestCase):
+    """A router stays within every report that a successor may find."""
 
     def setUp(self):
         self.clock = VirtualClock()
         self.table = MemoryPlatform.start(self.clock).table
-        self.gate = Faulty(self.table)
-        self.promise = Allowance(100, 1100)
-        times = ServiceClock(self.clock)
-        times.note(self.clock.now(), self.clock.now(), self.clock.now())
-        self.handed_out = 0
-        self.reporter = Reporter(
+        self.gate = FaultyGate(self.table)
+        self.allowance = Allowance(100, 1100)
+        service_clock = ServiceClock(self.clock)
+        service_clock.note(
+            self.clock.now(),
+            self.clock.now(),
+            self.clock.now(),
+        )
+        self.report_calls = 0
+        self.reporter = UsageReporter(
             self.gate,
             'router',
-            times,
+            service_clock,
             self.clock,
             Metrics(),
-            _PACE,
-            lambda: {'team': self.promise},
-            self.count,
+            _SCHEDULE,
+            lambda: {'team': self.allowance},
+            self.on_report,
         )
 
-    def count(self):
-        self.handed_out += 1
+    def on_report(self):
+        self.report_calls += 1
 
     async def row(self) -> Row:
         rows = await self.table.read((usage_key('router'),))
         return rows[0]
 
-    async def test_nothing_before_the_first_report(self):
+    async def test_nothing_is_allowed_before_the_first_report(self):
         self.assertEqual(self.reporter.limit('team'), 0)
         self.assertTrue(await self.reporter.report())
         self.assertEqual(self.reporter.limit('team'), 100)
-        self.assertEqual(self.handed_out, 1)
+        self.assertEqual(self.report_calls, 1)
 
-    async def test_silence_opens_the_rest(self):
+    async def test_limit_grows_with_the_age_of_the_report(self):
         await self.reporter.report()
         self.clock.seconds += 6
         self.assertEqual(self.reporter.limit('team'), 600)
@@ -94,9 +98,9 @@
         await self.reporter.report()
         self.assertEqual(self.reporter.limit('team'), 100)
 
-    async def test_those_who_ask_meanwhile_share_one(self):
-        asked = [self.reporter.report() for _ in range(20)]
-        self.assertTrue(all(await asyncio.gather(*asked)))
+    async def test_concurrent_calls_share_one_report(self):
+        calls = [self.reporter.report() for _ in range(20)]
+        self.assertTrue(all(await asyncio.gather(*calls)))
         self.assertLessEqual(decode_report((await self.row()).value).number, 2)
 
     @parameterized.expand(
@@ -106,21 +110,22 @@
         ]
     )
     async def test_lost_answer(self, _name, applies):
-        """Symptom: a team gets more than it paid for.
+        """Guards against a team that gets more than it paid for.
 
-        Sequence: a router reports less than it had opened; the answer is
-        lost, though the report took effect; it goes on by the report before;
-        it dies, and its successor gives back what the new report leaves.
-        Cause: the router went by a report that no longer stood.
+        A router reports less than had become usable. The answer is lost
+        although the report took effect, and the router keeps to the report
+        before. If it dies then, its successor returns all tokens beyond the
+        new report, which may have been used.
         """
         await self.reporter.report()
         self.clock.seconds += 6
         self.gate.faults = [UNKNOWN, UNKNOWN, UNKNOWN]
         self.gate.applies = applies
-        self.promise = Allowance(150, 1100)
+        self.allowance = Allowance(150, 1100)
         self.assertFalse(await self.reporter.report())
         self.assertEqual(self.reporter.limit('team'), 150)
-        # The same report is sent until it stands, so its silence counts.
+        # The same report is repeated until it is recorded, so the limit
+        # grows from the time when it was made.
         self.clock.seconds += 6
         self.assertEqual(self.reporter.limit('team'), 625)
         self.assertTrue(await self.reporter.report())
@@ -134,15 +139,15 @@
             ('not sent', UNREACHABLE),
         ]
     )
-    async def test_report_that_was_not_made(self, _name, fault):
+    async def test_failed_report_changes_nothing(self, _name, fault):
         await self.reporter.report()
         self.clock.seconds += 6
         self.gate.faults = [fault]
-        self.promise = Allowance(150, 1100)
+        self.allowance = Allowance(150, 1100)
         self.assertFalse(await self.reporter.report())
         self.assertEqual(self.reporter.limit('team'), 600)
 
-    async def test_store_known_to_be_away(self):
+    async def test_no_report_during_a_known_outage(self):
         self.reporter.is_away = lambda: True
         self.assertFalse(await self.reporter.report())
         self.assertIsNone((await self.row()).value)
