--- a/src/balsamreach/placement/__init__.py
+++ b/src/balsamreach/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which target a request goes to, decided apart from sockets and clocks."""
+"""Chooses the target of a request, independent of sockets and clocks."""
--- a/src/balsamreach/placement/engines.py
+++ b/src/balsamreach/placement/engines.py
@@ -1,8 +1,8 @@
-"""Chooses the engine that serves a request soonest at the least cost.
+"""Chooses the engine with the shortest expected wait at the lowest cost.
 
-Load pattern: prompts of thousands of tokens of which most are shared with
-others (a document, a booking), arriving in clumps, at a few engines whose
-memory holds all shared parts together once but not on each engine.
+Load pattern: prompts of thousands of tokens, most of them shared with other
+prompts (a document, a booking), arrive in bursts at a few engines. Together
+the engines' caches hold all shared parts once, but no engine holds them all.
 """
 
 from collections.abc import Iterable
@@ -11,25 +11,25 @@
 
 from balsamreach.peers.homes import weigh
 from balsamreach.placement.places import Place
-from balsamreach.placement.prompts import CacheMemory, Prompt
-
-#: Prompt tokens that an engine of the usual speed reads in a millisecond.
-#: Source: the users' sheets; only ratios of scores matter.
-READ_PER_MS = 100
-#: Milliseconds of waiting that one shared token read again is worth to
-#: avoid. Reading again is paid for beside its time, about five times as dear
-#: as that by the users' prices.
-REREAD_MS = 0.05
-#: Milliseconds of waiting that one running request is worth to avoid: each
-#: makes every step of the others a little longer.
+from balsamreach.placement.prompts import CacheEstimate, Prompt
+
+#: Prompt tokens that a typical engine processes in a millisecond. Only the
+#: ratios between scores matter.
+TOKENS_PER_MS = 100
+#: Cost, in milliseconds of waiting, of each shared token that is processed
+#: again. It is charged on top of the processing time and is about five times
+#: that time at the users' prices.
+REPROCESS_MS = 0.05
+#: Cost, in milliseconds of waiting, of each running request: each one makes
+#: every step of the others a little longer.
 RUNNING_MS = 1
-#: Milliseconds of waiting that a request is sent into another zone for.
-ZONE_MS = 4
+#: Cost, in milliseconds of waiting, of sending to another zone.
+OTHER_ZONE_MS = 4
 
 
 @attrs.define
 class EngineChooser:
-    """Scores engines for a request by the wait that each would mean.
+    """Scores engines by the wait that a request would have at each.
 
     Parameters
     ----------
@@ -44,47 +44,57 @@
         prompt: Prompt,
         places: Iterable[Place],
     ) -> Place | None:
-        """Return the engine with the least score, None if there is none.
+        """Return the engine with the lowest score, None if there is none.
 
         Parameters
         ----------
         prompt : Prompt
-            What is to be read.
+            Prompt of the request.
         places : iterable of Place
             Engines that may be used.
         """
         candidates = tuple(places)
         if not candidates:
             return None
-        home = self._home(prompt, candidates)
+        preferred = self._preferred(prompt, candidates)
         return min(
             candidates,
-            key=lambda place: self.score(prompt, place, place is home),
+            key=lambda place: self.score(prompt, place, place is preferred),
         )
 
-    def score(self, prompt: Prompt, place: Place, is_home: bool) -> float:
-        """Return milliseconds of waiting, and costs in the same measure."""
+    def score(self, prompt: Prompt, place: Place, is_preferred: bool) -> float:
+        """Return the expected wait plus costs, in milliseconds."""
         shared = sum(part.tokens for part in prompt.shared)
-        held = shared if is_home else self._held(prompt, place)
-        to_read = place.queued + prompt.tokens - held
-        wait = to_read / READ_PER_MS + place.busy * RUNNING_MS
-        wait += (shared - held) * REREAD_MS
+        cached = shared if is_preferred else self._cached(prompt, place)
+        uncached = place.queued + prompt.tokens - cached
+        score = uncached / TOKENS_PER_MS + place.busy * RUNNING_MS
+        score += (shared - cached) * REPROCESS_MS
         if place.entry.zone != self.zone:
-            wait += ZONE_MS
-        return wait
+            score += OTHER_ZONE_MS
+        return score
+
+    def record_sent(self, prompt: Prompt, place: Place, capacity: int) -> None:
+        """Record that a prompt was sent to an engine.
 
-    def note(self, prompt: Prompt, place: Place, capacity: int) -> None:
-        """Take note that a request was sent to an engine."""
+        Parameters
+        ----------
+        prompt : Prompt
+            The prompt.
+        place : Place
+            The engine.
+        capacity : int
+            Tokens that the engine's cache holds.
+        """
         if place.cache is None:
-            place.cache = CacheMemory(capacity)
-        place.cache.note(prompt.shared)
+            place.cache = CacheEstimate(capacity)
+        place.cache.add(prompt.shared)
 
-    def _held(self, prompt: Prompt, place: Place) -> int:
+    def _cached(self, prompt: Prompt, place: Place) -> int:
         if place.cache is None:
             return 0
-        return place.cache.held(prompt.shared)
+        return place.cache.cached_tokens(prompt.shared)
 
-    def _home(
+    def _preferred(
         self,
         prompt: Prompt,
         candidates: tuple[Place, ...],
@@ -92,8 +102,8 @@
         if not prompt.shared:
             return None
         # Rendezvous hashing: routers that know the same engines agree on the
-        # home without a message, and one that goes moves only its own parts.
-        # One that starts again under its id moves none.
+        # preferred one without a message, and an engine that leaves moves
+        # only its own parts. One that restarts under its id moves none.
         deepest = prompt.shared[-1].part_id
         return max(
             candidates,
--- a/src/balsamreach/placement/evacuations.py
+++ b/src/balsamreach/placement/evacuations.py
@@ -1,8 +1,9 @@
-"""Availability zones whose targets get no new work until that is lifted.
+"""Availability zones that get no new requests until they are restored.
 
-Load pattern: a zone's targets go at once while their share of the requests
-comes on, and come back at once, some of them cold. Orders come from the store,
-from hubs and from any peer, and overtake each other.
+Load pattern: all targets of a zone stop taking requests at once while their
+share of the requests keeps arriving; later all of them return at once, some
+of them cold. Evacuation orders come from the store, from hubs and from any
+peer, and may arrive out of order.
 """
 
 import logging
@@ -15,21 +16,21 @@
 from balsamreach.telemetry.logs import log_event
 
 _logger = logging.getLogger(__name__)
-_LONG_AGO = float('-inf')
+_NEVER = float('-inf')
 
 
 @attrs.frozen(kw_only=True)
 class Evacuation:
-    """An order to evacuate a zone, or the end of one.
+    """An order to evacuate a zone, or to end its evacuation.
 
     Parameters
     ----------
     zone : str
         Availability zone of the targets.
     version : int
-        Number of the change of the store that made it so.
+        Store version of the change that gave the order.
     in_force : bool
-        Whether the zone is to get nothing; False once it is lifted.
+        True if the zone gets no new requests, False if it is restored.
     """
 
     zone: str
@@ -41,45 +42,49 @@
 class Evacuations:
     """The newest order for each zone that ever had one.
 
-    A lifted one is kept, so that a late word of a peer can't bring it back.
+    Orders that are no longer in force are kept, so that a late message of a
+    peer can't bring them back.
 
     Parameters
     ----------
     clock : Clock
-        Tells when an order was lifted.
+        Gives the time at which an evacuation ends.
     """
 
     clock: Clock
-    _by_zone: dict[str, Evacuation] = attrs.field(factory=dict)
+    _orders: dict[str, Evacuation] = attrs.field(factory=dict)
     _lifted_at: dict[str, float] = attrs.field(factory=dict)
 
     def __iter__(self) -> Iterator[Evacuation]:
         """Iterate over the newest order of each zone."""
-        return iter(tuple(self._by_zone.values()))
+        return iter(tuple(self._orders.values()))
 
     def covers(self, zone: str) -> bool:
-        """Return whether a zone's targets get no new work."""
-        order = self._by_zone.get(zone)
+        """Return whether a zone is evacuated."""
+        order = self._orders.get(zone)
         return order is not None and order.in_force
 
     def lifted_at(self, zone: str) -> float:
-        """Return monotonic seconds of the end of a zone's last evacuation."""
-        return self._lifted_at.get(zone, _LONG_AGO)
+        """Return when a zone's last evacuation ended, in monotonic seconds.
+
+        Minus infinity if this router has seen none end.
+        """
+        return self._lifted_at.get(zone, _NEVER)
 
     def put(self, order: Evacuation, source: str) -> bool:
-        """Take an order in; False if a later one is known.
+        """Apply an order; return False if one as new or newer is known.
 
         Parameters
         ----------
         order : Evacuation
-            What came.
+            The order.
         source : str
-            The way it came, for the log.
+            Where it came from, for the log.
         """
-        known = self._by_zone.get(order.zone)
+        known = self._orders.get(order.zone)
         if known is not None and order.version <= known.version:
             return False
-        self._by_zone[order.zone] = order
+        self._orders[order.zone] = order
         was_in_force = known is not None and known.in_force
         if was_in_force and not order.in_force:
             self._lifted_at[order.zone] = self.clock.now()
@@ -93,27 +98,35 @@
         version: int,
         source: str,
     ) -> tuple[Evacuation, ...]:
-        """End the evacuations that a whole list lacks, and return these.
+        """End the evacuations that a complete list lacks.
 
         Parameters
         ----------
         present : set of str
-            Zones that the list has.
+            Zones in the list.
         version : int
-            Version of the store at which the list was whole.
+            Store version of the list.
         source : str
-            The way it came, for the log.
+            Where the list came from, for the log.
+
+        Returns
+        -------
+        tuple of Evacuation
+            The orders that end these evacuations.
         """
-        over = tuple(
+        ended = tuple(
             Evacuation(zone=order.zone, version=version, in_force=False)
             for order in self
             if order.in_force and order.zone not in present
         )
-        return tuple(order for order in over if self.put(order, source))
+        return tuple(order for order in ended if self.put(order, source))
 
     def digest(self) -> int:
-        """Return a number that is the same where the same is known."""
-        known = sorted((one.zone, one.version) for one in self)
+        """Return a hash of the known orders; 0 if there are none.
+
+        Routers that know the same orders have the same digest.
+        """
+        known = sorted((order.zone, order.version) for order in self)
         return xxhash.xxh3_64_intdigest(repr(known).encode()) if known else 0
 
 
--- a/src/balsamreach/placement/notices.py
+++ b/src/balsamreach/placement/notices.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves in the heads of their answers."""
+"""Applies the notices that targets send in their response headers."""
 
 import logging
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 
 from balsamreach.clock import Clock
 from balsamreach.placement.places import Place, Places, TargetEntry
-from balsamreach.placement.standings import Window
+from balsamreach.placement.restrictions import Window
 from balsamreach.placement.windows import narrow, widen
 from balsamreach.telemetry.logs import log_event
 from balsamreach.telemetry.metrics import Metrics
@@ -19,7 +19,7 @@
 
 @attrs.frozen(kw_only=True)
 class TargetNotice:
-    """What the head of an answer says of the target that sent it.
+    """What the headers of a response say about the target that sent it.
 
     Parameters
     ----------
@@ -37,23 +37,23 @@
 
 
 def _ignore(_entry: TargetEntry) -> None:
-    """Tell nobody."""
+    """Announce nothing."""
 
 
 @attrs.define(eq=False)
 class Notices:
-    """Brings what targets say of themselves into force.
+    """Applies notices to the state that this router keeps of targets.
 
     Parameters
     ----------
     places : Places
         All targets.
     clock : Clock
-        Time.
+        Source of the current time.
     metrics : Metrics
-        Counters.
+        Counts notices.
     tell : callable
-        Tells other routers of the entry of a target that leaves.
+        Announces the entry of a leaving target to other routers.
     """
 
     places: Places
@@ -61,8 +61,8 @@
     metrics: Metrics
     tell: Callable[[TargetEntry], None] = _ignore
 
-    def take(self, place: Place, notice: TargetNotice) -> None:
-        """Take the notice of an answer, as soon as its head is read."""
+    def apply(self, place: Place, notice: TargetNotice) -> None:
+        """Apply the notice of a response, as soon as its headers are read."""
         if notice == NO_NOTICE:
             return
         self.metrics.count(NOTICES, leaving=notice.leaving)
@@ -71,17 +71,17 @@
         if leaves or backs_off:
             self._log(place, notice)
 
-    def accepted(self, place: Place) -> None:
-        """Take note that a target has begun to answer a request."""
-        standings = self.places.standings
-        known = standings.find(place.incarnation)
+    def record_accepted(self, place: Place) -> None:
+        """Record that a target has accepted a request, and widen its window."""
+        restrictions = self.places.restrictions
+        known = restrictions.find(place.incarnation)
         if known.window is None:
             return
         window: Window | None = widen(known.window, self.clock.now())
         if window.limit > place.entry.slots:
             window = None
-        standing = attrs.evolve(known, window=window)
-        standings.put(place.incarnation, standing)
+        restriction = attrs.evolve(known, window=window)
+        restrictions.put(place.incarnation, restriction)
 
     def _mark_leaving(self, place: Place) -> bool:
         entry = attrs.evolve(place.entry, leaving=True)
@@ -92,16 +92,16 @@
 
     def _back_off(self, place: Place, notice: TargetNotice) -> bool:
         now = self.clock.now()
-        known = self.places.standings.find(place.incarnation)
-        is_news = known.retry_at <= now
+        known = self.places.restrictions.find(place.incarnation)
+        is_new = known.retry_at <= now
         until = max(known.retry_at, now + notice.retry_after)
-        standing = attrs.evolve(known, retry_at=until)
-        if is_news:
+        restriction = attrs.evolve(known, retry_at=until)
+        if is_new:
             window = narrow(place, known.window, notice.retry_after, now)
-            place.most_running = 0
-            standing = attrs.evolve(standing, window=window)
-        self.places.standings.put(place.incarnation, standing)
-        return is_news
+            place.peak_running = 0
+            restriction = attrs.evolve(restriction, window=window)
+        self.places.restrictions.put(place.incarnation, restriction)
+        return is_new
 
     def _log(self, place: Place, notice: TargetNotice) -> None:
         log_event(
--- a/src/balsamreach/placement/prompts.py
+++ b/src/balsamreach/placement/prompts.py
@@ -1,13 +1,13 @@
-"""Prompts as lists of parts, and which target has read which part."""
+"""Prompts as lists of parts, and an estimate of the parts engines cache."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
 
 import attrs
 
-#: Share of an engine's memory that is taken to hold parts; the rest is in
-#: use by requests that run.
-_CACHE_SHARE = 0.7
+#: Share of an engine's cache that is assumed to hold prompt parts; the rest
+#: is in use by running requests.
+_PARTS_SHARE = 0.7
 
 
 @attrs.frozen
@@ -17,9 +17,9 @@
     Parameters
     ----------
     part_id : str
-        Its identity: the same text has the same one.
+        Identity of the part; equal texts have equal ids.
     tokens : int
-        Its length.
+        Length of the part.
     """
 
     part_id: str
@@ -28,16 +28,16 @@
 
 @attrs.frozen(kw_only=True)
 class Prompt:
-    """What a request asks an engine to read and generate.
+    """What an engine has to process and generate for a request.
 
     Parameters
     ----------
     model : str
-        Model asked for.
+        Requested model.
     tokens : int
         Tokens of the prompt.
     most_output : int
-        Most tokens that are generated.
+        Maximum number of generated tokens.
     parts : tuple of Part
         Parts in the order of the prompt; the last one is the request's own.
     """
@@ -53,29 +53,29 @@
         return self.parts[:-1]
 
     @property
-    def most_tokens(self) -> int:
-        """Tokens that the request uses at most."""
+    def max_tokens(self) -> int:
+        """Maximum number of tokens that the request uses."""
         return self.tokens + self.most_output
 
 
 @attrs.define
-class CacheMemory:
+class CacheEstimate:
     """Parts that this router has sent to one engine, the newest last.
 
-    It is a guess: the engine drops what was used least recently once its
-    memory is full, and other routers send there as well.
+    It is only an estimate: the engine evicts what was used least recently
+    once its cache is full, and other routers send requests there as well.
 
     Parameters
     ----------
     capacity : int
-        Tokens that the engine's memory holds.
+        Tokens that the engine's cache holds.
     """
 
     capacity: int
     _parts: OrderedDict[str, int] = attrs.field(factory=OrderedDict)
     _tokens: int = 0
 
-    def held(self, parts: Iterable[Part]) -> int:
+    def cached_tokens(self, parts: Iterable[Part]) -> int:
         """Return the tokens of the leading parts that were sent before."""
         tokens = 0
         for part in parts:
@@ -84,11 +84,11 @@
             tokens += part.tokens
         return tokens
 
-    def note(self, parts: Iterable[Part]) -> None:
-        """Take note that parts are read there now."""
+    def add(self, parts: Iterable[Part]) -> None:
+        """Record that parts were sent to the engine."""
         for part in parts:
             self._tokens -= self._parts.pop(part.part_id, 0)
             self._parts[part.part_id] = part.tokens
             self._tokens += part.tokens
-        while self._tokens > self.capacity * _CACHE_SHARE and self._parts:
+        while self._tokens > self.capacity * _PARTS_SHARE and self._parts:
             self._tokens -= self._parts.popitem(last=False)[1]
--- a/src/balsamreach/placement/services.py
+++ b/src/balsamreach/placement/services.py
@@ -1,8 +1,9 @@
-"""Chooses a target of a plain service.
+"""Chooses a target of a service that runs no engines.
 
-Load pattern: short calls at a few targets with a handful of slots each that
-refuse what doesn't fit. Few are in use at a time, so the own zone will do
-until this router alone has about filled a target.
+Load pattern: short calls go to a few targets with a handful of slots each,
+which reject what doesn't fit. Few slots are in use at a time, so this
+router's own zone is enough until this router alone has nearly filled a
+target.
 """
 
 import random
@@ -12,20 +13,20 @@
 
 from balsamreach.placement.places import Place
 
-#: Requests in another zone's target cost as much as this many more here.
-_ZONE_REQUESTS = 2
+#: Additional requests that a target in another zone is scored with.
+_OTHER_ZONE_REQUESTS = 2
 
 
 @attrs.define
 class ServiceChooser:
-    """Takes the target with the fewest requests, the own zone first.
+    """Chooses the target with the fewest requests, preferring the own zone.
 
     Parameters
     ----------
     zone : str
         Zone of this router.
     rng : random.Random
-        Chooses among equals, so that routers don't all choose the same.
+        Breaks ties, so that routers don't all choose the same target.
     """
 
     zone: str
@@ -39,6 +40,6 @@
         return min(candidates, key=self._score)
 
     def _score(self, place: Place) -> float:
-        away = 0 if place.entry.zone == self.zone else _ZONE_REQUESTS
-        busy = place.busy + away + self.rng.random()
+        extra = 0 if place.entry.zone == self.zone else _OTHER_ZONE_REQUESTS
+        busy = place.busy + extra + self.rng.random()
         return busy / max(1, place.entry.slots)
--- a/src/balsamreach/placement/sharing.py
+++ b/src/balsamreach/placement/sharing.py
@@ -1,8 +1,9 @@
-"""Tells other routers what this one has at each engine, and takes theirs.
+"""Shares this router's load at each engine with the other routers.
 
-Load pattern: prompts come in clumps, through all routers at once. Each sees
-an eighth of what waits at an engine, and a report of the engine's own is
-older than the clump. Without this all send to the same idle engine.
+Load pattern: prompts arrive in bursts, through all routers at once. Each
+router sees an eighth of what is queued at an engine, and a report of the
+engine itself is older than the burst. Without sharing, all routers would send
+to the same idle engine.
 """
 
 from collections.abc import Iterable
@@ -16,38 +17,38 @@
 from balsamreach.wire.loads import TargetLoad, TargetLoads
 from balsamreach.wire.membership import Member
 
-#: Seconds after which a peer's word counts no more: it was cut off, or died.
+#: Seconds after which a peer's load is ignored: the peer was cut off, or died.
 _STALE_S = 1.0
-#: Seconds between two words to the peers.
-_EVERY_S = 0.15
-#: Prompt tokens by which an engine's queue must change to be told of. Source:
-#: an engine reads as many in 20 ms, which makes no difference to a choice.
-_TOLD_TOKENS = 2000
-#: Running requests by which it must change.
-_TOLD_RUNNING = 3
-#: Prompt tokens of one request that are told of at once. Source: an engine
-#: reads as many in 40 ms, in which others would send to it.
+#: Seconds between two reports to the peers.
+_INTERVAL_S = 0.15
+#: Change of an engine's queue, in prompt tokens, that is reported. An engine
+#: processes as many in 20 ms, which makes no difference to a choice.
+_TOKENS_STEP = 2000
+#: Change of the number of running requests that is reported.
+_RUNNING_STEP = 3
+#: Prompt tokens of one request that are reported at once. An engine processes
+#: as many in 40 ms, in which other routers would send to it.
 _URGENT_TOKENS = 4000
-#: Seconds between two urgent words for each neighbour that hears them, so
-#: that they stay below 6 KB a second; a word of one engine has some 60 bytes.
-_URGENT_EVERY_S = 0.01
+#: Seconds between two urgent reports, for each neighbour that gets them, so
+#: that they stay below 6 KB a second; one engine takes about 60 bytes.
+_URGENT_INTERVAL_S = 0.01
 
 
 @attrs.frozen
-class _Word:
-    """What one peer said of one engine."""
+class _Load:
+    """The load at one engine, as one router reported it."""
 
     running: int
     unread: int
-    at: float
+    time: float
 
 
-_NOTHING = _Word(0, 0, 0)
+_NO_LOAD = _Load(0, 0, 0)
 
 
 @attrs.define(eq=False)
 class LoadSharing:
-    """Exchanges counts with the peers.
+    """Exchanges loads at engines with the other routers.
 
     Parameters
     ----------
@@ -56,7 +57,7 @@
     places : Places
         The targets.
     clock : Clock
-        Time.
+        Source of the current time.
     """
 
     net: PeerNet
@@ -64,34 +65,34 @@
     clock: Clock
     zone_loads: ZoneLoads = attrs.field(init=False)
     _urgent_after: float = 0
-    _told: dict[str, _Word] = attrs.field(factory=dict)
-    _words: dict[str, dict[str, _Word]] = attrs.field(factory=dict)
+    _sent: dict[str, _Load] = attrs.field(factory=dict)
+    _received: dict[str, dict[str, _Load]] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Make what large fleets use."""
+        """Create the exchange through hubs that large fleets use."""
         self.zone_loads = ZoneLoads(self.net, self.places, self.clock)
 
     def start(self) -> None:
-        """Take the words of peers from now on."""
-        self.net.on(TargetLoads, self._take)
+        """Begin to receive the reports of peers."""
+        self.net.on(TargetLoads, self._receive)
         self.zone_loads.start()
 
     async def run(self) -> None:
-        """Tell what changed and sum up what was told, until cancelled."""
+        """Report changes and add up received loads, until cancelled."""
         while True:
-            await self.clock.sleep(_EVERY_S)
-            self.round()
+            await self.clock.sleep(_INTERVAL_S)
+            self.run_round()
 
-    def round(self) -> None:
-        """Tell what changed and sum up what was told."""
+    def run_round(self) -> None:
+        """Report changes and add up received loads once."""
         if self._has_hubs():
-            self.zone_loads.round()
+            self.zone_loads.run_round()
         else:
-            self.tell()
-            self.sum_up()
+            self.report_changes()
+            self.add_up()
 
-    def tell(self) -> None:
-        """Tell the neighbours of engines whose load has changed."""
+    def report_changes(self) -> None:
+        """Report engines whose load has changed to the neighbours."""
         loads = tuple(
             TargetLoad(
                 place.incarnation,
@@ -106,84 +107,86 @@
             return
         now = self.clock.now()
         for load in loads:
-            self._told[load.target] = _Word(load.running, load.queued, now)
+            self._sent[load.target] = _Load(load.running, load.queued, now)
         self.net.spread(TargetLoads(loads))
 
     def sent(self, unread: int) -> None:
-        """Take note that a request has just been sent to an engine.
+        """Record that a request was just sent, and report it if it is long.
 
-        A long prompt keeps its engine busy for a good part of the time that
-        others have for their first event. Told with the next round, it would
-        be too late: clumps come through all routers within milliseconds, and
-        would show as late first events on one engine while others idle.
+        A long prompt occupies its engine for much of the time that other
+        requests have for their first event, and bursts arrive through all
+        routers within milliseconds. Reported only in the next round, it would
+        cause late first events at one engine while others are idle.
 
         Parameters
         ----------
         unread : int
-            Tokens of its prompt that the engine has to read.
+            Tokens of its prompt that the engine has to process.
         """
         now = self.clock.now()
         if unread < _URGENT_TOKENS or now < self._urgent_after:
             return
         if self._has_hubs():
-            self._urgent_after = now + _URGENT_EVERY_S
-            self.zone_loads.tell_hub()
+            self._urgent_after = now + _URGENT_INTERVAL_S
+            self.zone_loads.report_to_hub()
             return
-        pause = _URGENT_EVERY_S * len(self.net.neighbours())
+        pause = _URGENT_INTERVAL_S * len(self.net.neighbours())
         self._urgent_after = now + pause
-        self.tell()
+        self.report_changes()
 
-    def sum_up(self) -> None:
-        """Count in what peers said lately."""
-        self._sum_up(self.places)
+    def add_up(self) -> None:
+        """Update all targets with the recent loads of peers."""
+        self._add_up(self.places)
 
     def _has_hubs(self) -> bool:
         return bool(self.net.hubs.of(self.net.me.zone))
 
-    def _sum_up(self, places: Iterable[Place]) -> None:
+    def _add_up(self, places: Iterable[Place]) -> None:
         oldest = self.clock.now() - _STALE_S
-        share = self._heard_share()
+        share = self._neighbours_share()
         for place in places:
-            words = [
-                said[place.incarnation]
-                for said in self._words.values()
-                if place.incarnation in said
+            loads = [
+                by_target[place.incarnation]
+                for by_target in self._received.values()
+                if place.incarnation in by_target
             ]
-            fresh = [word for word in words if word.at >= oldest]
-            running = sum(word.running for word in fresh)
-            unread = sum(word.unread for word in fresh)
+            fresh = [load for load in loads if load.time >= oldest]
+            running = sum(load.running for load in fresh)
+            unread = sum(load.unread for load in fresh)
             place.others_running = int(running / share)
             place.others_unread = int(unread / share)
 
-    def _heard_share(self) -> float:
-        # In a large fleet a router hears of its neighbours alone; what they
-        # have stands for the others as well.
+    def _neighbours_share(self) -> float:
+        # In a large fleet a router gets reports of its neighbours only; their
+        # loads are scaled up to stand for the other routers as well.
         others = len(self.net.members()) - 1
-        heard = len(self.net.neighbours())
-        if not others or not heard:
+        neighbours = len(self.net.neighbours())
+        if not others or not neighbours:
             return 1
-        return min(1, heard / others)
+        return min(1, neighbours / others)
 
     def _has_changed(self, place: Place) -> bool:
-        told = self._told.get(place.incarnation, _NOTHING)
-        # That an engine has nothing left is always told: the last word would
-        # stand until it is stale.
+        sent = self._sent.get(place.incarnation, _NO_LOAD)
+        # An engine without requests is always reported, or its last load
+        # would count until it is stale.
         if not place.running:
-            return told.running > 0
-        # A word that is about to be stale is as good as none.
-        if self.clock.now() - told.at > _STALE_S / 2:
-            told = _NOTHING
-        more_running = abs(place.running - told.running) >= _TOLD_RUNNING
-        more_unread = abs(place.unread - told.unread) >= _TOLD_TOKENS
+            return sent.running > 0
+        # A load that is about to be stale has to be reported again.
+        if self.clock.now() - sent.time > _STALE_S / 2:
+            sent = _NO_LOAD
+        more_running = abs(place.running - sent.running) >= _RUNNING_STEP
+        more_unread = abs(place.unread - sent.unread) >= _TOKENS_STEP
         return more_running or more_unread
 
-    async def _take(self, member: Member, message: TargetLoads) -> None:
+    async def _receive(self, member: Member, message: TargetLoads) -> None:
         now = self.clock.now()
-        said = self._words.setdefault(member.incarnation, {})
+        by_target = self._received.setdefault(member.incarnation, {})
         for load in message.loads:
-            said[load.target] = _Word(load.running, load.queued, now)
-        told = (self.places.find_start(word.target) for word in message.loads)
-        self._sum_up(filter(None, told))
+            by_target[load.target] = _Load(load.running, load.queued, now)
+        reported = (
+            self.places.find_incarnation(one.target) for one in message.loads
+        )
+        self._add_up(filter(None, reported))
         alive = {peer.incarnation for peer in self.net.members()}
-        for gone in set(self._words) - alive:
-            self._words.pop(gone)
+        for gone in set(self._received) - alive:
+            self._received.pop(gone)
--- a/src/balsamreach/placement/warming.py
+++ b/src/balsamreach/placement/warming.py
@@ -1,10 +1,10 @@
-"""Bounds what a target gets while it is cold.
+"""Bounds the rate of requests to a target while it is cold.
 
 Load pattern: one or many targets come up empty and cold (a release, a new
-target, a zone that returns) before hundreds of routers, each of which holds
-them for idle and all of which send there within the tenth of a second that
-words on loads take. A cold target crashes above a rate that all routers
-share, also those that don't hear of each other.
+target, a zone that returns). Hundreds of routers take them for idle, and all
+of them send there within the tenth of a second that load reports take. A cold
+target crashes above a rate that all routers share, including those that are
+cut off from each other.
 """
 
 from collections.abc import Callable, Iterable
@@ -20,37 +20,39 @@
 
 #: Routers that may send to one cold target. Few, so that each may send often
 #: enough to be of use to it; several, so that one of them has a request.
-SHARERS = 5
-#: Part of the bearable rate that they use together. Twice as many routers may
-#: send there where some don't know the same fleet.
+MAX_SENDERS = 5
+#: Share of the target's cold rate that they use together. Twice as many
+#: routers may send to it if some don't know the same fleet.
 _RATE_SHARE = 0.7
 #: Seconds after its start in which a router doesn't know the fleet yet, and
-#: would take itself for one of few.
-_UNKNOWN_S = 3.0
-#: Seconds between two looks at the list of routers.
-_LOOK_EVERY_S = 0.5
+#: would wrongly choose itself as one of the senders.
+_DISCOVERY_S = 3.0
+#: Seconds for which the list of routers is cached.
+_REFRESH_S = 0.5
 
 
 @attrs.define(eq=False)
 class Warming:
-    """Chooses by hashing which routers may send to a cold target, and when.
+    """Decides whether this router may send to a cold target, and when.
 
-    Of the routers that the target's zone ever had, those on the addresses of
-    the greatest weight may, each with a pause after each request. So the sum
-    is bounded without a message, whatever is cut off from whatever.
+    Of all routers ever known in the target's zone, those at the addresses
+    with the highest rendezvous hash may send, each with a pause after each
+    request. So the total rate is bounded without any message, whichever
+    routers are cut off from each other.
 
     Parameters
     ----------
-    address : str
-        ``ip:port`` of this router's peers' listener, as others know it.
+    address : callable
+        Returns the ``ip:port`` of this router's peer listener, as other
+        routers know it.
     routers : callable
-        Returns all routers known, dead ones too: one that is only cut off
-        still sends.
+        Returns all routers known, including dead ones: one that is only cut
+        off still sends.
     evacuations : Evacuations
-        Targets of a zone whose evacuation is lifted are cold without having
-        said so.
+        Targets of a zone whose evacuation has just ended count as cold even
+        if their entries don't say so.
     clock : Clock
-        Time.
+        Source of the current time.
     """
 
     address: Callable[[], str]
@@ -58,36 +60,36 @@
     evacuations: Evacuations
     clock: Clock
     _started: float = attrs.field(init=False)
-    _looked_at: float = float('-inf')
+    _refreshed_at: float = float('-inf')
     _by_zone: dict[str, list[str]] = attrs.field(factory=dict)
-    _mine: dict[str, bool] = attrs.field(factory=dict)
+    _sends_to: dict[str, bool] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Count this router's age from now."""
+        """Record the start time of this router."""
         self._started = self.clock.now()
 
     def allows(self, place: Place, service: Service | None) -> bool:
-        """Return whether this router may send a request there now.
+        """Return whether this router may send a request to a target now.
 
         Parameters
         ----------
         place : Place
             The target.
         service : Service or None
-            What the configuration says of it; None where it says nothing.
+            Configuration of its service; None if there is none.
         """
         if service is None or service.cold_rate <= 0:
             return True
         now = self.clock.now()
         if not self._is_cold(place, service, now):
             return True
-        if now - self._started < _UNKNOWN_S:
+        if now - self._started < _DISCOVERY_S:
             return False
-        pause = SHARERS / (service.cold_rate * _RATE_SHARE)
-        return now - place.cold_sent_at >= pause and self._is_sharer(place)
+        pause = MAX_SENDERS / (service.cold_rate * _RATE_SHARE)
+        return now - place.cold_sent_at >= pause and self._is_sender(place)
 
-    def sent(self, place: Place) -> None:
-        """Take note that a request goes to a target."""
+    def record_sent(self, place: Place) -> None:
+        """Record that a request is sent to a target."""
         place.cold_sent_at = self.clock.now()
 
     def _is_cold(self, place: Place, service: Service, now: float) -> bool:
@@ -99,31 +101,31 @@
         lifted_at = self.evacuations.lifted_at(entry.zone)
         return now < max(place.cold_until, lifted_at + service.cold_time)
 
-    def _is_sharer(self, place: Place) -> bool:
-        self._look()
+    def _is_sender(self, place: Place) -> bool:
+        self._refresh()
         target_id = place.entry.target_id
-        if target_id not in self._mine:
-            sharers = self._sharers(target_id, place.entry.zone)
-            self._mine[target_id] = self.address() in sharers
-        return self._mine[target_id]
+        if target_id not in self._sends_to:
+            senders = self._senders(target_id, place.entry.zone)
+            self._sends_to[target_id] = self.address() in senders
+        return self._sends_to[target_id]
 
-    def _sharers(self, target_id: str, zone: str) -> list[str]:
+    def _senders(self, target_id: str, zone: str) -> list[str]:
         addresses = self._by_zone.get(zone)
         if not addresses:
-            everywhere = self._by_zone.values()
-            addresses = [one for some in everywhere for one in some]
+            all_zones = self._by_zone.values()
+            addresses = [one for found in all_zones for one in found]
         return sorted(
             addresses,
             key=lambda address: weigh(target_id, address),
             reverse=True,
-        )[:SHARERS]
+        )[:MAX_SENDERS]
 
-    def _look(self) -> None:
+    def _refresh(self) -> None:
         now = self.clock.now()
-        if now - self._looked_at < _LOOK_EVERY_S:
+        if now - self._refreshed_at < _REFRESH_S:
             return
-        self._looked_at = now
-        self._mine.clear()
+        self._refreshed_at = now
+        self._sends_to.clear()
         zones: dict[str, set[str]] = {}
         for router in self.routers():
             zones.setdefault(router.zone, set()).add(router.address)
--- a/src/balsamreach/placement/windows.py
+++ b/src/balsamreach/placement/windows.py
@@ -1,26 +1,26 @@
-"""Bounds requests in progress at a target by what made it back off.
+"""Bounds requests in progress at a target after it has backed off.
 
-Load pattern: more requests than the targets of a service bear, through many
-routers. Each rejection that names a time takes a target from a router for all
-of it, so its requests pile up at the others, which reject next; in the end
-most capacity is idle.
+Load pattern: through many routers, a service gets more requests than its
+targets can take. Each rejection with a retry time removes a target from a
+router for all of that time, so the router's requests pile up at the other
+targets, which reject next; in the end most capacity is idle.
 """
 
 import attrs
 
 from balsamreach.placement.places import Place
-from balsamreach.placement.standings import Window
+from balsamreach.placement.restrictions import Window
 
-#: Part of the requests in progress beside the one rejected that may be there
-#: at once from then on.
-_BORNE_SHARE = 0.75
-#: Part of the most requests that were in progress, up to which a window opens
-#: by one with each request accepted. A target that rejected for another
-#: reason than its load is in full use again soon.
+#: New limit as a share of the requests in progress besides the rejected one.
+_NARROWED_SHARE = 0.75
+#: Share of the peak of requests in progress up to which a window widens by
+#: one with each accepted request, so that a target that rejected for another
+#: reason than its load is soon in full use again.
 _FAST_SHARE = 0.5
-#: Times the back-off in which a window beyond that opens by one: what a
-#: rejection costs must stay small beside what is gained until the next one.
-_SLOW_TIMES = 10
+#: Multiple of the back-off time in which a window widens by one beyond that:
+#: the cost of a rejection must stay small beside what is gained until the
+#: next one.
+_SLOW_FACTOR = 10
 
 
 def narrow(
@@ -43,23 +43,24 @@
         Monotonic seconds.
     """
     others = place.running - 1
-    limit = max(1, _BORNE_SHARE * others)
-    fast_until = _FAST_SHARE * place.most_running
+    limit = max(1, _NARROWED_SHARE * others)
+    fast_until = _FAST_SHARE * place.peak_running
     if not others and before is not None:
-        # A rejection without any load says nothing of how much is borne.
+        # A rejection without any load doesn't show how much load the target
+        # can take.
         fast_until = before.fast_until
     return Window(
         limit=limit,
         fast_until=max(limit, fast_until),
-        step=_SLOW_TIMES * retry_after,
-        opened_at=now + retry_after,
+        step=_SLOW_FACTOR * retry_after,
+        widened_at=now + retry_after,
     )
 
 
 def widen(window: Window, now: float) -> Window:
     """Return a window after its target has accepted a request."""
     if window.limit < window.fast_until:
-        return attrs.evolve(window, limit=window.limit + 1, opened_at=now)
-    elapsed = max(0, now - window.opened_at)
+        return attrs.evolve(window, limit=window.limit + 1, widened_at=now)
+    elapsed = max(0, now - window.widened_at)
     limit = window.limit + elapsed / window.step
-    return attrs.evolve(window, limit=limit, opened_at=now)
+    return attrs.evolve(window, limit=limit, widened_at=now)
--- a/src/balsamreach/relay/chooser.py
+++ b/src/balsamreach/relay/chooser.py
@@ -84,10 +84,10 @@
         """Return why no target may be sent a request now, None if one may."""
         if self.has_target(call, _NONE_TRIED):
             return None
-        find = self.places.standings.find
+        find = self.places.restrictions.find
         standings = [
             find(place.incarnation)
-            for place in self.places.of(call.service)
+            for place in self.places.of_service(call.service)
             if self._takes_work(place)
         ]
         wait = min((one.retry_at for one in standings), default=0)
@@ -103,11 +103,11 @@
     def begin(self, call: RelayCall, place: Place) -> 'InFlight':
         """Take note that a request is being sent."""
         place.breaker.begin()
-        self.warming.sent(place)
+        self.warming.record_sent(place)
         if call.prompt is None:
             return InFlight(place)
         capacity = self._engine(call).cache_tokens
-        self.engines.note(call.prompt, place, capacity)
+        self.engines.record_sent(call.prompt, place, capacity)
         in_flight = InFlight(place, call.prompt.tokens)
         self.on_sent(in_flight.unread)
         return in_flight
@@ -131,7 +131,7 @@
 
     def gone(self, place: Place) -> None:
         """Take note that a target is no more."""
-        self.places.drop(place)
+        self.places.remove_incarnation(place)
 
     def rejected(self, place: Place) -> None:
         """Take note that a target had no room."""
@@ -147,9 +147,9 @@
         tried: Set[str],
     ) -> Iterator[Place]:
         service = self._service(call)
-        find = self.places.standings.find
+        find = self.places.restrictions.find
         now = self.clock.now()
-        for place in self.places.of(call.service):
+        for place in self.places.of_service(call.service):
             start = place.incarnation
             if start in tried or not find(start).allows(place.running, now):
                 continue
@@ -191,7 +191,7 @@
         """Count the request in."""
         place = self.place
         place.running += 1
-        place.most_running = max(place.most_running, place.running)
+        place.peak_running = max(place.peak_running, place.running)
         self.place.unread += self.unread
 
     def head_received(self) -> None:
--- a/src/balsamreach/relay/metered.py
+++ b/src/balsamreach/relay/metered.py
@@ -35,7 +35,7 @@
         prepaid = self.view.prepaid(call.team_name)
         if call.prompt is None or prepaid is None:
             return Tab()
-        tokens = call.prompt.most_tokens
+        tokens = call.prompt.max_tokens
         reserved = await self.holdings.reserve(call.team_name, tokens)
         if reserved == EXHAUSTED and self._exceeds(call):
             # The budget may have been raised by a version that isn't here.
@@ -62,7 +62,7 @@
         if prepaid is None:
             return False
         spent = self.holdings.spent(call.team_name)
-        return call.prompt.most_tokens > prepaid - spent
+        return call.prompt.max_tokens > prepaid - spent
 
 
 def _unreachable(fault: BudgetFault) -> RelayFault:
--- a/src/balsamreach/relay/tries.py
+++ b/src/balsamreach/relay/tries.py
@@ -148,9 +148,9 @@
         # Another target's answer says nothing of the one that was meant.
         if intake.foreign or intake.misdirected:
             return
-        self.parts.notices.take(place, intake.head.notice)
+        self.parts.notices.apply(place, intake.head.notice)
         if not intake.declined:
-            self.parts.notices.accepted(place)
+            self.parts.notices.record_accepted(place)
 
     def _conclude(
         self,
--- a/tests/test_placement_evacuations.py
+++ b/tests/test_placement_evacuations.py
@@ -1,4 +1,4 @@
-"""Tests of zones that get no new work."""
+"""Tests of evacuated availability zones."""
 
 import itertools
 import random
@@ -19,7 +19,7 @@
 
 
 class EvacuationsTest(unittest.TestCase):
-    """Orders come by several ways, doubled and out of order."""
+    """Orders arrive from several sources, repeated and out of order."""
 
     def setUp(self):
         self.clock = FakeClock()
@@ -28,82 +28,83 @@
     def put(self, *args, **kwargs):
         return self.known.put(_order(*args, **kwargs), 'test')
 
-    def test_an_order_holds_for_its_zone_alone(self):
+    def test_covers_only_its_zone(self):
         self.put(5)
         self.assertTrue(self.known.covers('zone-a'))
         self.assertFalse(self.known.covers('zone-b'))
 
     @parameterized.expand((('older', 6, True), ('newer', 8, False)))
-    def test_an_older_word(self, _, version, covered):
-        """Symptom: an evacuated zone gets work again at one router.
+    def test_order_of_other_version(self, _, version, covered):
+        """An older order doesn't restore a zone.
 
-        Sequence: the zone is evacuated in change 7; a peer that was cut off
-        tells of the change before.
-        Cause: the last word that came was taken for the newest.
+        The zone is evacuated in version 7; a peer that was cut off then sends
+        an older order. Taken for the newest one because it arrived last, it
+        would send requests to the evacuated zone again.
         """
         self.put(7)
         self.put(version, in_force=False)
         self.assertEqual(self.known.covers('zone-a'), covered)
 
-    def test_a_zone_that_is_restored_stays_so(self):
+    def test_restored_zone_stays_restored(self):
         self.put(5)
         self.put(9, in_force=False)
         self.assertFalse(self.put(5))
         self.assertFalse(self.known.covers('zone-a'))
 
-    def test_a_whole_list_ends_what_it_lacks(self):
-        """Symptom: a zone gets no work though its evacuation is over.
+    def test_complete_list_ends_evacuations_it_lacks(self):
+        """A zone that is missing from a complete list is restored.
 
-        Sequence: it is lifted while a router is cut off from all; the store's
-        history is gone when it is back, so that it reads the whole list.
-        Cause: only a removed row was taken for the end.
+        The evacuation ends while a router is cut off from everything; when it
+        is back, the store's history is gone and it reads the complete list.
+        If only a removed row ended an evacuation, the zone would get no
+        requests for good.
         """
         self.put(5)
         self.put(6, zone='zone-b')
-        over = self.known.lift_besides({'zone-b'}, 20, 'test')
-        self.assertEqual([order.zone for order in over], ['zone-a'])
+        ended = self.known.lift_besides({'zone-b'}, 20, 'test')
+        self.assertEqual([order.zone for order in ended], ['zone-a'])
         self.assertFalse(self.known.covers('zone-a'))
         self.assertTrue(self.known.covers('zone-b'))
 
-    def test_a_whole_list_that_is_older_than_an_order(self):
+    def test_complete_list_older_than_order(self):
         self.put(25)
         self.assertEqual(self.known.lift_besides(set(), 20, 'test'), ())
         self.assertTrue(self.known.covers('zone-a'))
 
-    def test_when_it_was_lifted(self):
+    def test_lifted_at(self):
         self.put(5)
         self.clock.advance(4)
         self.put(9, in_force=False)
         self.assertEqual(self.known.lifted_at('zone-a'), self.clock.now())
         self.assertEqual(self.known.lifted_at('zone-b'), _NEVER)
 
-    def test_the_end_alone_of_one_that_was_never_heard_of(self):
+    def test_end_of_unknown_evacuation(self):
         self.put(9, in_force=False)
         self.assertEqual(self.known.lifted_at('zone-a'), _NEVER)
 
     @parameterized.expand([(seed,) for seed in _SEEDS])
-    def test_all_routers_end_with_the_same(self, seed):
-        """Whatever the order and however often, the newest word holds."""
+    def test_routers_converge(self, seed):
+        """The newest order holds, however often and whenever each arrives."""
         rng = random.Random(seed)
         versions = itertools.count(1)
         orders = [
             _order(next(versions), in_force=bool(rng.getrandbits(1)), zone=zone)
             for zone in rng.choices(_ZONES, k=12)
         ]
-        ends = set()
+        digests = set()
         for _ in range(5):
             known = Evacuations(FakeClock())
             for order in rng.sample(orders * 2, 2 * len(orders)):
                 known.put(order, 'test')
-            ends.add(known.digest())
-        self.assertEqual(len(ends), 1)
+            digests.add(known.digest())
+        self.assertEqual(len(digests), 1)
         newest = {one.zone: one.in_force for one in orders}
         for zone, in_force in newest.items():
             self.assertEqual(known.covers(zone), in_force)
 
-    def test_digests_tell_states_apart(self):
+    def test_digest_differs_between_states(self):
         self.assertEqual(self.known.digest(), 0)
         self.put(5)
-        one = self.known.digest()
+        before = self.known.digest()
         self.put(6, zone='zone-b')
-        self.assertNotEqual(self.known.digest(), one)
+        self.assertNotEqual(self.known.digest(), before)
--- a/tests/test_placement_notices.py
+++ b/tests/test_placement_notices.py
@@ -1,4 +1,4 @@
-"""Tests of what targets say of themselves in answers."""
+"""Tests of the notices that targets send in response headers."""
 
 import random
 import unittest
@@ -11,79 +11,79 @@
 
 
 class NoticesTest(unittest.TestCase):
-    """Notices of one target whose entry lapses, or that starts again."""
+    """Notices of one target whose entry expires, or that restarts."""
 
     def setUp(self):
         self.clock = FakeClock()
         self.places = Places(random.Random(1))
-        self.told = []
+        self.announced = []
         self.notices = Notices(
             self.places,
             self.clock,
             Metrics(),
-            self.told.append,
+            self.announced.append,
         )
         self.put(version=5)
-        self.before = self.places.find('one')
+        self.place = self.places.find('one')
 
     def put(self, **fields):
         return self.places.put(entry('one', 'desk', **fields))
 
     def back_off(self, seconds):
         notice = TargetNotice(retry_after=seconds)
-        self.notices.take(self.before, notice)
+        self.notices.apply(self.place, notice)
 
-    def waits(self):
-        """Return the seconds for which the target is left alone."""
+    def wait(self):
+        """Return the seconds for which the target gets no requests."""
         place = self.places.find('one')
-        standing = self.places.standings.find(place.incarnation)
-        return max(0, standing.retry_at - self.clock.now())
+        restriction = self.places.restrictions.find(place.incarnation)
+        return max(0, restriction.retry_at - self.clock.now())
 
     def test_back_off_outlives_the_entry(self):
-        """A back-off was forgotten as the target's entry lapsed and was back.
+        """A back-off holds while the target's entry expires and returns.
 
-        The answer that asks for it is read before, or by a request that was
-        sent before.
+        The response that asks for it is read before that, or belongs to a
+        request that was sent before that.
         """
         self.back_off(3)
         self.places.remove('one', 6)
         self.put(version=7)
-        self.assertEqual(self.waits(), 3)
+        self.assertEqual(self.wait(), 3)
         self.back_off(9)
-        self.assertEqual(self.waits(), 9)
+        self.assertEqual(self.wait(), 9)
 
-    def test_back_off_of_the_start_before(self):
-        """A target that had just started was left alone by an old answer."""
+    def test_back_off_of_earlier_incarnation(self):
+        """A late response doesn't make a restarted target back off."""
         self.put(version=6, born=1)
         self.back_off(3)
-        self.assertEqual(self.waits(), 0)
+        self.assertEqual(self.wait(), 0)
 
     def test_longest_back_off_holds(self):
         self.back_off(3)
         self.back_off(1)
-        self.assertEqual(self.waits(), 3)
+        self.assertEqual(self.wait(), 3)
 
-    def test_leaving_is_told_once(self):
+    def test_leaving_is_announced_once(self):
         leaving = TargetNotice(leaving=True)
         for _ in range(3):
-            self.notices.take(self.before, leaving)
+            self.notices.apply(self.place, leaving)
         self.assertTrue(self.places.find('one').entry.leaving)
-        told = self.told.pop()
-        self.assertTrue(told.leaving)
-        self.assertEqual(self.told, [])
+        announced = self.announced.pop()
+        self.assertTrue(announced.leaving)
+        self.assertEqual(self.announced, [])
 
-    def test_leaving_of_the_start_before(self):
-        """A target that had just started was taken for one that leaves."""
+    def test_leaving_of_earlier_incarnation(self):
+        """A late response doesn't mark a restarted target as leaving."""
         self.put(version=6, born=1)
-        self.notices.take(self.before, TargetNotice(leaving=True))
+        self.notices.apply(self.place, TargetNotice(leaving=True))
         self.assertFalse(self.places.find('one').entry.leaving)
-        self.assertEqual(self.told, [])
+        self.assertEqual(self.announced, [])
 
-    def test_many_starts_that_back_off(self):
-        """Standings of targets that are long gone piled up."""
+    def test_restrictions_are_bounded(self):
+        """Restrictions of targets that are gone don't accumulate."""
         for number in range(3000):
             self.places.remove('one')
             self.put(version=10 * number + 10, born=number + 1)
-            self.before = self.places.find('one')
+            self.place = self.places.find('one')
             self.back_off(3)
-        self.assertLessEqual(len(self.places.standings), 2000)
+        self.assertLessEqual(len(self.places.restrictions), 2000)
--- a/tests/test_placement_places.py
+++ b/tests/test_placement_places.py
@@ -1,4 +1,4 @@
-"""Tests of the list of targets at a router."""
+"""Tests of the targets that a router knows."""
 
 import random
 import unittest
@@ -6,12 +6,12 @@
 from parameterized import parameterized
 
 from balsamreach.placement.places import Places
-from balsamreach.placement.prompts import CacheMemory
+from balsamreach.placement.prompts import CacheEstimate
 from tests.relay_samples import entry
 
 
 class PlacesTest(unittest.TestCase):
-    """Words on targets come by several ways and overtake each other."""
+    """Entries of targets arrive from several sources and out of order."""
 
     def setUp(self):
         self.places = Places(random.Random(1))
@@ -20,12 +20,11 @@
     def put(self, name, **fields):
         return self.places.put(entry(name, 'desk', **fields))
 
-    def test_leaving_is_for_good(self):
-        """Symptom: a leaving target gets new work.
+    def test_leaving_is_permanent(self):
+        """A leaving target gets no new requests.
 
-        Sequence: the store says that it leaves; a peer that was cut off
-        tells its older entry.
-        Cause: the last word that came was taken for the newest.
+        The store marks it as leaving; a peer that was cut off then sends an
+        older entry, which must not replace the newer one.
         """
         self.put('one', leaving=True, version=7)
         self.put('one', leaving=False, version=6)
@@ -33,19 +32,20 @@
         self.assertTrue(self.places.find('one').entry.leaving)
 
     @parameterized.expand((('older', 4), ('same', 5), ('newer', 6)))
-    def test_leaving_by_its_own_word(self, _, version):
-        """A target that said in an answer that it leaves got new work.
+    def test_leaving_by_own_announcement(self, _, version):
+        """A target that announced its leaving in a response gets no requests.
 
-        The list has no change, so the word bears the version of the entry.
+        The list has not changed, so the announcement has the version of the
+        known entry.
         """
         self.assertTrue(self.put('one', leaving=True, version=version))
         self.assertTrue(self.places.find('one').entry.leaving)
         self.assertFalse(self.put('one', leaving=True, version=version))
 
     def test_leaving_outlives_the_entry(self):
-        """A leaving target got new work after an outage of the store.
+        """A leaving target stays leaving after an outage of the store.
 
-        Its entry lapses, and is written again as of one that stays.
+        Its entry expires and is written again without the leaving flag.
         """
         self.put('one', leaving=True, version=5)
         self.places.remove('one', 6)
@@ -54,43 +54,44 @@
         self.put('one', version=8, born=1)
         self.assertFalse(self.places.find('one').entry.leaving)
 
-    def test_leaving_of_the_start_before(self):
+    def test_leaving_of_earlier_incarnation(self):
         self.put('one', version=6, born=1)
         self.assertFalse(self.put('one', leaving=True, version=7))
         self.assertFalse(self.places.find('one').entry.leaving)
 
     @parameterized.expand((('older', 8, False), ('newer', 10, True)))
-    def test_a_target_that_is_gone(self, _, version, back):
-        """Symptom: a crashed target is back in the list for ever.
+    def test_removed_target(self, _, version, returns):
+        """A crashed target doesn't return through an outdated entry.
 
-        Sequence: it vanishes in change 9; a peer tells of it afterwards.
-        Cause: nobody remembered that it was gone.
+        It vanishes in version 9 of the list; a peer sends its old entry
+        afterwards. If the removal were not remembered, it would stay listed
+        for ever.
         """
         self.places.remove('one', 9)
         self.put('one', version=version)
-        self.assertEqual(self.places.find('one') is not None, back)
+        self.assertEqual(self.places.find('one') is not None, returns)
 
-    def test_a_late_word_of_its_end_does_not_take_it_away(self):
-        """Symptom: all targets are gone after an outage of the store.
+    def test_late_removal_is_ignored(self):
+        """A late removal doesn't remove a target that has returned.
 
-        Sequence: entries lapse while the store is down and are back at once;
-        a peer tells of the lapse afterwards.
-        Cause: the word was taken though a later change brought it back.
+        Entries expire while the store is down and return at once; a peer
+        reports the removal afterwards. Applied though a later version brought
+        the target back, it would remove all targets after an outage.
         """
         self.put('one', version=12)
         self.places.remove('one', 11)
         self.assertIsNotNone(self.places.find('one'))
 
-    def test_a_later_start_under_the_same_id(self):
-        """Symptom: a target that has started again is taken for the old one.
+    def test_later_incarnation_with_same_id(self):
+        """A restarted target doesn't inherit the state of the old one.
 
-        Sequence: it fails, says that it leaves, and starts again; a peer
-        that was cut off tells of the start before.
-        Cause: counts, failures and leaving were kept by its id alone.
+        A target fails, announces that it leaves, and restarts; a peer that
+        was cut off then sends an entry of the earlier incarnation. Counts,
+        failures and the leaving flag must not be kept by id alone.
         """
         before = self.places.find('one')
         before.running = 7
-        before.cache = CacheMemory(1000)
+        before.cache = CacheEstimate(1000)
         self.put('one', leaving=True, version=6)
         self.assertTrue(self.put('one', born=2000, version=9))
         self.assertFalse(self.put('one', born=1000, leaving=True, version=12))
@@ -99,50 +100,50 @@
         self.assertEqual(after.running, 0)
         self.assertIsNone(after.cache)
         self.assertTrue(before.entry.leaving)
-        self.assertEqual(len(self.places.of('desk')), 1)
+        self.assertEqual(len(self.places.of_service('desk')), 1)
 
-    def test_a_request_at_the_start_before_does_not_end_the_later_one(self):
-        """Symptom: a target that has just started again is not used.
+    def test_remove_earlier_incarnation(self):
+        """Removing the earlier incarnation keeps the later one in use.
 
-        Sequence: a request goes to the start before; the list brings the new
-        start; the request is told that another target has the address.
-        Cause: the answer took away whatever the list had under that id.
+        A request goes to the earlier incarnation; the list brings the new
+        one; the response says that another target has the address. Removed
+        by its id, the restarted target would not be used.
         """
         before = self.places.find('one')
         self.put('one', born=2000, version=9)
-        self.places.drop(before)
+        self.places.remove_incarnation(before)
         self.assertIsNotNone(self.places.find('one'))
-        self.places.drop(self.places.find('one'))
+        self.places.remove_incarnation(self.places.find('one'))
         self.assertIsNone(self.places.find('one'))
 
-    def test_words_of_a_start_are_found_by_its_own_name(self):
+    def test_find_incarnation(self):
         self.put('one', born=2000, version=9)
-        self.assertIsNone(self.places.find_start('one'))
+        self.assertIsNone(self.places.find_incarnation('one'))
         self.assertIs(
-            self.places.find_start('one@2000'),
+            self.places.find_incarnation('one@2000'),
             self.places.find('one'),
         )
 
-    def test_another_service_under_the_same_id(self):
+    def test_other_service_with_same_id(self):
         self.places.put(entry('one', 'other', version=9))
-        self.assertEqual(self.places.of('desk'), ())
-        self.assertEqual(len(self.places.of('other')), 1)
+        self.assertEqual(self.places.of_service('desk'), ())
+        self.assertEqual(len(self.places.of_service('other')), 1)
 
-    def test_missing_from_a_list_that_may_have_lost_entries(self):
+    def test_missing_from_incomplete_list(self):
         self.put('two', version=6)
         self.put('later', version=10)
         self.places.miss(self.places.besides({'two'}, 9), gone_at=103)
         self.assertEqual(self.places.expire(102), ())
-        self.assertEqual(len(self.places.of('desk')), 3)
+        self.assertEqual(len(self.places.of_service('desk')), 3)
         self.assertEqual(self.places.expire(103), ('one',))
 
     @parameterized.expand((('same', 5, ('one',)), ('later', 6, ())))
-    def test_word_of_a_target_that_has_vanished(self, _, version, gone):
-        """Symptom: a target that is gone stays in the list for ever.
+    def test_entry_of_missing_target(self, _, version, gone):
+        """Only a newer entry keeps a missing target.
 
-        Sequence: its entry vanishes soon after an outage, so that it is kept
-        for a moment; a peer that has not seen that tells all it knows.
-        Cause: any word of it was taken for its coming back.
+        Its entry vanishes soon after an outage, so the target is kept for a
+        moment; a peer that has not seen this sends all entries it knows. If
+        any entry counted as a return, the target would stay for ever.
         """
         self.places.miss({'one'}, gone_at=103)
         self.put('one', version=version)
--- a/tests/test_placement_sharing.py
+++ b/tests/test_placement_sharing.py
@@ -1,4 +1,4 @@
-"""Tests of what routers tell each other of the load at engines."""
+"""Tests of sharing loads at engines between routers."""
 
 import random
 import unittest
@@ -12,18 +12,18 @@
 
 
 class LoadSharingTest(unittest.IsolatedAsyncioTestCase):
-    """A clump at one router is seen by all."""
+    """A burst at one router is seen by all routers."""
 
     def setUp(self):
         self.clock = FakeClock()
-        self.fabric = FakeNet()
+        self.net = FakeNet()
         self.one = self.join('one')
         self.two = self.join('two')
 
     def join(self, name):
         places = Places(random.Random(1))
         places.put(entry('engine', ENGINES))
-        sharing = LoadSharing(self.fabric.join(name), places, self.clock)
+        sharing = LoadSharing(self.net.join(name), places, self.clock)
         sharing.start()
         return sharing
 
@@ -31,69 +31,70 @@
         return sharing.places.find('engine')
 
     async def exchange(self):
-        self.one.tell()
-        await self.fabric.settle()
-        self.two.sum_up()
+        self.one.report_changes()
+        await self.net.settle()
+        self.two.add_up()
 
-    async def test_what_waits_at_one_counts_at_the_other(self):
+    async def test_load_of_peer_is_counted(self):
         self.place(self.one).running = 4
         self.place(self.one).unread = 30_000
         await self.exchange()
         self.assertEqual(self.place(self.two).queued, 30_000)
         self.assertEqual(self.place(self.two).busy, 4)
 
-    async def test_an_engine_that_became_idle_is_told(self):
+    async def test_idle_engine_is_reported(self):
         self.place(self.one).running = 4
         await self.exchange()
         self.place(self.one).running = 0
         await self.exchange()
         self.assertEqual(self.place(self.two).busy, 0)
 
-    async def test_small_changes_cost_no_message(self):
+    async def test_small_changes_are_not_reported(self):
         self.place(self.one).unread = 1000
         self.place(self.one).running = 1
         await self.exchange()
-        self.assertEqual(self.told(), [])
+        self.assertEqual(self.reports(), [])
 
-    async def test_a_clump_of_long_prompts(self):
-        """Symptom: first events are late at one engine while others idle.
+    async def test_burst_of_long_prompts(self):
+        """Long prompts are reported at once.
 
-        Sequence: long prompts come through two routers within milliseconds;
-        both choose the same engine.
-        Cause: each told of its own with the next round, 0.15 s later.
+        Long prompts arrive through two routers within milliseconds. If each
+        router reported its own only in the next round, 0.15 s later, both
+        would choose the same engine: its first events would be late while
+        others are idle.
         """
         self.place(self.one).running = 1
         self.place(self.one).unread = 20_000
         self.one.sent(20_000)
-        await self.fabric.settle()
+        await self.net.settle()
         self.assertEqual(self.place(self.two).queued, 20_000)
-        # More of them at once cost no more messages than a round would.
+        # More of them at once cause no more messages than a round would.
         for number in range(2, 40):
             self.place(self.one).unread = 20_000 * number
             self.one.sent(20_000)
-        self.assertEqual(len(self.told()), 1)
+        self.assertEqual(len(self.reports()), 1)
         self.clock.advance(0.02)
         self.one.sent(20_000)
-        self.assertEqual(len(self.told()), 2)
+        self.assertEqual(len(self.reports()), 2)
 
-    async def test_a_short_prompt_waits_for_the_round(self):
+    async def test_short_prompt_is_reported_in_next_round(self):
         self.place(self.one).running = 1
         self.place(self.one).unread = 3000
         self.one.sent(3000)
-        self.assertEqual(self.told(), [])
+        self.assertEqual(self.reports(), [])
 
-    def told(self):
-        return [one for one in self.fabric.sent if isinstance(one, TargetLoads)]
+    def reports(self):
+        return [one for one in self.net.sent if isinstance(one, TargetLoads)]
 
-    async def test_a_word_of_a_router_that_was_cut_off(self):
-        """Symptom: an idle engine gets no requests.
+    async def test_load_of_cut_off_router(self):
+        """The load of a router that was cut off expires.
 
-        Sequence: a router with a clump is cut off and serves it.
-        Cause: its last word counted for ever.
+        A router with a burst is cut off and serves it. If its last report
+        counted for ever, an idle engine would get no requests.
         """
         self.place(self.one).running = 4
         self.place(self.one).unread = 30_000
         await self.exchange()
         self.clock.advance(2)
-        self.two.sum_up()
+        self.two.add_up()
         self.assertEqual(self.place(self.two).queued, 0)
--- a/tests/test_placement_warming.py
+++ b/tests/test_placement_warming.py
@@ -1,4 +1,4 @@
-"""Tests of what cold targets get, over fleets of routers that are cut apart."""
+"""Tests of the request rate at cold targets, with partitioned fleets."""
 
 import random
 import unittest
@@ -10,17 +10,17 @@
 from balsamreach.catalogue.entries import Service
 from balsamreach.placement.evacuations import Evacuation, Evacuations
 from balsamreach.placement.places import Place
-from balsamreach.placement.warming import SHARERS, Warming
+from balsamreach.placement.warming import MAX_SENDERS, Warming
 from balsamreach.wire.membership import Member
 from tests.relay_samples import entry
 from tests.support import FakeClock
 
 _ZONES = ('zone-a', 'zone-b', 'zone-c', 'zone-d')
 _RATE = 14
-#: Most requests a second that a cold target bears, by the users' pages.
-_MOST = _RATE * 1.5 + 5
+#: Maximum requests a second that a cold target can take, as the users state.
+_MAX_RATE = _RATE * 1.5 + 5
 _COLD = Service(name='engines', cold_rate=_RATE, cold_time=3)
-_TICK = 0.02
+_TICK_S = 0.02
 
 
 def _member(number, **fields):
@@ -44,7 +44,7 @@
     warming: Warming = attrs.field(init=False)
 
     def __attrs_post_init__(self):
-        """Begin to know the fleet."""
+        """Create the limiter that is tested."""
         self.warming = Warming(
             lambda: self.member.address,
             lambda: self.known,
@@ -53,14 +53,14 @@
         )
 
     def usable(self):
-        """Return the targets that it may send to."""
+        """Return the targets that the router may send to."""
         return [
             place for place in self.places if self.warming.allows(place, _COLD)
         ]
 
 
 class Fleet:
-    """Routers before cold targets, and what each target got."""
+    """Routers that send to cold targets, and the rate at each target."""
 
     def __init__(self, routers, targets, seed=1):
         self.rng = random.Random(seed)
@@ -69,7 +69,7 @@
         self.targets = targets
         self.routers = [self.start(member) for member in self.members]
         self.arrived = [deque() for _ in range(targets)]
-        self.most = 0
+        self.peak = 0
         self.total = 0
         self.clock.advance(10)
 
@@ -87,11 +87,11 @@
         ]
         return Router(member, self.clock, known or self.members, places)
 
-    def play(self, seconds, per_second):
-        """Let requests come to random routers, each to a usable target."""
-        for _ in range(round(seconds / _TICK)):
-            self.clock.advance(_TICK)
-            for _ in range(round(per_second * _TICK)):
+    def run(self, seconds, per_second):
+        """Send requests through random routers, each to a usable target."""
+        for _ in range(round(seconds / _TICK_S)):
+            self.clock.advance(_TICK_S)
+            for _ in range(round(per_second * _TICK_S)):
                 self.request(self.rng.choice(self.routers))
 
     def request(self, router):
@@ -99,21 +99,21 @@
         if not usable:
             return
         place = self.rng.choice(usable)
-        router.warming.sent(place)
-        self.note(router.places.index(place))
+        router.warming.record_sent(place)
+        self.record_arrival(router.places.index(place))
 
-    def note(self, number):
+    def record_arrival(self, number):
         now = self.clock.now()
         arrived = self.arrived[number]
         arrived.append(now)
         while arrived[0] <= now - 1:
             arrived.popleft()
-        self.most = max(self.most, len(arrived))
+        self.peak = max(self.peak, len(arrived))
         self.total += 1
 
 
 class WarmingTest(unittest.TestCase):
-    """All routers together stay under what a cold target bears."""
+    """All routers together stay below the rate that a cold target can take."""
 
     @parameterized.expand(
         [
@@ -128,33 +128,33 @@
             for seed in range(3)
         ],
     )
-    def test_a_clump_before_cold_targets(self, routers, targets, seed):
-        """Symptom: targets crash as they come up.
+    def test_burst(self, routers, targets, seed):
+        """A burst doesn't crash targets that have just started.
 
-        Sequence: some come up empty; before any router hears what the others
-        send there, hundreds of requests come.
-        Cause: each router took them for idle.
+        Some targets start empty; hundreds of requests arrive before any
+        router knows what the others send there. Each router would take the
+        targets for idle.
         """
         fleet = Fleet(routers, targets, seed)
-        fleet.play(4, per_second=1000)
-        self.assertLessEqual(fleet.most, _MOST)
+        fleet.run(4, per_second=1000)
+        self.assertLessEqual(fleet.peak, _MAX_RATE)
 
-    def test_they_are_used_meanwhile(self):
-        """Symptom: a zone that returns stands idle while others are full."""
+    def test_cold_targets_are_used(self):
+        """A zone that returns doesn't stay idle while others are full."""
         fleet = Fleet(63, 44)
-        fleet.play(4, per_second=1000)
-        # Half of what they bear, over all of them.
+        fleet.run(4, per_second=1000)
+        # Half of the rate that all of them together can take.
         self.assertGreater(fleet.total / 4, 44 * _RATE / 2)
 
     @parameterized.expand(
         [(sides, seed) for sides in (2, 4) for seed in range(4)]
     )
-    def test_routers_that_are_cut_apart(self, sides, seed):
-        """Symptom: a target crashes during a cut.
+    def test_partitioned_routers(self, sides, seed):
+        """A target doesn't crash while its routers are partitioned.
 
-        Sequence: routers are cut from each other, call each other dead, and
-        all reach the target.
-        Cause: each side shared the bearable rate among itself alone.
+        Routers on different sides consider each other dead, and all reach
+        the target. If each side divided the rate among its own routers only,
+        the sum would exceed what the target can take.
         """
         fleet = Fleet(63, 4, seed)
         for number, router in enumerate(fleet.routers):
@@ -162,64 +162,64 @@
                 attrs.evolve(member, dead=place % sides != number % sides)
                 for place, member in enumerate(fleet.members)
             ]
-        fleet.play(4, per_second=1000)
-        self.assertLessEqual(fleet.most, _MOST)
+        fleet.run(4, per_second=1000)
+        self.assertLessEqual(fleet.peak, _MAX_RATE)
 
     @parameterized.expand([(seed,) for seed in range(4)])
     def test_two_views_of_the_fleet(self, seed):
-        """Half of the routers have never heard of the other half."""
+        """Each half of the routers doesn't know the other half."""
         fleet = Fleet(64, 4, seed)
         halves = (fleet.members[:32], fleet.members[32:])
         for number, router in enumerate(fleet.routers):
             router.known = halves[number // 32]
-        fleet.play(4, per_second=1000)
-        self.assertLessEqual(fleet.most, _MOST)
+        fleet.run(4, per_second=1000)
+        self.assertLessEqual(fleet.peak, _MAX_RATE)
 
-    def test_all_start_at_once_and_know_nobody(self):
-        """Symptom: a zone crashes again as it comes back from a loss of power.
+    def test_all_routers_start_at_once(self):
+        """A zone doesn't crash again as it returns from a loss of power.
 
-        Sequence: its routers and targets come up together; requests come
-        before the routers know each other.
-        Cause: each took itself for the only one.
+        Its routers and targets start together, and requests arrive before the
+        routers know each other. Each router would take itself for the only
+        one.
         """
         fleet = Fleet(63, 4)
         fleet.routers = [
             fleet.start(attrs.evolve(member, started=5), known=[member])
             for member in fleet.members
         ]
-        fleet.play(1, per_second=1000)
+        fleet.run(1, per_second=1000)
         for router in fleet.routers:
             router.known = fleet.members
-        fleet.play(5, per_second=1000)
-        self.assertLessEqual(fleet.most, _MOST)
+        fleet.run(5, per_second=1000)
+        self.assertLessEqual(fleet.peak, _MAX_RATE)
         self.assertGreater(fleet.total, 0)
 
-    def test_routers_that_were_replaced_on_their_addresses(self):
-        """Symptom: cold targets stand idle after all routers started again."""
+    def test_restarted_routers(self):
+        """Cold targets don't stay idle after all routers have restarted."""
         fleet = Fleet(63, 4)
         dead = [attrs.evolve(one, dead=True) for one in fleet.members]
-        again = [_member(number, started=5) for number in range(63)]
-        fleet.members = [*dead, *again]
-        fleet.routers = [fleet.start(member) for member in again]
+        restarted = [_member(number, started=5) for number in range(63)]
+        fleet.members = [*dead, *restarted]
+        fleet.routers = [fleet.start(member) for member in restarted]
         fleet.clock.advance(4)
-        fleet.play(4, per_second=1000)
+        fleet.run(4, per_second=1000)
         self.assertGreater(fleet.total / 4, 4 * _RATE / 2)
 
-    def test_a_target_of_a_zone_without_routers(self):
+    def test_zone_without_routers(self):
         fleet = Fleet(6, 4)
         fleet.members = [one for one in fleet.members if one.zone != 'zone-a']
         fleet.routers = [fleet.start(member) for member in fleet.members]
         fleet.clock.advance(4)
         cold = [router.places[0] for router in fleet.routers]
-        may = [
+        allowed = [
             router.warming.allows(place, _COLD)
             for router, place in zip(fleet.routers, cold, strict=True)
         ]
-        self.assertEqual(sum(may), min(SHARERS, len(fleet.members)))
+        self.assertEqual(sum(allowed), min(MAX_SENDERS, len(fleet.members)))
 
 
 class ColdTest(unittest.TestCase):
-    """What counts as cold, and for how long."""
+    """Which targets count as cold, and for how long."""
 
     def setUp(self):
         self.clock = FakeClock()
@@ -233,12 +233,12 @@
     def test_warm(self):
         self.assertTrue(self.allows(Place(entry('one', 'engines'))))
 
-    def test_a_service_that_bears_all(self):
+    def test_service_without_cold_rate(self):
         place = Place(entry('one', 'engines', cold_for=3))
         self.assertTrue(self.allows(place, Service(name='desk')))
         self.assertTrue(self.allows(place, None))
 
-    def test_until_its_time_is_over(self):
+    def test_cold_for_its_time(self):
         place = Place(entry('one', 'engines', cold_for=3))
         self.assertFalse(self.allows(place))
         self.clock.advance(2.9)
@@ -246,17 +246,17 @@
         self.clock.advance(0.2)
         self.assertTrue(self.allows(place))
 
-    def test_cold_again_by_a_later_entry(self):
+    def test_cold_again_by_later_entry(self):
         place = Place(entry('one', 'engines', version=5))
         self.assertTrue(self.allows(place))
         place.entry = attrs.evolve(place.entry, version=6, cold_for=3)
         self.assertFalse(self.allows(place))
 
-    def test_the_same_entry_makes_it_cold_once(self):
-        """Symptom: a target gets next to nothing for good.
+    def test_same_entry_makes_cold_once(self):
+        """A target whose last entry says that it is cold warms up.
 
-        Sequence: its last entry says that it is cold, and none follows.
-        Cause: the time was counted anew at each look.
+        No further entry follows. If its cold time began again at each check,
+        the target would get hardly any requests for good.
         """
         place = Place(entry('one', 'engines', cold_for=3))
         for _ in range(4):
@@ -264,12 +264,12 @@
             self.clock.advance(1)
         self.assertTrue(self.allows(place))
 
-    def test_a_zone_that_is_restored(self):
-        """Symptom: all targets of a zone crash as its evacuation is lifted.
+    def test_restored_zone(self):
+        """Targets of a restored zone count as cold at once.
 
-        Sequence: they turned cold meanwhile; their entries say so a second
-        after the zone is back.
-        Cause: they were taken for warm until then.
+        They turned cold during the evacuation, but their entries say so only
+        a second after the zone is back. Taken for warm until then, all of
+        them would crash.
         """
         place = Place(entry('one', 'engines'))
         self.put(5, in_force=True)
--- a/tests/test_placement_zone_loads.py
+++ b/tests/test_placement_zone_loads.py
@@ -1,4 +1,4 @@
-"""Tests of loads that hubs sum up."""
+"""Tests of loads that hubs add up."""
 
 import random
 import unittest
@@ -15,11 +15,11 @@
 
 
 class ZoneLoadsTest(unittest.IsolatedAsyncioTestCase):
-    """Every router sees what all have, for a few words of each."""
+    """Every router knows the load of all, with few messages of each."""
 
     def setUp(self):
         self.clock = FakeClock()
-        self.fabric = FakeNet(hubs_per_zone=2)
+        self.net = FakeNet(hubs_per_zone=2)
         self.fleet = {
             f'{zone}-{number}': self.join(f'{zone}-{number}', zone)
             for zone in _ZONES
@@ -30,7 +30,7 @@
         places = Places(random.Random(1))
         places.put(entry('engine', ENGINES))
         places.put(entry('other', ENGINES))
-        net = self.fabric.join(name, zone)
+        net = self.net.join(name, zone)
         sharing = LoadSharing(net, places, self.clock)
         sharing.start()
         return sharing
@@ -38,8 +38,8 @@
     def place(self, name, engine='engine'):
         return self.fleet[name].places.find(engine)
 
-    def others(self):
-        """Return the names of routers that are no hubs."""
+    def non_hubs(self):
+        """Return the names of the routers that are not hubs."""
         hubs = {
             hub.incarnation
             for zone in _ZONES
@@ -52,84 +52,85 @@
         net = self.fleet[name].net
         return net.hubs.of(net.me.zone)[0].incarnation
 
-    async def rounds(self, count=3):
+    async def run_rounds(self, count=3):
         for _ in range(count):
             for sharing in self.fleet.values():
-                sharing.round()
-            await self.fabric.settle()
+                sharing.run_round()
+            await self.net.settle()
             self.clock.advance(0.15)
 
-    async def test_each_router_counts_what_all_others_have(self):
+    async def test_each_router_counts_load_of_all(self):
         for name in self.fleet:
             self.place(name).running = 1
             self.place(name).unread = 3000
-        await self.rounds()
+        await self.run_rounds()
         for name in self.fleet:
             self.assertEqual(self.place(name).busy, len(self.fleet), name)
             self.assertEqual(self.place(name).queued, 3000 * len(self.fleet))
             self.assertEqual(self.place(name, 'other').busy, 0)
 
-    async def test_what_has_ended_counts_no_more(self):
-        name = self.others()[0]
+    async def test_ended_requests_are_not_counted(self):
+        name = self.non_hubs()[0]
         self.place(name).running = 4
-        await self.rounds()
+        await self.run_rounds()
         self.place(name).running = 0
-        await self.rounds()
+        await self.run_rounds()
         for other in self.fleet:
             self.assertEqual(self.place(other).busy, 0)
 
-    async def test_words_do_not_grow_with_the_square_of_the_fleet(self):
+    async def test_messages_grow_linearly(self):
         for name in self.fleet:
             self.place(name).running = 1
-        self.fabric.sent.clear()
-        await self.rounds(1)
-        words = [one for one in self.fabric.sent if isinstance(one, LoadWords)]
+        self.net.sent.clear()
+        await self.run_rounds(1)
+        messages = [one for one in self.net.sent if isinstance(one, LoadWords)]
         # One from each router to its hub, one from each hub to its zone's
-        # routers, one between the hubs of two zones; those of the first
-        # round that came after a hub's own turn are told with the next.
-        self.assertLessEqual(len(words), 3 * len(self.fleet))
+        # routers, one between the hubs of two zones; loads that arrive after
+        # the hub's own turn in the first round are sent in the next.
+        self.assertLessEqual(len(messages), 3 * len(self.fleet))
 
-    async def test_a_long_prompt_is_told_before_the_next_round(self):
-        """Symptom: first events are late at one engine while others idle.
+    async def test_long_prompt_is_reported_at_once(self):
+        """The hub reports a long prompt before its next round.
 
-        Sequence: long prompts come through two routers of a zone within
-        milliseconds; both choose the same engine.
-        Cause: the hub told of the first one with its next round.
+        Long prompts arrive through two routers of a zone within milliseconds.
+        If the hub reported the first one in its next round, both routers
+        would choose the same engine: its first events would be late while
+        others are idle.
         """
         one, two = [
-            name for name in self.others() if name.startswith('zone-a')
+            name for name in self.non_hubs() if name.startswith('zone-a')
         ][:2]
         self.clock.advance(1)
         self.place(one).running = 1
         self.place(one).unread = 20_000
         self.fleet[one].sent(20_000)
-        await self.fabric.settle()
+        await self.net.settle()
         self.assertEqual(self.place(two).queued, 20_000)
 
-    async def test_words_of_a_hub_that_died_go_stale(self):
-        """Symptom: an idle engine gets no requests.
+    async def test_loads_of_dead_hub_expire(self):
+        """The loads that a dead hub reported expire.
 
-        Sequence: the hub of a zone tells of a clump and dies.
-        Cause: its last word counted for ever.
+        The hub of a zone reports a burst and dies. If its last report counted
+        for ever, an idle engine would get no requests.
         """
-        name = self.others()[0]
+        name = self.non_hubs()[0]
         self.place(name).running = 4
-        await self.rounds()
+        await self.run_rounds()
         hub = self.first_hub(name)
         self.place(name).running = 0
-        self.fabric.kill(hub)
+        self.net.kill(hub)
         self.fleet.pop(hub)
         self.clock.advance(3)
-        await self.rounds()
+        await self.run_rounds()
         for other in self.fleet:
             self.assertEqual(self.place(other).busy, 0)
 
-    async def test_the_next_hub_takes_over(self):
+    async def test_next_hub_takes_over(self):
         hub = self.first_hub('zone-a-0')
-        self.fabric.kill(hub)
+        self.net.kill(hub)
         self.fleet.pop(hub)
         name = next(iter(self.fleet))
         self.place(name).running = 4
-        await self.rounds(8)
+        await self.run_rounds(8)
         for other in self.fleet:
             self.assertEqual(self.place(other).busy, 4, other)
--- a/tests/test_relay_run.py
+++ b/tests/test_relay_run.py
@@ -231,8 +231,8 @@
         Cause: the breaker forgot that a probe was under way before it was
         told how it ended, and took the failure for an old one.
         """
-        place = self.world.chooser.places.of('desk')[0]
-        for other in self.world.chooser.places.of('desk')[1:]:
+        place = self.world.chooser.places.of_service('desk')[0]
+        for other in self.world.chooser.places.of_service('desk')[1:]:
             other.entry = attrs.evolve(other.entry, leaving=True)
         self.world.run(relay_samples.call(PLAIN), _REFUSED)
         self.world.clock.advance(2)
@@ -259,7 +259,7 @@
         )
     )
     def test_leaving_target_gets_new_work(self, _, route, scripts):
-        """A target said in an answer that it leaves, and nobody heeded it."""
+        """A target said in an answer that it leaves, and nobody notices_ it."""
         self.world.run(relay_samples.call(route), *scripts)
         leaves = self.first_target()
         for _ in range(8):
@@ -278,7 +278,7 @@
 
     def test_leaving_targets_get_nothing(self):
         places = self.world.chooser.places
-        for place in places.of('desk'):
+        for place in places.of_service('desk'):
             place.entry = attrs.evolve(place.entry, leaving=True)
         outlet = self.world.run(relay_samples.call(PLAIN))
         self.assertEqual(outlet.status, 503)
@@ -351,7 +351,7 @@
         """A target was left alone by what another one had said."""
         self.world.run(relay_samples.call(UNSAFE), script, _OK)
         chooser = self.world.chooser
-        self.assertEqual(len(chooser.places.standings), 0)
+        self.assertEqual(len(chooser.places.restrictions), 0)
 
     def test_request_that_crashes_targets_is_kept_away(self):
         """Symptom: targets of one service restart in turn.
@@ -412,7 +412,9 @@
         task = asyncio.ensure_future(run.run())
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        busy = [one.running for one in self.world.chooser.places.of(ENGINES)]
+        busy = [
+            one.running for one in self.world.chooser.places.of_service(ENGINES)
+        ]
         self.assertEqual(sum(busy), 1)
         task.cancel()
         with self.assertRaises(asyncio.CancelledError):
@@ -440,7 +442,7 @@
         self.used = []
 
     async def open(self, call):
-        return Tab(most=call.prompt.most_tokens)
+        return Tab(most=call.prompt.max_tokens)
 
     def close(self, call, tab):
         self.used.append(tab.used)
