--- a/src/balsamreach/relay/call.py
+++ b/src/balsamreach/relay/call.py
@@ -1,4 +1,4 @@
-"""A request that a route passes through."""
+"""A request that the router relays to a target."""
 
 import functools
 import hashlib
@@ -7,41 +7,41 @@
 
 from balsamreach.catalogue.entries import Route, Team
 from balsamreach.placement.prompts import Prompt
-from balsamreach.relay.host_link import HEAD_BYTES
+from balsamreach.relay.host_link import HEADER_BYTES
 
 _DIGEST_BYTES = 12
 
 
 @attrs.frozen(kw_only=True)
 class RelayCall:
-    """A request as read and checked.
+    """A parsed and validated request.
 
     Parameters
     ----------
     request_id : str
-        Identity that the caller gave this try of its request.
+        Identity that the caller gave this attempt of its request.
     method, path : str
-        Request line; the path holds the query.
+        Request line; the path includes the query.
     headers : tuple of (str, str)
-        Headers that concern the target, in their order.
+        Headers to forward to the target, in their order.
     body : bytes
         Body.
     route : Route
-        The route it takes.
+        Route that the request matches.
     service : str
-        Service that the route's weights chose.
+        Service that was chosen by the route's weights.
     priority : int
-        Rank, 0 before all others.
+        Priority; 0 is the highest.
     deadline : float
-        Monotonic seconds by which it gets its final answer.
+        Monotonic seconds by which the caller gets its final response.
     team : Team or None
-        Who pays; None on a public route.
+        Team that is charged; None on a public route.
     prompt : Prompt or None
-        None for plain services.
+        Prompt; None for services without engines.
     last_event : str
-        Id of the event after which a stream goes on; empty for all of it.
+        Id of the event after which a stream resumes; empty for all of it.
     catalogue_version : int
-        Version of the configuration that it was read under.
+        Version of the configuration that the request was read under.
     """
 
     request_id: str
@@ -60,17 +60,17 @@
 
     @property
     def team_name(self) -> str:
-        """Name of the team, empty for none."""
+        """Name of the team, empty if there is none."""
         return '' if self.team is None else self.team.name
 
     @property
     def size(self) -> int:
-        """Bytes that it takes on a link."""
-        return HEAD_BYTES + len(self.body)
+        """Estimated bytes that the request takes on a link."""
+        return HEADER_BYTES + len(self.body)
 
     @functools.cached_property
     def fingerprint(self) -> str:
-        """What stays the same where a caller sends the request again."""
+        """Digest that is the same if a caller sends the request again."""
         digest = hashlib.blake2b(self.body, digest_size=_DIGEST_BYTES)
         digest.update(self.path.encode())
         digest.update(self.team_name.encode())
@@ -78,5 +78,5 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether it may go on at another target after it ran."""
+        """Whether it may be sent to another target after it may have run."""
         return self.route.repeatable
--- a/src/balsamreach/relay/chooser.py
+++ b/src/balsamreach/relay/chooser.py
@@ -1,4 +1,4 @@
-"""Finds the target for a request and keeps what is known of each."""
+"""Chooses the target of a request and records the results of attempts."""
 
 from collections.abc import Callable, Iterator, Set
 
@@ -20,7 +20,7 @@
 
 
 def _ignore(_unread: int) -> None:
-    """Tell nobody."""
+    """Report nothing."""
 
 
 @attrs.define
@@ -32,19 +32,19 @@
     places : Places
         All targets.
     engines : EngineChooser
-        For prompts.
+        Chooses for requests with a prompt.
     services : ServiceChooser
-        For all else.
+        Chooses for all other requests.
     view : CatalogueView
-        What is known of the services.
+        Configuration of the services.
     clock : Clock
-        Time.
+        Source of the current time.
     evacuations : Evacuations
-        Zones that get no new work.
+        Zones that get no new requests.
     warming : Warming
-        Bounds what goes to cold targets.
+        Bounds the rate of requests to cold targets.
     on_sent : callable
-        Told of the unread tokens of each prompt that is sent.
+        Called with the number of tokens of each prompt that is sent.
     """
 
     places: Places
@@ -57,91 +57,92 @@
     on_sent: Callable[[int], None] = _ignore
 
     def choose(self, call: RelayCall, tried: Set[str]) -> Place | None:
-        """Return the target for a call, None if none may be used.
+        """Return the target for a request, None if none may be used.
 
         Parameters
         ----------
         call : RelayCall
             The request.
         tried : set of str
-            Incarnations that it went to already.
+            Incarnations that it was already sent to.
         """
-        present = list(self._find_present(call, tried))
+        eligible = list(self._eligible(call, tried))
         now = self.clock.now()
-        usable = [place for place in present if place.breaker.passes(now)]
-        # Where all are kept away from, the failures may be this router's
-        # own view; a refusal without a try would serve nobody.
-        candidates = usable or present
+        usable = [place for place in eligible if place.breaker.passes(now)]
+        # If the breakers exclude all targets, the failures may be on this
+        # router's side; refusing without an attempt would help nobody.
+        candidates = usable or eligible
         if call.prompt is None:
             return self.services.choose(candidates)
         return self.engines.choose(call.prompt, candidates)
 
     def has_target(self, call: RelayCall, tried: Set[str]) -> bool:
         """Return whether ``choose`` would find a target."""
-        return any(self._find_present(call, tried))
+        return any(self._eligible(call, tried))
 
-    def refuse(self, call: RelayCall) -> RelayFault | None:
-        """Return why no target may be sent a request now, None if one may."""
+    def refusal(self, call: RelayCall) -> RelayFault | None:
+        """Return why no target can take a request now, None if one can."""
         if self.has_target(call, _NONE_TRIED):
             return None
         find = self.places.restrictions.find
-        standings = [
+        restrictions = [
             find(place.incarnation)
             for place in self.places.of_service(call.service)
-            if self._takes_work(place)
+            if self._accepts_requests(place)
         ]
-        wait = min((one.retry_at for one in standings), default=0)
+        wait = min((one.retry_at for one in restrictions), default=0)
         wait -= self.clock.now()
         if wait > 0:
-            reason = 'all targets asked for no requests'
-            return faults.TARGETS_BACK_OFF.after(wait, reason)
-        if any(one.window for one in standings):
-            reason = 'the targets have as many requests as they bore'
+            reason = 'all targets asked to receive no requests'
+            return faults.TARGETS_BACK_OFF.with_retry_after(wait, reason)
+        if any(one.window for one in restrictions):
+            reason = 'the targets have as many requests as they can take'
             return faults.TARGETS_FULL.because(reason)
         return faults.NO_TARGET.because('no target takes requests')
 
     def begin(self, call: RelayCall, place: Place) -> 'InFlight':
-        """Take note that a request is being sent."""
+        """Count a request as in progress, until ``InFlight.end`` is called."""
         place.breaker.begin()
         self.warming.record_sent(place)
         if call.prompt is None:
             return InFlight(place)
-        capacity = self._engine(call).cache_tokens
+        capacity = self._engine_traits(call).cache_tokens
         self.engines.record_sent(call.prompt, place, capacity)
         in_flight = InFlight(place, call.prompt.tokens)
         self.on_sent(in_flight.unread)
         return in_flight
 
-    def succeeded(self, place: Place) -> None:
-        """Take note of a good end."""
+    def record_success(self, place: Place) -> None:
+        """Record that a target has answered a request."""
         place.breaker.succeed()
 
-    def failed(self, place: Place, *, certain: bool) -> None:
-        """Take note of a failure.
+    def record_failure(self, place: Place, *, certain: bool) -> None:
+        """Record a failure of a target.
 
         Parameters
         ----------
         place : Place
             The target.
         certain : bool
-            Whether one failure is enough, as where nobody listens.
+            Whether one failure is enough to withhold requests, such as a
+            refused connection.
         """
         now = self.clock.now()
         place.breaker.fail(now, self.places.rng, certain=certain)
 
-    def gone(self, place: Place) -> None:
-        """Take note that a target is no more."""
+    def remove(self, place: Place) -> None:
+        """Remove a target that no longer exists."""
         self.places.remove_incarnation(place)
 
-    def rejected(self, place: Place) -> None:
-        """Take note that a target had no room."""
+    def record_rejection(self, place: Place) -> None:
+        """Record that a target rejected a request."""
         place.breaker.release_probe()
 
     def tokens_per_event(self, call: RelayCall) -> int:
-        """Return the most tokens that an event of the answer holds."""
-        return self._engine(call).tokens_per_event
+        """Return the maximum number of tokens in an event of a response."""
+        return self._engine_traits(call).tokens_per_event
 
-    def _find_present(
+    def _eligible(
         self,
         call: RelayCall,
         tried: Set[str],
@@ -150,13 +151,17 @@
         find = self.places.restrictions.find
         now = self.clock.now()
         for place in self.places.of_service(call.service):
-            start = place.incarnation
-            if start in tried or not find(start).allows(place.running, now):
+            incarnation = place.incarnation
+            if incarnation in tried or not find(incarnation).allows(
+                place.running, now
+            ):
                 continue
-            if self._takes_work(place) and self.warming.allows(place, service):
+            if self._accepts_requests(place) and self.warming.allows(
+                place, service
+            ):
                 yield place
 
-    def _takes_work(self, place: Place) -> bool:
+    def _accepts_requests(self, place: Place) -> bool:
         if place.entry.leaving:
             return False
         return not self.evacuations.covers(place.entry.zone)
@@ -165,44 +170,44 @@
         catalogue = self.view.current
         return catalogue.services.get(call.service) if catalogue else None
 
-    def _engine(self, call: RelayCall) -> EngineTraits:
+    def _engine_traits(self, call: RelayCall) -> EngineTraits:
         service = self._service(call)
         if service is None or service.engine is None:
-            return _UNKNOWN_ENGINE
+            return _DEFAULT_TRAITS
         return service.engine
 
 
 @attrs.define(eq=False)
 class InFlight:
-    """One request at one target, counted there until it ends.
+    """One request in progress at a target, counted there until it ends.
 
     Parameters
     ----------
     place : Place
         The target.
     unread : int
-        Prompt tokens that it has not read yet.
+        Prompt tokens that the target has not processed yet.
     """
 
     place: Place
     unread: int = 0
 
     def __attrs_post_init__(self) -> None:
-        """Count the request in."""
+        """Add the request to the target's counts."""
         place = self.place
         place.running += 1
         place.peak_running = max(place.peak_running, place.running)
         self.place.unread += self.unread
 
     def head_received(self) -> None:
-        """Take note that the target has read the prompt, or never will."""
+        """Record that the target has processed the prompt, or never will."""
         self.place.unread -= self.unread
         self.unread = 0
 
     def end(self) -> None:
-        """Count the request out."""
+        """Remove the request from the target's counts."""
         self.head_received()
         self.place.running -= 1
 
 
-_UNKNOWN_ENGINE = EngineTraits(slots=1, cache_tokens=0)
+_DEFAULT_TRAITS = EngineTraits(slots=1, cache_tokens=0)
--- a/src/balsamreach/relay/codec.py
+++ b/src/balsamreach/relay/codec.py
@@ -1,4 +1,4 @@
-"""What the relay needs translated between it and the wire."""
+"""Abstract base of the translation between the relay and HTTP messages."""
 
 import abc
 from collections.abc import Sequence
@@ -16,12 +16,12 @@
 
 @attrs.frozen(kw_only=True)
 class CallerRequest:
-    """A caller's request as it stood on the wire.
+    """A caller's request as it was received.
 
     Parameters
     ----------
     method, path : str
-        Request line; the path holds the query.
+        Request line; the path includes the query.
     headers : sequence of (str, str)
         All headers in their order.
     body : bytes
@@ -39,26 +39,27 @@
 
 @attrs.frozen(kw_only=True)
 class AnswerHead:
-    """The head of a target's answer.
+    """Status and headers of a target's response.
 
     Parameters
     ----------
     status : int
         HTTP status.
     headers : tuple of (str, str)
-        Headers that the caller gets.
+        Headers to forward to the caller.
     request_id : str
-        Request that it answers by its own word.
+        Id of the request that the response claims to answer; empty if it
+        gives none.
     signed : bool
-        Whether the target put its signature on it.
+        Whether the target has signed the response.
     not_run : bool
         Whether the target says that it did not run the request.
     misdirected : bool
-        Whether another target than the one meant has the address.
+        Whether the address belongs to another target than the intended one.
     usable : bool
-        Whether the body is the target's own, as far as the head tells.
+        Whether the body is the target's own, as far as the headers show.
     notice : TargetNotice
-        What the target says of itself.
+        What the target says about itself.
     """
 
     status: int
@@ -73,7 +74,7 @@
 
 @attrs.frozen(kw_only=True)
 class OwnAnswer:
-    """An answer that the router makes itself."""
+    """A response that the router generates itself."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -81,7 +82,7 @@
 
 
 class Codec(abc.ABC):
-    """Reads and writes what callers and targets speak."""
+    """Translates the messages of callers and targets."""
 
     @abc.abstractmethod
     def read_request(
@@ -89,7 +90,15 @@
         request: CallerRequest,
         catalogue: Catalogue,
     ) -> RelayCall | RelayFault:
-        """Return the call that a request makes under a configuration."""
+        """Return a validated request, or why it is refused.
+
+        Parameters
+        ----------
+        request : CallerRequest
+            The request as received.
+        catalogue : Catalogue
+            Configuration to validate it by.
+        """
 
     @abc.abstractmethod
     def target_headers(
@@ -106,17 +115,17 @@
         call : RelayCall
             The request.
         target : TargetEntry
-            Where it goes.
+            Target that it is sent to.
         time_left : float
-            Seconds that the target has.
+            Seconds until the deadline.
         last_event : str
-            Event after which a stream goes on; empty for all of it.
+            Id of the event after which a stream resumes; empty for all of it.
         """
 
     @abc.abstractmethod
     def read_answer(self, status: int, headers: dict[str, str]) -> AnswerHead:
-        """Return what the head of an answer says, names in lower case."""
+        """Return the parsed headers of a response, names in lower case."""
 
     @abc.abstractmethod
     def refuse(self, fault: RelayFault) -> OwnAnswer:
-        """Return the answer that tells a caller of a fault."""
+        """Return the response that reports a fault to a caller."""
--- a/src/balsamreach/relay/events.py
+++ b/src/balsamreach/relay/events.py
@@ -1,4 +1,4 @@
-"""Cuts a stream into whole events and keeps them in their order."""
+"""Splits an event stream into complete events and checks their order."""
 
 import re
 
@@ -6,94 +6,94 @@
 
 _END = re.compile(rb'\r?\n\r?\n')
 _ID = re.compile(rb'^id:[ ]?(\d+)\r?$', re.MULTILINE)
-#: Bytes that one event may have; a target that never ends one would fill
-#: the memory.
-_LARGEST = 1 << 20
+#: Maximum size of an event; a target that never ends one would otherwise
+#: exhaust the memory.
+_MAX_EVENT_BYTES = 1 << 20
 
 
 @attrs.frozen
 class Event:
-    """One whole event.
+    """One complete event.
 
     Parameters
     ----------
     raw : bytes
-        Its bytes with the empty line at its end.
-    number : int or None
+        Its bytes, including the empty line at its end.
+    event_id : int or None
         Its id, None if it has none.
     """
 
     raw: bytes
-    number: int | None
+    event_id: int | None
 
 
 @attrs.define
-class EventCutter:
-    """Takes the bytes of a stream and gives back whole events.
+class EventSplitter:
+    """Splits the bytes of a stream into complete events.
 
-    A target may die in the middle of an event. Were the part passed on, the
-    stream could not be resumed: the rest of that event would follow a head
-    that stands already.
+    A target may die in the middle of an event. If the first part of it had
+    been forwarded, the stream could not be resumed: the caller would get that
+    part again with the complete event.
 
     Parameters
     ----------
-    last : int
-        Number of the last event that was passed on, -1 for none.
-    broken : str
-        Why the stream can't go on; empty while it can.
+    last_id : int
+        Id of the last event that was forwarded, -1 for none.
+    error : str
+        Why the stream can't continue; empty while it can.
     """
 
-    last: int = -1
-    broken: str = ''
-    _rest: bytes = b''
+    last_id: int = -1
+    error: str = ''
+    _buffer: bytes = b''
 
-    def restart(self) -> None:
-        """Drop what is left of an event whose target broke off.
+    def discard_partial(self) -> None:
+        """Discard the first part of an event whose target broke off.
 
-        The next target begins with a whole event. Joined to the part that
-        the one before left, it would be an event that nobody made.
+        The next target begins with a complete event. Joined to the part from
+        the previous target, it would be an event that no target sent.
         """
-        self._rest = b''
+        self._buffer = b''
 
     def feed(self, chunk: bytes) -> list[Event]:
-        """Return the events that a chunk completes, those seen left out."""
-        if self.broken:
+        """Return the new events that a chunk completes."""
+        if self.error:
             return []
-        whole, rest = _split(self._rest + chunk)
-        self._rest = rest
-        if len(self._rest) > _LARGEST:
-            self.broken = 'an event is too large'
+        complete, rest = _split(self._buffer + chunk)
+        self._buffer = rest
+        if len(self._buffer) > _MAX_EVENT_BYTES:
+            self.error = 'an event is too large'
         events = []
-        for raw in whole:
-            event = self._take(raw)
+        for raw in complete:
+            event = self._accept(raw)
             if event is not None:
                 events.append(event)
         return events
 
     @property
-    def partial(self) -> bool:
-        """Whether bytes of an event that is not whole wait."""
-        return bool(self._rest.strip())
+    def has_partial(self) -> bool:
+        """Whether the first part of an incomplete event is buffered."""
+        return bool(self._buffer.strip())
 
-    def _take(self, raw: bytes) -> Event | None:
+    def _accept(self, raw: bytes) -> Event | None:
         match = _ID.search(raw)
         if match is None:
             return Event(raw, None)
-        number = int(match[1])
-        if number <= self.last:
-            # The target began before the place that was asked for.
+        event_id = int(match[1])
+        if event_id <= self.last_id:
+            # The target began before the requested event.
             return None
-        if self.last >= 0 and number != self.last + 1:
-            self.broken = f'event {number} came after {self.last}'
+        if self.last_id >= 0 and event_id != self.last_id + 1:
+            self.error = f'event {event_id} came after {self.last_id}'
             return None
-        self.last = number
-        return Event(raw, number)
+        self.last_id = event_id
+        return Event(raw, event_id)
 
 
-def _split(octets: bytes) -> tuple[list[bytes], bytes]:
+def _split(stream: bytes) -> tuple[list[bytes], bytes]:
     parts = []
     start = 0
-    for match in _END.finditer(octets):
-        parts.append(octets[start : match.end()])
+    for match in _END.finditer(stream):
+        parts.append(stream[start : match.end()])
         start = match.end()
-    return parts, octets[start:]
+    return parts, stream[start:]
--- a/src/balsamreach/relay/exchange.py
+++ b/src/balsamreach/relay/exchange.py
@@ -1,4 +1,4 @@
-"""Abstract base of what carries a passed-through request to a target."""
+"""Abstract base of the client that sends relayed requests to targets."""
 
 import abc
 
@@ -10,12 +10,12 @@
 
 @attrs.frozen(kw_only=True)
 class Outgoing:
-    """One attempt as it goes on the wire.
+    """One attempt as it is sent to a target.
 
     Parameters
     ----------
     target : TargetEntry
-        Where it goes.
+        Target that it is sent to.
     method, path : str
         Request line.
     headers : tuple of (str, str)
@@ -23,10 +23,10 @@
     body : bytes
         Body.
     fresh : bool
-        Whether it must have a connection of its own: a kept one may have
-        been closed by its target, and then nobody knows whether it ran.
+        Whether it needs a new connection: a pooled one may have been closed
+        by its target, and then it is unknown whether the request ran.
     gap : float
-        Seconds of silence after which the attempt is given up; 0 for no
+        Seconds of silence after which the attempt is aborted; 0 for no
         bound.
     """
 
@@ -48,7 +48,7 @@
         outgoing: Outgoing,
         intake: Intake,
     ) -> UpstreamFault | None:
-        """Send an attempt and feed the answer to the intake until it ends.
+        """Send an attempt and pass the response to the intake until it ends.
 
         Returns
         -------
--- a/src/balsamreach/relay/faults.py
+++ b/src/balsamreach/relay/faults.py
@@ -1,4 +1,4 @@
-"""Sentinel errors of the relay layer: why a request got no target's answer."""
+"""Sentinel errors of the relay: why a request got no target's response."""
 
 import attrs
 
@@ -7,58 +7,67 @@
 
 @attrs.frozen
 class RelayFault(Fault):
-    """A final answer of the router's own.
+    """The reason of a final response that the router generates itself.
 
     Parameters
     ----------
     not_run : bool
         Whether it is certain that no target has run the request or will.
     retry_after : float
-        Seconds after which it makes sense to come back; 0 for never.
+        Seconds after which the caller may retry; 0 if it should not.
     """
 
     not_run: bool = attrs.field(default=True, eq=False)
     retry_after: float = attrs.field(default=0, eq=False)
 
-    def after(self, seconds: float, reason: str) -> 'RelayFault':
-        """Return the same sentinel with a time to come back and a reason."""
+    def with_retry_after(self, seconds: float, reason: str) -> 'RelayFault':
+        """Return the same sentinel with a retry time and a reason.
+
+        Parameters
+        ----------
+        seconds : float
+            Seconds after which the caller may retry.
+        reason : str
+            What happened, for the caller and the log.
+        """
         return attrs.evolve(self, retry_after=seconds, reason=reason)
 
 
-#: This router knows no configuration yet.
+#: This router has no configuration yet.
 NOT_READY = RelayFault('not_ready', retry_after=0.5)
-#: The request can't be read as one.
+#: The request is malformed.
 MALFORMED = RelayFault('malformed')
-#: No route leads anywhere from this host and path.
+#: No route matches the host and path.
 NO_ROUTE = RelayFault('no_route')
-#: The key is nobody's.
+#: The key belongs to no team.
 NO_TEAM = RelayFault('unknown_key')
-#: The body is larger than callers may send.
+#: The body exceeds the limit.
 BODY_TOO_LARGE = RelayFault('body_too_large')
-#: The team's balance doesn't cover the request at its largest.
+#: The team's balance doesn't cover the maximum use of the request.
 BUDGET_EXHAUSTED = RelayFault('budget_exhausted')
-#: The balance may cover it, but this router can't draw on it now. Source of
-#: the time: in an outage of the store a router may use a sixth more of what
-#: it holds each second; sooner there is hardly more than now.
+#: The balance may cover the request, but this router can't draw on it now. In
+#: an outage of the store a router may use another sixth of what it holds each
+#: second, so an earlier retry would hardly find more tokens.
 BUDGET_UNREACHABLE = RelayFault('budget_unreachable', retry_after=0.8)
 #: No target of the service can take the request now.
 NO_TARGET = RelayFault('no_target', retry_after=0.5)
-#: Another target has the address by now; the one meant is gone.
+#: Another target has the address now; the intended one is gone.
 MISDIRECTED = RelayFault('misdirected', retry_after=0.5)
-#: The targets asked have no room.
+#: The targets have no free slots.
 TARGETS_FULL = RelayFault('targets_full', retry_after=0.3)
-#: All targets asked for no requests; the first one takes them again after
-#: the time told.
+#: All targets asked to receive no requests; the first one accepts them again
+#: after the retry time.
 TARGETS_BACK_OFF = RelayFault('targets_back_off', retry_after=1)
 #: The request crashed several targets.
 QUARANTINED = RelayFault('request_quarantined', retry_after=30)
-#: Its time was over before a target got it.
+#: The deadline passed before the request was sent to a target.
 TOO_LATE = RelayFault('deadline_passed')
-#: Its time was over while a target had it.
+#: The deadline passed after the request was sent to a target.
 TIMED_OUT = RelayFault('timed_out', not_run=False)
-#: The connection to its target broke, or what came was no whole answer.
+#: The connection to the target broke, or the response was incomplete or
+#: invalid.
 BROKEN = RelayFault('answer_broken', not_run=False)
-#: The target answered with a failure of its own.
+#: The target responded with a server error.
 TARGET_FAILED = RelayFault('target_failed', not_run=False)
-#: The caller has gone.
+#: The caller has disconnected.
 ABANDONED = RelayFault('abandoned', not_run=False)
--- a/src/balsamreach/relay/intakes.py
+++ b/src/balsamreach/relay/intakes.py
@@ -1,32 +1,34 @@
-"""Take in a target's answer: whole, or event by event."""
+"""Receive a target's response, either as a whole or event by event."""
 
 from collections.abc import Callable
 
 from balsamreach.dispatch.upstream import Intake
 from balsamreach.relay.codec import AnswerHead, Codec
-from balsamreach.relay.events import EventCutter
+from balsamreach.relay.events import EventSplitter
 from balsamreach.relay.outlet import Outlet
 
-#: Largest plain answer that is held until it is whole. A larger one is
-#: refused: its caller could not be protected from half of it.
-_LARGEST_PLAIN = 8 << 20
+#: Maximum size of a plain response, which is buffered until it is complete.
+#: A larger one is refused, since its caller could get an incomplete response.
+_MAX_PLAIN_BYTES = 8 << 20
 _OK = 200
 _MULTIPLE_CHOICES = 300
 
 
 class AnswerIntake(Intake):
-    """What both kinds of answers share.
+    """Buffers a plain response until it is complete.
 
     Parameters
     ----------
     codec : Codec
-        Reads the head.
+        Parses the headers.
     request_id : str
-        The request that the answer must belong to.
+        Id of the request that the response must belong to.
     head : AnswerHead or None
-        The head, once it came.
+        Status and headers, once they are received.
     problem : str
-        Why the answer is none; empty while it may be one.
+        Why the response is invalid; empty if it is not.
+    held : bytearray
+        The bytes received so far, unless they were forwarded.
     """
 
     def __init__(self, codec: Codec, request_id: str) -> None:
@@ -38,14 +40,14 @@
         self.held = bytearray()
 
     @property
-    def good(self) -> bool:
-        """Whether the head promises a success of this request."""
+    def is_success(self) -> bool:
+        """Whether the status is a success."""
         head = self.head
         return head is not None and _OK <= head.status < _MULTIPLE_CHOICES
 
     @property
-    def foreign(self) -> bool:
-        """Whether the answer belongs to another request."""
+    def for_other_request(self) -> bool:
+        """Whether the response belongs to another request."""
         head = self.head
         if head is None or not head.request_id:
             return False
@@ -53,7 +55,7 @@
 
     @property
     def misdirected(self) -> bool:
-        """Whether another target than the one meant has the address."""
+        """Whether the address belongs to another target."""
         return self.head is not None and self.head.misdirected
 
     @property
@@ -64,13 +66,12 @@
         return self.head.not_run or self.head.misdirected
 
     def start(self, status: int, headers: dict[str, str]) -> None:
-        """Take the head of the answer."""
+        """Receive the status and headers of the response."""
         head = self.codec.read_answer(status, headers)
         self.head = head
-        # An answer to an earlier request may come late on the connection,
-        # where this one's is expected. It would be given to a caller whom
-        # it doesn't belong to.
-        if self.foreign:
+        # A late response to an earlier request may arrive on the connection
+        # in place of this one's. Forwarded, it would reach the wrong caller.
+        if self.for_other_request:
             self.problem = 'the answer belongs to another request'
         elif not head.usable:
             self.problem = "the body is not the target's own"
@@ -80,25 +81,25 @@
             self.on_head(status, headers)
 
     def write(self, chunk: bytes) -> None:
-        """Hold bytes until the answer is whole."""
+        """Buffer bytes until the response is complete."""
         if self.problem:
             return
         self.held += chunk
-        if len(self.held) > _LARGEST_PLAIN:
+        if len(self.held) > _MAX_PLAIN_BYTES:
             self.problem = 'the answer is too large'
 
 
 class StreamIntake(AnswerIntake):
-    """Passes a stream on event by event.
+    """Forwards a stream event by event.
 
     Parameters
     ----------
     outlet : Outlet
-        The caller's side.
-    cutter : EventCutter
-        Keeps the events of all attempts in one order.
+        Response to the caller.
+    splitter : EventSplitter
+        Splits the stream; shared by all attempts of the request.
     on_events : callable
-        Told how many events are passed on, and their bytes.
+        Called with the number of forwarded events and their bytes.
     """
 
     def __init__(
@@ -106,35 +107,35 @@
         codec: Codec,
         request_id: str,
         outlet: Outlet,
-        cutter: EventCutter,
+        splitter: EventSplitter,
         on_events: Callable[[int, int], None],
     ) -> None:
         super().__init__(codec, request_id)
         self.outlet = outlet
-        self.cutter = cutter
+        self.splitter = splitter
         self.on_events = on_events
 
     @property
     def full(self) -> bool:
-        """Whether reading is to pause until the caller caught up."""
+        """Whether reading should pause until the caller has caught up."""
         return self.outlet.full
 
     def write(self, chunk: bytes) -> None:
-        """Pass on the events that are whole now."""
-        if not self.good or self.problem or self.closed:
+        """Forward the events that are complete now."""
+        if not self.is_success or self.problem or self.closed:
             super().write(chunk)
             return
-        events = self.cutter.feed(chunk)
-        self.problem = self.cutter.broken
+        events = self.splitter.feed(chunk)
+        self.problem = self.splitter.error
         if not events:
             return
         self._start_outlet()
-        piece = b''.join(event.raw for event in events)
-        self.on_events(len(events), len(piece))
-        self.outlet.write(piece)
+        chunk = b''.join(event.raw for event in events)
+        self.on_events(len(events), len(chunk))
+        self.outlet.write(chunk)
 
     def _start_outlet(self) -> None:
-        # One answer keeps the head of its first target also where another
-        # one goes on with it.
+        # A response keeps the headers of its first target even if another
+        # target resumes it.
         if not self.outlet.started:
             self.outlet.start(self.head.status, self.head.headers)
--- a/src/balsamreach/relay/journal.py
+++ b/src/balsamreach/relay/journal.py
@@ -1,4 +1,4 @@
-"""Log lines and counters of requests that are passed through."""
+"""Log messages and metrics of relayed requests."""
 
 import logging
 from typing import TYPE_CHECKING
@@ -12,10 +12,10 @@
 from balsamreach.telemetry.metrics import Metrics
 
 if TYPE_CHECKING:
-    from balsamreach.relay.tries import Tries
+    from balsamreach.relay.tries import RelayAttempts
 
-ENDED = 'balsamreach_relay_requests_total'
-LASTED = 'balsamreach_relay_request_seconds'
+REQUESTS_TOTAL = 'balsamreach_relay_requests_total'
+REQUEST_SECONDS = 'balsamreach_relay_request_seconds'
 
 _logger = logging.getLogger(__name__)
 _MS = 1000
@@ -23,31 +23,45 @@
 
 @attrs.define
 class RequestLog:
-    """Tells how each request ended.
+    """Records how each request ended.
 
     Parameters
     ----------
     clock : Clock
-        Time.
+        Source of the current time.
     metrics : Metrics
-        Counters.
+        Counts requests by outcome and observes their duration.
     """
 
     clock: Clock
     metrics: Metrics
 
-    def ended(
+    def record_end(
         self,
         call: RelayCall,
-        tries: 'Tries',
+        attempts: 'RelayAttempts',
         fault: RelayFault | None,
         started: float,
     ) -> None:
-        """Log and count the end of a request."""
+        """Log and count the end of a request.
+
+        Parameters
+        ----------
+        call : RelayCall
+            The request.
+        attempts : RelayAttempts
+            Its attempts.
+        fault : RelayFault or None
+            Why it got no target's response; None if it got one.
+        started : float
+            Monotonic seconds at which it began.
+        """
         outcome = 'answered' if fault is None else fault.code
-        lasted = self.clock.now() - started
-        self.metrics.count(ENDED, outcome=outcome, service=call.service)
-        self.metrics.observe(LASTED, lasted, service=call.service)
+        duration = self.clock.now() - started
+        self.metrics.count(
+            REQUESTS_TOTAL, outcome=outcome, service=call.service
+        )
+        self.metrics.observe(REQUEST_SECONDS, duration, service=call.service)
         log_event(
             _logger,
             logging.INFO if fault is None else logging.WARNING,
@@ -58,14 +72,14 @@
             outcome=outcome,
             route=call.route.name,
             configuration=call.catalogue_version,
-            took_ms=round(lasted * _MS),
+            took_ms=round(duration * _MS),
             left_ms=round((call.deadline - self.clock.now()) * _MS),
-            targets=tries.told,
-            events=tries.events,
-            ran=tries.may_have_run,
-            reserved=tries.tab.most,
-            charged=tries.tab.used,
-            first_event_ms=tries.rhythm.first_event_ms,
-            longest_gap_ms=tries.rhythm.longest_gap_ms,
+            targets=attempts.outcomes,
+            events=attempts.events,
+            ran=attempts.may_have_run,
+            reserved=attempts.reservation.tokens,
+            charged=attempts.reservation.used,
+            first_event_ms=attempts.timing.first_event_ms,
+            longest_gap_ms=attempts.timing.longest_gap_ms,
             input_tokens=call.prompt and call.prompt.tokens,
         )
--- a/src/balsamreach/relay/metered.py
+++ b/src/balsamreach/relay/metered.py
@@ -1,4 +1,4 @@
-"""Meters passed-through requests against prepaid budgets."""
+"""Charges relayed requests to prepaid budgets."""
 
 import attrs
 
@@ -9,55 +9,55 @@
 from balsamreach.relay import faults
 from balsamreach.relay.call import RelayCall
 from balsamreach.relay.faults import RelayFault
-from balsamreach.relay.spending import Spending, Tab
+from balsamreach.relay.spending import Reservation, Spending
 
 
 @attrs.define
 class MeteredSpending(Spending):
-    """Charges teams whose tokens are prepaid.
+    """Charges the teams whose tokens are prepaid.
 
     Parameters
     ----------
     holdings : Holdings
-        What this router may spend.
+        Tokens that this router may spend.
     view : CatalogueView
-        What is prepaid.
+        Prepaid tokens of each team.
     currency : Currency
-        Whether that is known to be the newest word.
+        Confirms that the view is up to date.
     """
 
     holdings: Holdings
     view: CatalogueView
     currency: Currency
 
-    async def open(self, call: RelayCall) -> Tab | RelayFault:
-        """Set the request's worst case aside."""
+    async def reserve(self, call: RelayCall) -> Reservation | RelayFault:
+        """Reserve the maximum number of tokens that the request may use."""
         prepaid = self.view.prepaid(call.team_name)
         if call.prompt is None or prepaid is None:
-            return Tab()
+            return Reservation()
         tokens = call.prompt.max_tokens
         reserved = await self.holdings.reserve(call.team_name, tokens)
-        if reserved == EXHAUSTED and self._exceeds(call):
-            # The budget may have been raised by a version that isn't here.
+        if reserved == EXHAUSTED and self._exceeds_balance(call):
+            # A newer version of the configuration may have raised the budget.
             if not await self.currency.confirm():
                 return _unreachable(reserved)
-            if self._exceeds(call):
+            if self._exceeds_balance(call):
                 return faults.BUDGET_EXHAUSTED.because(reserved.reason)
             reserved = await self.holdings.reserve(call.team_name, tokens)
         if isinstance(reserved, BudgetFault):
             return _unreachable(reserved)
-        return Tab(most=tokens, hold=reserved)
+        return Reservation(tokens=tokens, hold=reserved)
 
-    def close(self, call: RelayCall, tab: Tab) -> None:
-        """Charge what was used; the rest is free again."""
-        if tab.hold is not None:
-            self.holdings.charge(tab.hold, tab.used)
+    def charge(self, call: RelayCall, reservation: Reservation) -> None:
+        """Charge the tokens used and release the rest."""
+        if reservation.hold is not None:
+            self.holdings.charge(reservation.hold, reservation.used)
 
-    def _exceeds(self, call: RelayCall) -> bool:
+    def _exceeds_balance(self, call: RelayCall) -> bool:
         # The account may have nothing left while other routers hold tokens
-        # that they will hand back. "Exhausted" is told only where what this
-        # router, or the team's home, has seen spent proves it for the whole
-        # balance.
+        # that they will return. So the budget counts as exhausted only if the
+        # spending that this router, or the team's home, has seen proves it
+        # for the whole balance.
         prepaid = self.view.prepaid(call.team_name)
         if prepaid is None:
             return False
--- a/src/balsamreach/relay/outlet.py
+++ b/src/balsamreach/relay/outlet.py
@@ -1,16 +1,17 @@
-"""Where the answer to one caller goes."""
+"""Abstract base of the response to one caller."""
 
 import abc
 from collections.abc import Sequence
 
 
 class Outlet(abc.ABC):
-    """Writes one answer to its caller.
+    """Writes one response to its caller.
 
     Parameters
     ----------
     started : bool
-        Whether the head has left, so that no other answer can be given.
+        Whether the headers have been sent, so that no other response can be
+        given.
     """
 
     started: bool = False
@@ -18,11 +19,11 @@
     @property
     @abc.abstractmethod
     def full(self) -> bool:
-        """Whether the caller reads so slowly that reading should pause."""
+        """Whether the caller is so slow that reading should pause."""
 
     @abc.abstractmethod
     def start(self, status: int, headers: Sequence[tuple[str, str]]) -> None:
-        """Send the head."""
+        """Send the status and headers."""
 
     @abc.abstractmethod
     def write(self, chunk: bytes) -> None:
@@ -30,8 +31,8 @@
 
     @abc.abstractmethod
     def finish(self) -> None:
-        """End the answer in order."""
+        """End the response normally."""
 
     @abc.abstractmethod
     def abort(self) -> None:
-        """Break the answer off, so that it can't be taken for whole."""
+        """Abort the response, so that it can't look complete."""
--- a/src/balsamreach/relay/repeats.py
+++ b/src/balsamreach/relay/repeats.py
@@ -1,4 +1,4 @@
-"""Bounds how often requests are sent to another target."""
+"""Bounds the retries of requests at other targets."""
 
 from collections import deque
 from collections.abc import Callable
@@ -7,42 +7,43 @@
 
 from balsamreach.clock import Clock
 
-#: Steps in which a window moves on.
+#: Steps into which the sliding window is divided.
 _STEPS = 10
-#: Routers that share the slack where fewer are known: one that has just
-#: started knows none yet.
-_FEWEST_ROUTERS = 16
+#: Minimum number of routers that the slack is divided among: a router that
+#: has just started knows no others yet.
+_MIN_ROUTERS = 16
 
 
 @attrs.define
 class _Step:
-    began: float
-    first: int = 0
-    again: int = 0
+    started: float
+    first_attempts: int = 0
+    retries: int = 0
 
 
 @attrs.define
 class Repeats:
-    """Repeats of each service in a sliding window, as a share of requests.
+    """Bounds retries to a share of the requests in a sliding window.
 
-    Load pattern: a part of the targets fails, and every request there comes
-    again. All routers together must stay within the users' share in each
-    window. A router keeps to it for the requests that came through itself,
-    so no message is needed. A bucket that fills while all is well would not
-    do: it lets a burst go that its window doesn't pay for.
+    Load pattern: some of the targets fail, and every request there is
+    retried. All routers together must stay within the users' share of
+    retries in each window. Each router applies the share to the requests that
+    it received itself, so no messages are needed. A token bucket would not
+    do: it fills while nothing fails, and then allows a burst that exceeds the
+    share of its window.
 
     Parameters
     ----------
     share : float
-        Repeats for each request.
+        Retries for each request.
     slack : float
-        Repeats that all routers may send in a window beyond that.
+        Further retries of all routers together in a window.
     window : float
-        Seconds.
+        Length of the window in seconds.
     clock : Clock
-        Time.
+        Source of the current time.
     routers : callable
-        Returns how many routers share the slack, dead ones included.
+        Returns how many routers share the slack, including dead ones.
     """
 
     share: float
@@ -50,35 +51,35 @@
     window: float
     clock: Clock
     routers: Callable[[], int]
-    _most_routers: int = _FEWEST_ROUTERS
+    _max_routers: int = _MIN_ROUTERS
     _steps: dict[str, deque[_Step]] = attrs.field(factory=dict)
 
-    def first(self, service: str) -> None:
-        """Take note of a request's first attempt."""
-        self._newest(service).first += 1
+    def record_first(self, service: str) -> None:
+        """Record the first attempt of a request to a service."""
+        self._newest(service).first_attempts += 1
 
-    def again(self, service: str) -> bool:
-        """Return whether a repeat may be sent; it is counted."""
+    def allow_retry(self, service: str) -> bool:
+        """Return whether a retry is allowed, and count it if so."""
         newest = self._newest(service)
         steps = self._steps[service]
         allowed = self._own_slack()
-        allowed += self.share * sum(step.first for step in steps)
-        if sum(step.again for step in steps) + 1 > allowed:
+        allowed += self.share * sum(step.first_attempts for step in steps)
+        if sum(step.retries for step in steps) + 1 > allowed:
             return False
-        newest.again += 1
+        newest.retries += 1
         return True
 
     def _own_slack(self) -> float:
-        # A router that is cut off forgets the others after a while. They
-        # send repeats all the same, so the most that were ever known count.
-        self._most_routers = max(self._most_routers, self.routers())
-        return self.slack / self._most_routers
+        # A router that is cut off forgets the others after a while, but they
+        # still send retries. So the largest number ever known counts.
+        self._max_routers = max(self._max_routers, self.routers())
+        return self.slack / self._max_routers
 
     def _newest(self, service: str) -> _Step:
         now = self.clock.now()
         steps = self._steps.setdefault(service, deque())
-        while steps and steps[0].began <= now - self.window:
+        while steps and steps[0].started <= now - self.window:
             steps.popleft()
-        if not steps or now >= steps[-1].began + self.window / _STEPS:
+        if not steps or now >= steps[-1].started + self.window / _STEPS:
             steps.append(_Step(now))
         return steps[-1]
--- a/src/balsamreach/relay/run.py
+++ b/src/balsamreach/relay/run.py
@@ -1,4 +1,4 @@
-"""One passed-through request from its admission to its last byte."""
+"""The processing of one relayed request, from admission to response."""
 
 import asyncio
 
@@ -12,15 +12,15 @@
 from balsamreach.relay.host_link import HostLink
 from balsamreach.relay.journal import RequestLog
 from balsamreach.relay.outlet import Outlet
-from balsamreach.relay.returns import Returns
-from balsamreach.relay.spending import Spending, Tab
+from balsamreach.relay.retry_jitter import RetryJitter
+from balsamreach.relay.spending import Reservation, Spending
 from balsamreach.relay.suspects import Suspects
-from balsamreach.relay.tries import Tries, TryParts
+from balsamreach.relay.tries import RelayAttempts, TryParts
 
 
 @attrs.frozen(kw_only=True)
 class RunParts:
-    """What every request runs on."""
+    """The services that process every request."""
 
     codec: Codec
     spending: Spending
@@ -29,21 +29,21 @@
     tries: TryParts
     clock: Clock
     log: RequestLog
-    returns: Returns = attrs.field(factory=Returns)
+    returns: RetryJitter = attrs.field(factory=RetryJitter)
 
 
 @attrs.define(eq=False)
 class RelayRun:
-    """A request on its way.
+    """Processes one request.
 
     Parameters
     ----------
     parts : RunParts
-        What it runs on.
+        The services that it needs.
     call : RelayCall
         The request.
     outlet : Outlet
-        The caller's side.
+        Response to the caller.
     """
 
     parts: RunParts
@@ -51,67 +51,71 @@
     outlet: Outlet
 
     async def run(self) -> None:
-        """Answer the request; whatever happens, it gets a final answer."""
+        """Process the request; the caller always gets a final response."""
         started = self.parts.clock.now()
-        tries = Tries(self.parts.tries, self.call, self.outlet)
+        attempts = RelayAttempts(self.parts.tries, self.call, self.outlet)
         fault: RelayFault | None = faults.ABANDONED
         try:
-            fault = await self._admit(tries)
+            fault = await self._admit(attempts)
         finally:
-            self.parts.log.ended(self.call, tries, fault, started)
+            self.parts.log.record_end(self.call, attempts, fault, started)
         if fault is not None:
             self._refuse(fault)
 
-    async def _admit(self, tries: Tries) -> RelayFault | None:
-        self.parts.link.carry(self.call.size)
+    async def _admit(self, attempts: RelayAttempts) -> RelayFault | None:
+        self.parts.link.add(self.call.size)
         refusal = self.parts.suspects.check(self.call)
         if refusal is None:
-            refusal = self.parts.tries.chooser.refuse(self.call)
+            refusal = self.parts.tries.chooser.refusal(self.call)
         if refusal is not None:
             return refusal
-        left = self.call.deadline - self.parts.clock.now()
-        if left <= 0:
-            return faults.TOO_LATE.because('its time was over as it came')
+        time_left = self.call.deadline - self.parts.clock.now()
+        if time_left <= 0:
+            return faults.TOO_LATE.because(
+                'its time limit had passed on arrival'
+            )
         try:
-            async with asyncio.timeout(left):
-                return await self._spend(tries)
+            async with asyncio.timeout(time_left):
+                return await self._run_charged(attempts)
         except TimeoutError:
-            if tries.may_have_run:
-                return faults.TIMED_OUT.because('its time is over')
-            return faults.TOO_LATE.because('its time is over')
-
-    async def _spend(self, tries: Tries) -> RelayFault | None:
-        tab = await self.parts.spending.open(self.call)
-        if isinstance(tab, RelayFault):
-            return tab
-        tries.tab = tab
+            if attempts.may_have_run:
+                return faults.TIMED_OUT.because('its time limit has passed')
+            return faults.TOO_LATE.because('its time limit has passed')
+
+    async def _run_charged(self, attempts: RelayAttempts) -> RelayFault | None:
+        reservation = await self.parts.spending.reserve(self.call)
+        if isinstance(reservation, RelayFault):
+            return reservation
+        attempts.reservation = reservation
         try:
-            return await tries.run()
+            return await attempts.run()
         finally:
-            self._charge(tries, tab)
+            self._charge(attempts, reservation)
 
-    def _charge(self, tries: Tries, tab: Tab) -> None:
-        if tries.may_have_run and self.call.prompt is not None:
-            tab.read = self.call.prompt.tokens
-        self.parts.spending.close(self.call, tab)
+    def _charge(
+        self, attempts: RelayAttempts, reservation: Reservation
+    ) -> None:
+        if attempts.may_have_run and self.call.prompt is not None:
+            reservation.prompt_tokens = self.call.prompt.tokens
+        self.parts.spending.charge(self.call, reservation)
 
     def _refuse(self, fault: RelayFault) -> None:
         if self.outlet.started:
-            # The head of a success is out already; only a broken connection
-            # tells the caller that its answer is not whole.
+            # The headers of a success have been sent already; only a broken
+            # connection shows the caller that its response is incomplete.
             self.outlet.abort()
             return
-        fault = self.parts.returns.spread(self._put_off(fault))
+        fault = self.parts.returns.spread(self._delay_retry(fault))
         answer = self.parts.codec.refuse(fault)
         self.outlet.start(answer.status, answer.headers)
         self.outlet.write(answer.body)
         self.outlet.finish()
 
-    def _put_off(self, fault: RelayFault) -> RelayFault:
-        """Let the caller come back no sooner than a target takes requests."""
+    def _delay_retry(self, fault: RelayFault) -> RelayFault:
+        """Raise the retry time until a target accepts requests again."""
         if not fault.retry_after:
             return fault
-        refusal = self.parts.tries.chooser.refuse(self.call)
+        refusal = self.parts.tries.chooser.refusal(self.call)
         if refusal != faults.TARGETS_BACK_OFF:
             return fault
         wait = max(fault.retry_after, refusal.retry_after)
--- a/src/balsamreach/relay/spending.py
+++ b/src/balsamreach/relay/spending.py
@@ -1,4 +1,4 @@
-"""Sets tokens of a prepaid budget aside for a request, and charges them."""
+"""Reserves tokens of a prepaid budget for a request, and charges them."""
 
 import abc
 
@@ -9,50 +9,50 @@
 
 
 @attrs.define(eq=False)
-class Tab:
-    """What one request has set aside and used so far.
+class Reservation:
+    """The tokens that one request has reserved and used so far.
 
     Parameters
     ----------
-    most : int
-        Tokens set aside.
-    read : int
-        Tokens of the prompt, once a target may have begun with it.
-    output : int
-        Tokens that went to the caller.
+    tokens : int
+        Reserved tokens.
+    prompt_tokens : int
+        Tokens of the prompt, once a target may have processed it; 0 before.
+    output_tokens : int
+        Tokens that were sent to the caller.
     hold : object
-        The budget's own record of it; None where nothing is metered.
+        The budget's record of the reservation; None if nothing is charged.
     """
 
-    most: int = 0
-    read: int = 0
-    output: int = 0
+    tokens: int = 0
+    prompt_tokens: int = 0
+    output_tokens: int = 0
     hold: object = None
 
     @property
     def used(self) -> int:
-        """Tokens to be charged, never more than were set aside."""
-        return min(self.most, self.read + self.output)
+        """Tokens to charge, at most the reserved ones."""
+        return min(self.tokens, self.prompt_tokens + self.output_tokens)
 
 
 class Spending(abc.ABC):
-    """The budgets of all teams, as the relay uses them."""
+    """Reserves and charges tokens of the budgets of all teams."""
 
     @abc.abstractmethod
-    async def open(self, call: RelayCall) -> Tab | RelayFault:
-        """Set the request's worst case aside."""
+    async def reserve(self, call: RelayCall) -> Reservation | RelayFault:
+        """Reserve the maximum number of tokens that the request may use."""
 
     @abc.abstractmethod
-    def close(self, call: RelayCall, tab: Tab) -> None:
-        """Charge what was used; the rest is free again."""
+    def charge(self, call: RelayCall, reservation: Reservation) -> None:
+        """Charge the tokens used and release the rest."""
 
 
-class FreeSpending(Spending):
-    """Meters nothing."""
+class UnmeteredSpending(Spending):
+    """Charges nobody."""
 
-    async def open(self, call: RelayCall) -> Tab | RelayFault:
-        """Set nothing aside."""
-        return Tab()
+    async def reserve(self, call: RelayCall) -> Reservation | RelayFault:
+        """Reserve nothing."""
+        return Reservation()
 
-    def close(self, call: RelayCall, tab: Tab) -> None:
+    def charge(self, call: RelayCall, reservation: Reservation) -> None:
         """Charge nothing."""
--- a/src/balsamreach/relay/suspects.py
+++ b/src/balsamreach/relay/suspects.py
@@ -1,4 +1,4 @@
-"""Keeps requests that crash their targets away from further ones."""
+"""Quarantine of requests that crash their targets."""
 
 import attrs
 
@@ -15,34 +15,33 @@
 
 @attrs.define
 class Suspects:
-    """The quarantine, in the terms of the relay.
+    """Applies the quarantine to relayed requests.
 
-    A request that crashes its target is sent again by its caller, with the
-    same path, team and body but another identity. Without this it would take
-    one target after the other; it would show as targets of one service that
-    restart in turn.
+    A caller retries a request that crashes its target, with the same path,
+    team and body but another id. Without the quarantine it would crash one
+    target of its service after the other.
 
     Parameters
     ----------
     quarantine : Quarantine
-        What is known of requests that were at crashes.
+        Records the requests that were in progress at crashes.
     """
 
     quarantine: Quarantine
 
     def check(self, call: RelayCall) -> RelayFault | None:
-        """Return why a request must not run, None if it may."""
+        """Return why a request must not be sent, None if it may be."""
         refusal = self.quarantine.check(call.fingerprint)
         if refusal is None:
             return None
         return faults.QUARANTINED.because(refusal.reason)
 
-    def ended(self, call: RelayCall, place: Place) -> None:
-        """Take note of an exchange that ended in order."""
+    def record_end(self, call: RelayCall, place: Place) -> None:
+        """Record an attempt that ended without a broken connection."""
         self.quarantine.finished(call.fingerprint, place.incarnation)
 
-    def broke(self, call: RelayCall, place: Place) -> None:
-        """Take note of a connection that broke while the request ran."""
+    def record_break(self, call: RelayCall, place: Place) -> None:
+        """Record that the connection broke while the request ran."""
         self.quarantine.broken(
             call.fingerprint,
             call.team_name,
@@ -50,8 +49,8 @@
             place.incarnation,
         )
 
-    def refused(self, place: Place) -> None:
-        """Take note that nobody listens at a target: it has crashed."""
+    def record_refused(self, place: Place) -> None:
+        """Record that a target refuses connections: it has crashed."""
         self.quarantine.refused(place.incarnation)
 
 
@@ -61,16 +60,18 @@
     metrics: Metrics,
     net: PeerNet | None = None,
 ) -> Suspects:
-    """Make a quarantine that other routers share.
+    """Return a quarantine that is shared with other routers.
 
     Parameters
     ----------
     crash_targets : int
-        Targets after which a request is kept away.
-    clock, metrics
-        Time and counters.
+        Number of crashed targets after which a request is quarantined.
+    clock : Clock
+        Source of the current time.
+    metrics : Metrics
+        Counts quarantined requests.
     net : PeerNet or None
-        Other routers, which are told of requests that were at a crash.
+        The other routers, which are informed about crashes; None for none.
     """
     records = SuspectRecords(crash_targets)
     return Suspects(Quarantine(records, clock, metrics, net))
--- a/src/balsamreach/relay/tries.py
+++ b/src/balsamreach/relay/tries.py
@@ -1,4 +1,4 @@
-"""Sends a request to targets until one has answered it."""
+"""Sends a request to targets until one of them responds."""
 
 import asyncio
 from functools import partial
@@ -13,34 +13,34 @@
 from balsamreach.relay.call import RelayCall
 from balsamreach.relay.chooser import Chooser, InFlight
 from balsamreach.relay.codec import Codec
-from balsamreach.relay.events import EventCutter
+from balsamreach.relay.event_timing import EventTiming
+from balsamreach.relay.events import EventSplitter
 from balsamreach.relay.exchange import Exchange, Outgoing
 from balsamreach.relay.faults import RelayFault
-from balsamreach.relay.host_link import PIECE_BYTES, HostLink
+from balsamreach.relay.host_link import CHUNK_OVERHEAD_BYTES, HostLink
 from balsamreach.relay.intakes import AnswerIntake, StreamIntake
 from balsamreach.relay.outlet import Outlet
 from balsamreach.relay.repeats import Repeats
-from balsamreach.relay.rhythm import Rhythm
-from balsamreach.relay.spending import Tab
+from balsamreach.relay.spending import Reservation
 from balsamreach.relay.verdicts import Judge, Verdict
 
-#: Tries to connect for one request; those that got no connection reached no
-#: target and don't count against the route's own limit.
-_MOST_CONNECTS = 4
+#: Maximum number of attempts for one request. Attempts without a connection
+#: reached no target and don't count against the route's own limit.
+_MAX_TRIES = 4
 
 
 @attrs.frozen(kw_only=True)
 class TryParts:
-    """What every request is tried with.
+    """The services that all attempts need.
 
     Parameters
     ----------
     notices : Notices
-        Takes what targets say of themselves.
+        Applies the notices in response headers.
     link : HostLink
-        Counts what crosses the host's link.
+        Counts the bytes that cross the host's link.
     stream_gap : float
-        Seconds of silence after which a stream is given up.
+        Seconds of silence after which a stream is aborted.
     """
 
     codec: Codec
@@ -55,58 +55,58 @@
 
 
 @attrs.define(eq=False)
-class Tries:
+class RelayAttempts:
     """The attempts of one request.
 
     Parameters
     ----------
     parts : TryParts
-        What they are made with.
+        The services that they need.
     call : RelayCall
         The request.
     outlet : Outlet
-        The caller's side.
-    tab : Tab
-        What the request has used.
+        Response to the caller.
+    reservation : Reservation
+        Tokens that the request has reserved and used.
     may_have_run : bool
-        Whether a target may have run it.
+        Whether a target may have run the request.
     events : int
-        Events that went to the caller.
-    told : list of str
-        Targets and how each attempt ended, for the log.
-    rhythm : Rhythm
-        When its events came.
+        Events that were sent to the caller.
+    outcomes : list of str
+        Target and outcome of each attempt, for the log.
+    timing : EventTiming
+        Arrival times of the events.
     """
 
     parts: TryParts
     call: RelayCall
     outlet: Outlet
-    tab: Tab = attrs.field(factory=Tab)
+    reservation: Reservation = attrs.field(factory=Reservation)
     may_have_run: bool = False
     events: int = 0
-    told: list[str] = attrs.field(factory=list)
-    rhythm: Rhythm = attrs.field(init=False)
-    _cutter: EventCutter = attrs.field(factory=EventCutter)
+    outcomes: list[str] = attrs.field(factory=list)
+    timing: EventTiming = attrs.field(init=False)
+    _splitter: EventSplitter = attrs.field(factory=EventSplitter)
     _tried: set[str] = attrs.field(factory=set)
-    _sent: int = 0
+    _reached: int = 0
 
     def __attrs_post_init__(self) -> None:
-        """Begin where the caller wants the stream to go on."""
-        self.rhythm = Rhythm(self.parts.clock.now())
+        """Set the event after which the caller wants the stream to resume."""
+        self.timing = EventTiming(self.parts.clock.now())
         if self.call.last_event.isdecimal():
-            self._cutter.last = int(self.call.last_event)
+            self._splitter.last_id = int(self.call.last_event)
 
     async def run(self) -> RelayFault | None:
-        """Try one target after the other as far as that is allowed.
+        """Try one target after the other, as far as retries are allowed.
 
         Returns
         -------
         RelayFault or None
-            None if the caller has its answer.
+            Why the request failed; None if the caller has its response.
         """
-        self.parts.repeats.first(self.call.service)
-        fault = faults.NO_TARGET.because('no target takes requests')
-        for _ in range(_MOST_CONNECTS):
+        self.parts.repeats.record_first(self.call.service)
+        fault = faults.NO_TARGET.because('no target accepts requests')
+        for _ in range(_MAX_TRIES):
             place = self.parts.chooser.choose(self.call, self._tried)
             if place is None:
                 return fault
@@ -114,30 +114,32 @@
             if ended is None:
                 return None
             fault = ended
-            if not self._may_go_on(fault):
+            if not self._may_retry(fault):
                 return fault
         return fault
 
     async def _try(self, place: Place) -> RelayFault | None:
         self._tried.add(place.incarnation)
-        intake = self._intake()
+        intake = self._make_intake()
         in_flight = self.parts.chooser.begin(self.call, place)
-        self.parts.link.carry(self.call.size)
-        intake.on_head = partial(self._take_head, place, in_flight, intake)
+        self.parts.link.add(self.call.size)
+        intake.on_head = partial(self._on_head, place, in_flight, intake)
         try:
-            end = await self.parts.exchange.send(self._outgoing(place), intake)
+            end = await self.parts.exchange.send(
+                self._make_outgoing(place), intake
+            )
         except asyncio.CancelledError:
-            # Nobody judges this attempt; a probe would keep its target
-            # closed for good.
+            # This attempt gets no verdict, so a probe that is not released
+            # would withhold requests from its target for good.
             place.breaker.release_probe()
-            self.told.append(f'{place.incarnation} cancelled')
+            self.outcomes.append(f'{place.incarnation} cancelled')
             raise
         finally:
             intake.close()
-            self._leave(in_flight, intake)
-        return self._conclude(place, intake, end)
+            self._end_exchange(in_flight, intake)
+        return self._finish_attempt(place, intake, end)
 
-    def _take_head(
+    def _on_head(
         self,
         place: Place,
         in_flight: InFlight,
@@ -145,14 +147,14 @@
         *_head: object,
     ) -> None:
         in_flight.head_received()
-        # Another target's answer says nothing of the one that was meant.
-        if intake.foreign or intake.misdirected:
+        # The response of another target doesn't apply to the intended one.
+        if intake.for_other_request or intake.misdirected:
             return
         self.parts.notices.apply(place, intake.head.notice)
         if not intake.declined:
             self.parts.notices.record_accepted(place)
 
-    def _conclude(
+    def _finish_attempt(
         self,
         place: Place,
         intake: AnswerIntake,
@@ -160,53 +162,53 @@
     ) -> RelayFault | None:
         verdict = self.parts.judge.judge(self.call, place, intake, end)
         fault = self._deliver(verdict, intake)
-        told = 'answered'
+        outcome = 'answered'
         if verdict.fault is not None:
-            told = verdict.fault.reason or verdict.fault.code
-        self.told.append(f'{place.incarnation} {told}')
+            outcome = verdict.fault.reason or verdict.fault.code
+        self.outcomes.append(f'{place.incarnation} {outcome}')
         return fault
 
-    def _leave(self, in_flight: InFlight, intake: AnswerIntake) -> None:
+    def _end_exchange(self, in_flight: InFlight, intake: AnswerIntake) -> None:
         in_flight.end()
         if not intake.sent:
             return
-        # Where another target has the address, nobody meant got the request;
-        # it still counts as a repeat there.
+        # If another target has the address, the request didn't reach the
+        # intended one, but it still counts as a retry.
         if not intake.misdirected:
-            self._sent += 1
+            self._reached += 1
         if not intake.declined:
             self.may_have_run = True
 
-    def _intake(self) -> AnswerIntake:
+    def _make_intake(self) -> AnswerIntake:
         codec, request_id = self.parts.codec, self.call.request_id
         if not self.call.route.streams:
             return AnswerIntake(codec, request_id)
-        self._cutter.restart()
+        self._splitter.discard_partial()
         return StreamIntake(
             codec,
             request_id,
             self.outlet,
-            self._cutter,
+            self._splitter,
             self._count_events,
         )
 
     def _count_events(self, events: int, size: int) -> None:
-        # It came from the target, and goes to the caller.
-        self.parts.link.carry(2 * (size + PIECE_BYTES))
-        self.rhythm.note(self.parts.clock.now())
+        # Twice: received from the target and sent to the caller.
+        self.parts.link.add(2 * (size + CHUNK_OVERHEAD_BYTES))
+        self.timing.record(self.parts.clock.now())
         self.events += events
-        most = self.parts.chooser.tokens_per_event(self.call)
-        self.tab.output += events * most
+        per_event = self.parts.chooser.tokens_per_event(self.call)
+        self.reservation.output_tokens += events * per_event
 
-    def _outgoing(self, place: Place) -> Outgoing:
-        left = self.call.deadline - self.parts.clock.now()
+    def _make_outgoing(self, place: Place) -> Outgoing:
+        time_left = self.call.deadline - self.parts.clock.now()
         last_event = self.call.last_event
-        if self._cutter.last >= 0:
-            last_event = str(self._cutter.last)
+        if self._splitter.last_id >= 0:
+            last_event = str(self._splitter.last_id)
         headers = self.parts.codec.target_headers(
             self.call,
             place.entry,
-            left,
+            time_left,
             last_event,
         )
         return Outgoing(
@@ -219,15 +221,15 @@
             gap=self.parts.stream_gap if self.call.route.streams else 0,
         )
 
-    def _may_go_on(self, fault: RelayFault) -> bool:
+    def _may_retry(self, fault: RelayFault) -> bool:
         if fault == faults.NO_TARGET:
             return True
-        if not self._has_another_try():
+        if not self._can_retry():
             return False
-        return self.parts.repeats.again(self.call.service)
+        return self.parts.repeats.allow_retry(self.call.service)
 
-    def _has_another_try(self) -> bool:
-        if self._sent >= self.call.route.most_targets:
+    def _can_retry(self) -> bool:
+        if self._reached >= self.call.route.most_targets:
             return False
         if self.may_have_run and not self.call.repeatable:
             return False
@@ -242,21 +244,21 @@
     ) -> RelayFault | None:
         if not verdict.deliverable:
             return verdict.fault
-        if verdict.fault is not None and self._has_another_try():
+        if verdict.fault is not None and self._can_retry():
             return verdict.fault
-        if isinstance(intake, StreamIntake) and intake.good:
+        if isinstance(intake, StreamIntake) and intake.is_success:
             return self._finish_stream(intake)
         if self.outlet.started:
             return faults.BROKEN.because('the stream could not be resumed')
-        self.parts.link.carry(2 * len(intake.held))
+        self.parts.link.add(2 * len(intake.held))
         self.outlet.start(intake.head.status, intake.head.headers)
         self.outlet.write(bytes(intake.held))
         self.outlet.finish()
         return None
 
     def _finish_stream(self, intake: AnswerIntake) -> RelayFault | None:
-        if self._cutter.partial:
-            return faults.BROKEN.because('it ended within an event')
+        if self._splitter.has_partial:
+            return faults.BROKEN.because('the stream ended within an event')
         if not self.outlet.started:
             self.outlet.start(intake.head.status, intake.head.headers)
         self.outlet.finish()
--- a/src/balsamreach/relay/verdicts.py
+++ b/src/balsamreach/relay/verdicts.py
@@ -1,4 +1,4 @@
-"""Judges how an attempt ended, and tells those who keep count of it."""
+"""Classifies how an attempt ended, and records the result."""
 
 import attrs
 
@@ -16,14 +16,15 @@
 
 @attrs.frozen
 class Verdict:
-    """What became of an attempt.
+    """The result of an attempt.
 
     Parameters
     ----------
     fault : RelayFault or None
-        Why there is no good answer; None for a good one.
+        Why the attempt failed; None if it succeeded.
     deliverable : bool
-        Whether the answer, good or not, is the target's own and whole.
+        Whether the response, successful or not, is the target's own and
+        complete, so that it may be sent to the caller.
     """
 
     fault: RelayFault | None = None
@@ -32,14 +33,14 @@
 
 @attrs.define
 class Judge:
-    """Looks at the end of attempts.
+    """Classifies attempts when they have ended.
 
     Parameters
     ----------
     chooser : Chooser
-        Keeps away from targets that fail.
+        Withholds requests from targets that fail.
     suspects : Suspects
-        Keeps requests away that crash targets.
+        Quarantines requests that crash targets.
     """
 
     chooser: Chooser
@@ -52,45 +53,45 @@
         intake: AnswerIntake,
         end: UpstreamFault | None,
     ) -> Verdict:
-        """Return what became of an attempt.
+        """Return the result of an attempt.
 
         Parameters
         ----------
         call : RelayCall
             The request.
         place : Place
-            Where it went.
+            Target that it was sent to.
         intake : AnswerIntake
-            What came back.
+            The response.
         end : UpstreamFault or None
-            How the exchange ended; None in order.
+            Why the exchange failed; None if it ended normally.
         """
         if end == NOT_SENT:
-            return self._unreached(place, end)
+            return self._not_connected(place, end)
         if end is not None or intake.problem:
             return self._broken(call, place, intake, end)
-        self.suspects.ended(call, place)
+        self.suspects.record_end(call, place)
         head = intake.head
         if head.misdirected:
-            # The list lags. A target never comes back to an address that
-            # another one has, so it is out at once.
-            self.chooser.gone(place)
-            reason = 'another target has its address'
+            # The target list is outdated. A target never returns to an address
+            # that another one has, so it is removed at once.
+            self.chooser.remove(place)
+            reason = 'another target has the address'
             return Verdict(faults.MISDIRECTED.because(reason))
         if head.not_run:
-            self.chooser.rejected(place)
-            reason = f'the target declined with {head.status}'
+            self.chooser.record_rejection(place)
+            reason = f'the target declined with status {head.status}'
             return Verdict(faults.TARGETS_FULL.because(reason))
         if head.status >= _SERVER_ERROR:
-            self.chooser.failed(place, certain=False)
-            reason = f'the target failed with {head.status}'
+            self.chooser.record_failure(place, certain=False)
+            reason = f'the target failed with status {head.status}'
             return Verdict(faults.TARGET_FAILED.because(reason), True)
-        self.chooser.succeeded(place)
+        self.chooser.record_success(place)
         return Verdict(deliverable=True)
 
-    def _unreached(self, place: Place, end: UpstreamFault) -> Verdict:
-        self.suspects.refused(place)
-        self.chooser.failed(place, certain=True)
+    def _not_connected(self, place: Place, end: UpstreamFault) -> Verdict:
+        self.suspects.record_refused(place)
+        self.chooser.record_failure(place, certain=True)
         reason = f'no connection: {end.reason}'
         return Verdict(faults.NO_TARGET.because(reason))
 
@@ -101,10 +102,10 @@
         intake: AnswerIntake,
         end: UpstreamFault | None,
     ) -> Verdict:
-        # Silence is the network's as often as the target's; only a
-        # connection that broke speaks for a crash.
+        # Silence is as often the network's fault as the target's; only a
+        # broken connection indicates a crash.
         if end is not None and end != SILENT:
-            self.suspects.broke(call, place)
-        self.chooser.failed(place, certain=False)
+            self.suspects.record_break(call, place)
+        self.chooser.record_failure(place, certain=False)
         reason = intake.problem or (end and end.reason) or ''
         return Verdict(faults.BROKEN.because(reason))
--- a/tests/relay_samples.py
+++ b/tests/relay_samples.py
@@ -1,4 +1,4 @@
-"""A configuration, targets and requests for tests of the relay."""
+"""A configuration, target entries and requests for tests of the relay."""
 
 import attrs
 
@@ -76,7 +76,7 @@
 
 
 def entry(name: str, service: str, **fields) -> TargetEntry:
-    """Return an entry of the list of targets."""
+    """Return an entry of the target list."""
     return TargetEntry(
         target_id=name,
         service=service,
--- a/tests/relay_scripts.py
+++ b/tests/relay_scripts.py
@@ -1,4 +1,4 @@
-"""Scripted targets, and what a caller gets, for tests of the relay."""
+"""Scripted targets and a recording outlet for tests of the relay."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,8 +15,8 @@
 
 
 @attrs.frozen
-class Answered:
-    """A target that takes the request and answers it."""
+class Responding:
+    """A target that receives the request and responds."""
 
     status: int
     chunks: tuple[bytes, ...]
@@ -28,7 +28,7 @@
         _outgoing: Outgoing,
         intake: Intake,
     ) -> UpstreamFault | None:
-        """Play the answer."""
+        """Send the response."""
         assert intake.before_send()
         intake.start(self.status, self.headers)
         for chunk in self.chunks:
@@ -42,20 +42,20 @@
     end: UpstreamFault | None = None,
     **headers: str,
 ) -> Script:
-    """Return a target that answers, signed unless told otherwise."""
-    told = {name.replace('_', '-'): text for name, text in headers.items()}
-    kept = {name: text for name, text in (SIGNED | told).items() if text}
-    return Answered(status, chunks, end, kept)
+    """Return a target that responds, signed unless the headers differ."""
+    given = {name.replace('_', '-'): text for name, text in headers.items()}
+    merged = {name: text for name, text in (SIGNED | given).items() if text}
+    return Responding(status, chunks, end, merged)
 
 
-def unsent(fault: UpstreamFault) -> Script:
-    """Return a target that no byte reaches."""
+def unreachable(fault: UpstreamFault) -> Script:
+    """Return a target that can't be reached."""
     return lambda _outgoing, _intake: fault
 
 
 @attrs.frozen
-class Swallowed:
-    """A target that gets the request and answers nothing."""
+class Unresponsive:
+    """A target that receives the request and doesn't respond."""
 
     fault: UpstreamFault
 
@@ -64,13 +64,13 @@
         _outgoing: Outgoing,
         intake: Intake,
     ) -> UpstreamFault | None:
-        """Take the request."""
+        """Receive the request."""
         assert intake.before_send()
         return self.fault
 
 
 class ScriptedExchange(Exchange):
-    """Plays a script for each attempt in turn."""
+    """Runs one script for each attempt."""
 
     def __init__(self) -> None:
         self.scripts: list[Script] = []
@@ -82,7 +82,7 @@
         outgoing: Outgoing,
         intake: Intake,
     ) -> UpstreamFault | None:
-        """Play the next script."""
+        """Run the next script."""
         self.sent.append(outgoing)
         if self.hang:
             assert intake.before_send()
@@ -91,36 +91,36 @@
 
 
 class RecordingOutlet(Outlet):
-    """Keeps what a caller gets."""
+    """Records the response that a caller gets."""
 
     def __init__(self) -> None:
         self.started = False
         self.status = 0
         self.headers: dict[str, str] = {}
         self.body = b''
-        self.whole = False
-        self.broken = False
+        self.complete = False
+        self.aborted = False
 
     @property
     def full(self) -> bool:
-        """Never say that the caller is slow."""
+        """Always False: the caller is never slow."""
         return False
 
     def start(self, status, headers):
-        """Take the head."""
+        """Record the status and headers."""
         assert not self.started
         self.started = True
         self.status = status
         self.headers = {name.lower(): text for name, text in headers}
 
     def write(self, chunk):
-        """Take bytes."""
+        """Record bytes of the body."""
         self.body += chunk
 
     def finish(self):
-        """Take the end."""
-        self.whole = True
+        """Record the normal end."""
+        self.complete = True
 
     def abort(self):
-        """Take the break."""
-        self.broken = True
+        """Record that the response was aborted."""
+        self.aborted = True
--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -1,4 +1,4 @@
-"""One router's relay and a clock for tests, without sockets."""
+"""The relay of one router for tests, without sockets."""
 
 import asyncio
 import random
@@ -14,9 +14,9 @@
 from balsamreach.relay.host_link import HostLink
 from balsamreach.relay.journal import RequestLog
 from balsamreach.relay.repeats import Repeats
-from balsamreach.relay.returns import Returns
+from balsamreach.relay.retry_jitter import RetryJitter
 from balsamreach.relay.run import RelayRun, RunParts
-from balsamreach.relay.spending import FreeSpending, Spending
+from balsamreach.relay.spending import Spending, UnmeteredSpending
 from balsamreach.relay.suspects import make_suspects
 from balsamreach.relay.tries import TryParts
 from balsamreach.relay.verdicts import Judge
@@ -31,7 +31,7 @@
 class RelayWorld:
     """One router's relay with scripted targets."""
 
-    spending: Spending = attrs.field(factory=FreeSpending)
+    spending: Spending = attrs.field(factory=UnmeteredSpending)
     clock: FakeClock = attrs.field(factory=FakeClock)
     exchange: ScriptedExchange = attrs.field(factory=ScriptedExchange)
     metrics: Metrics = attrs.field(factory=Metrics)
@@ -43,7 +43,7 @@
     parts: RunParts = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Put the parts together, with two targets of each service."""
+        """Create the parts, with two targets of each service."""
         self.view.offer(CATALOGUE, 'test')
         self.chooser = make_chooser(
             'zone-a',
@@ -84,11 +84,11 @@
             tries=tries,
             clock=self.clock,
             log=RequestLog(self.clock, self.metrics),
-            returns=Returns(random.Random(1)),
+            returns=RetryJitter(random.Random(1)),
         )
 
     def run(self, call: RelayCall, *scripts: Script) -> RecordingOutlet:
-        """Run one request to its end."""
+        """Process one request, and return the caller's response."""
         self.exchange.scripts = list(scripts)
         outlet = RecordingOutlet()
         asyncio.run(RelayRun(self.parts, call, outlet).run())
--- a/tests/test_relay_host_link.py
+++ b/tests/test_relay_host_link.py
@@ -1,4 +1,4 @@
-"""Tests of how far requests fill a host's link."""
+"""Tests of the estimated load on a host's link."""
 
 import unittest
 
@@ -17,30 +17,30 @@
 
 
 class HostLinkTest(unittest.TestCase):
-    """What waits for the link is worked out from what was counted."""
+    """The backlog is estimated from the counted bytes."""
 
     @parameterized.expand(
         (
             ('idle', _MBIT, 0, 0, False),
-            ('little waits', _MBIT, 100_000, 0, False),
-            ('much waits', _MBIT, 110_000, 0, True),
-            ('much has waited', _MBIT, 110_000, 0.05, False),
-            ('much comes to a wide link', 200, 110_000, 0, False),
-            ('not known', 0, 10**9, 0, False),
+            ('small backlog', _MBIT, 100_000, 0, False),
+            ('large backlog', _MBIT, 110_000, 0, True),
+            ('backlog has drained', _MBIT, 110_000, 0.05, False),
+            ('fast link', 200, 110_000, 0, False),
+            ('unknown', 0, 10**9, 0, False),
         ),
     )
-    def test_full(self, _, mbit, size, seconds, expected):
+    def test_is_full(self, _, mbit, size, seconds, expected):
         clock = FakeClock()
         link = HostLink(mbit, clock)
-        link.carry(size)
+        link.add(size)
         clock.advance(seconds)
         self.assertEqual(link.is_full(), expected)
 
 
-class CountedTest(unittest.TestCase):
-    """Requests and answers are counted as often as they cross the link."""
+class RelayedBytesTest(unittest.TestCase):
+    """Requests and responses are counted each time they cross the link."""
 
-    def test_requests_and_answers_are_counted(self):
+    def test_requests_and_responses_are_counted(self):
         world = RelayWorld()
         world.link.mbit = _MBIT
         body = b'a' * 30_000
--- a/tests/test_relay_metered.py
+++ b/tests/test_relay_metered.py
@@ -1,4 +1,4 @@
-"""Tests of what a caller hears whose team has too few tokens."""
+"""Tests of requests whose team has too few tokens."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 @attrs.define
 class _Holdings:
-    """Holds nothing, and has seen some tokens spent."""
+    """Holdings without tokens that know the tokens spent."""
 
     used: int
     fault: object = budget_faults.EXHAUSTED
@@ -28,7 +28,7 @@
 
 @attrs.define
 class _Currency:
-    """Brings a configuration as it is asked."""
+    """Loads a newer configuration when it is asked to confirm."""
 
     view: CatalogueView
     confirms: bool
@@ -45,20 +45,26 @@
 
 
 class ExhaustedTest(unittest.IsolatedAsyncioTestCase):
-    """A budget is told to be out only where the newest word proves it."""
+    """A budget is exhausted only if the newest configuration proves it."""
 
     @parameterized.expand(
         [
             ('spent', True, 1000, 900, faults.BUDGET_EXHAUSTED),
-            ('held by others', True, 1000, 500, faults.BUDGET_UNREACHABLE),
-            ('nobody confirms', False, 1000, 900, faults.BUDGET_UNREACHABLE),
+            (
+                'held by other routers',
+                True,
+                1000,
+                500,
+                faults.BUDGET_UNREACHABLE,
+            ),
+            ('not confirmed', False, 1000, 900, faults.BUDGET_UNREACHABLE),
             ('topped up', True, 5000, 900, faults.BUDGET_UNREACHABLE),
         ]
     )
-    async def test_denied_by_a_budget_of_old(
+    async def test_budget_of_old_version(
         self, _, confirms, prepaid, used, fault
     ):
-        """Callers got 402 where a top-up had not come to their router."""
+        """A caller gets no 402 because a top-up hasn't reached its router."""
         view = CatalogueView()
         view.offer(_configuration(5, 1000), 'store')
         spending = MeteredSpending(
@@ -66,5 +72,5 @@
             view,
             _Currency(view, confirms, prepaid),
         )
-        refused = await spending.open(call(STREAM))
-        self.assertEqual(refused, fault)
+        refusal = await spending.reserve(call(STREAM))
+        self.assertEqual(refusal, fault)
--- a/tests/test_relay_rotation.py
+++ b/tests/test_relay_rotation.py
@@ -1,4 +1,4 @@
-"""Tests of when a router asks the balancer to leave it out."""
+"""Tests of when a router leaves the rotation of the load balancer."""
 
 import random
 import unittest
@@ -7,8 +7,12 @@
 from parameterized import parameterized
 
 from balsamreach.peers.homes import weigh
-from balsamreach.relay.host_link import HEAD_BYTES, PIECE_BYTES, HostLink
-from balsamreach.relay.rotation import LASTING_S, OUT_S, Rotation
+from balsamreach.relay.host_link import (
+    CHUNK_OVERHEAD_BYTES,
+    HEADER_BYTES,
+    HostLink,
+)
+from balsamreach.relay.rotation import FULL_FOR_S, MIN_OUT_S, Rotation
 from tests.support import FakeClock
 
 _MBIT = 10
@@ -16,7 +20,7 @@
 _HOSTS = 17
 _SECONDS = 20
 _TICK_S = 0.1
-#: Bytes of a body, events of an answer, and how often each kind comes.
+#: Bytes of the body, events of the response, and weight of each kind.
 _KINDS = (
     (12_000, 35, 57),
     (830, 26, 137),
@@ -29,133 +33,133 @@
 
 @attrs.define
 class Wire:
-    """A real link: what waits for it, and the longest wait so far."""
+    """A real link, with its backlog and the longest wait so far."""
 
-    waiting: float = 0
+    backlog: float = 0
     longest_s: float = 0
 
-    def pass_time(self):
-        """Carry what a tick allows."""
-        self.waiting = max(0, self.waiting - _TICK_S * _BYTES_A_SECOND)
-        wait_s = self.waiting / _BYTES_A_SECOND
+    def advance(self):
+        """Transfer the bytes that a tick allows."""
+        self.backlog = max(0, self.backlog - _TICK_S * _BYTES_A_SECOND)
+        wait_s = self.backlog / _BYTES_A_SECOND
         self.longest_s = max(self.longest_s, wait_s)
 
 
 @attrs.define(eq=False)
 class Host:
-    """A host with a router, and the balancer's view of it."""
+    """A host with a router, and the load balancer's view of it."""
 
     number: int
     clock: FakeClock
     wire: Wire = attrs.field(factory=Wire)
-    misses: int = 0
-    owed: float = 0
+    failed_checks: int = 0
+    pending: float = 0
     link: HostLink = attrs.field(init=False)
     rotation: Rotation = attrs.field(init=False)
 
     def __attrs_post_init__(self):
-        """Put the router's parts together."""
+        """Create the router's parts."""
         self.link = HostLink(_MBIT, self.clock)
         self.rotation = Rotation(self.link, self.clock)
 
-    def carry(self, size):
-        """Let bytes cross the link."""
-        self.link.carry(size)
-        self.wire.waiting += size
+    def send(self, size):
+        """Send bytes over the link."""
+        self.link.add(size)
+        self.wire.backlog += size
 
-    def take(self, body, events):
-        """Pass a request on; its answer comes in the next second."""
-        self.carry(2 * (body + HEAD_BYTES))
-        size = 2 * events * (_EVENT_BYTES + PIECE_BYTES)
-        self.owed += size
+    def relay(self, body, events):
+        """Relay a request; its response follows within about a second."""
+        self.send(2 * (body + HEADER_BYTES))
+        size = 2 * events * (_EVENT_BYTES + CHUNK_OVERHEAD_BYTES)
+        self.pending += size
 
     def tick(self):
-        """Let a tenth of a second pass."""
-        due = self.owed * _TICK_S / _EVENTS_LAST_S
-        self.owed -= due
-        self.carry(due)
-        self.wire.pass_time()
+        """Advance by a tenth of a second."""
+        due = self.pending * _TICK_S / _EVENTS_LAST_S
+        self.pending -= due
+        self.send(due)
+        self.wire.advance()
 
 
 def _choose(hosts):
-    """Return the host that the balancer hashes the team's callers to."""
-    present = [host for host in hosts if host.misses < 2] or hosts
+    """Return the host that the load balancer sends the team's callers to."""
+    present = [host for host in hosts if host.failed_checks < 2] or hosts
     return max(present, key=lambda host: weigh('team', str(host.number)))
 
 
-def _play(seed, rate, *, turns):
-    """Play one team's callers; return the longest wait for a link."""
+def _simulate(seed, rate, *, rotates):
+    """Simulate one team's callers; return the longest wait for a link."""
     rng, clock = random.Random(seed), FakeClock()
     hosts = [Host(number, clock) for number in range(_HOSTS)]
     for tick in range(round(_SECONDS / _TICK_S)):
         clock.advance(_TICK_S)
         for host in hosts:
             host.tick()
-            is_out = host.rotation.is_out() and turns
+            is_out = host.rotation.is_out() and rotates
             if tick % round(1 / _TICK_S) == 0:
-                host.misses = host.misses + 1 if is_out else 0
+                host.failed_checks = host.failed_checks + 1 if is_out else 0
         chosen = _choose(hosts)
         for _ in range(round(rng.gauss(rate, rate**0.5) * _TICK_S)):
             kinds = [kind[-1] for kind in _KINDS]
             body, events, _ = rng.choices(_KINDS, kinds)[0]
-            chosen.take(body, events)
+            chosen.relay(body, events)
     return max(one.wire.longest_s for one in hosts)
 
 
 class RotationTest(unittest.TestCase):
-    """A crowded host is left out for a while."""
+    """A host with a full link is out of rotation for a while."""
 
     def setUp(self):
         self.clock = FakeClock()
         self.link = HostLink(_MBIT, self.clock)
         self.rotation = Rotation(self.link, self.clock)
 
-    def look(self, seconds):
-        """Look ten times a second; return the last answer."""
+    def check(self, seconds):
+        """Check ten times a second; return the last result."""
         for _ in range(round(seconds / _TICK_S)):
             self.clock.advance(_TICK_S)
             is_out = self.rotation.is_out()
         return is_out
 
-    def test_out_while_crowded_and_a_while_after(self):
-        self.assertFalse(self.look(1))
-        self.link.carry(700_000)
-        self.assertTrue(self.look(2 * LASTING_S))
-        self.assertTrue(self.look(OUT_S - 1))
-        self.assertFalse(self.look(2))
+    def test_out_while_full_and_some_time_after(self):
+        self.assertFalse(self.check(1))
+        self.link.add(700_000)
+        self.assertTrue(self.check(2 * FULL_FOR_S))
+        self.assertTrue(self.check(MIN_OUT_S - 1))
+        self.assertFalse(self.check(2))
 
-    def test_one_long_body_leaves_nobody_out(self):
-        """Symptom: an eighth of the fleet is out on a quiet day.
+    def test_one_long_body(self):
+        """A host stays in rotation if its link is full only for a moment.
 
-        Sequence: single requests of 72 kB come to small hosts. Cause: a
-        host was left out as soon as its link was full for a moment.
+        Single requests of 72 kB arrive at small hosts. If each one took its
+        host out, an eighth of the fleet would be out on a quiet day.
         """
-        self.link.carry(2 * 72_000)
+        self.link.add(2 * 72_000)
         for _ in range(10):
-            self.assertFalse(self.look(_TICK_S))
+            self.assertFalse(self.check(_TICK_S))
 
-    def test_full_again_before_it_is_back(self):
-        self.link.carry(700_000)
-        self.assertTrue(self.look(2 * LASTING_S))
-        self.clock.advance(OUT_S - 1)
-        self.link.carry(700_000)
-        self.assertTrue(self.look(2 * LASTING_S))
-        self.assertTrue(self.look(OUT_S / 2))
+    def test_full_again_while_out(self):
+        self.link.add(700_000)
+        self.assertTrue(self.check(2 * FULL_FOR_S))
+        self.clock.advance(MIN_OUT_S - 1)
+        self.link.add(700_000)
+        self.assertTrue(self.check(2 * FULL_FOR_S))
+        self.assertTrue(self.check(MIN_OUT_S / 2))
 
     @parameterized.expand([(seed,) for seed in range(10)])
     def test_large_team_is_spread_over_hosts(self, seed):
-        """All requests of a large team come through one small host.
+        """A large team's requests don't all stay at one small host.
 
-        Symptom: the host answers 4 of 217 requests a second; connections to
-        targets and asks of homes time out there. Sequence: 100 requests a
-        second come, then 180; refused, they come back to the same host.
-        Cause: the balancer hashes callers, and each request crosses the
-        host's link twice.
+        The load balancer hashes callers, and each request crosses the host's
+        link twice. Without rotation, 100 and then 180 requests a second
+        arrive there; refused ones retry at the same host, which in the end
+        answers 4 of 217 requests a second, while its connections to targets
+        and calls to other routers time out.
         """
-        stays = _play(seed, 180, turns=False)
-        turns = _play(seed, 180, turns=True)
-        self.assertGreater(stays, 5)
-        self.assertLess(turns, stays / 3)
+        without = _simulate(seed, 180, rotates=False)
+        rotating = _simulate(seed, 180, rotates=True)
+        self.assertGreater(without, 5)
+        self.assertLess(rotating, without / 3)
 
 
 if __name__ == '__main__':
--- a/tests/test_relay_run.py
+++ b/tests/test_relay_run.py
@@ -1,4 +1,4 @@
-"""Tests of a passed-through request's whole way."""
+"""Tests of processing a relayed request from admission to response."""
 
 import asyncio
 import unittest
@@ -12,7 +12,7 @@
 from balsamreach.placement.places import Places, TargetEntry
 from balsamreach.relay.faults import BUDGET_EXHAUSTED
 from balsamreach.relay.run import RelayRun
-from balsamreach.relay.spending import Spending, Tab
+from balsamreach.relay.spending import Reservation, Spending
 from tests import relay_samples
 from tests.relay_samples import (
     DESK,
@@ -25,16 +25,16 @@
     event,
 )
 from tests.relay_scripts import (
-    Answered,
     RecordingOutlet,
+    Responding,
     Script,
-    Swallowed,
+    Unresponsive,
     answer,
-    unsent,
+    unreachable,
 )
 from tests.relay_world import RelayWorld
 
-_REFUSED = unsent(NOT_SENT.because('refused'))
+_REFUSED = unreachable(NOT_SENT.because('refused'))
 _SHED = answer(503, not_executed='1')
 _BACK_OFF = answer(503, not_executed='1', retry_after='3')
 _LONG_BACK_OFF = answer(503, not_executed='1', retry_after='9')
@@ -43,27 +43,27 @@
 
 @attrs.frozen
 class _After:
-    """A target that answers after something else has happened."""
+    """A target that responds after something else has happened."""
 
-    happens: Callable[[], None]
+    event: Callable[[], None]
     script: Script
 
     def __call__(self, outgoing, intake):
-        """Let it happen, and answer."""
-        self.happens()
+        """Run the event, then respond."""
+        self.event()
         return self.script(outgoing, intake)
 
 
 @attrs.frozen
-class _Watched:
-    """A target whose answer is looked at between its head and its body."""
+class _WatchedHead:
+    """A target that records leaving targets between its head and its body."""
 
-    script: Answered
+    script: Responding
     places: Places
     leaving: list[TargetEntry]
 
     def __call__(self, _outgoing, intake):
-        """Answer, and note which targets leave by then."""
+        """Respond, and record the targets that are leaving by then."""
         assert intake.before_send()
         intake.start(self.script.status, self.script.headers)
         entries = (place.entry for place in self.places)
@@ -73,27 +73,27 @@
 
 
 def _status(outlet):
-    return 'broken' if outlet.broken else outlet.status
+    return 'aborted' if outlet.aborted else outlet.status
 
 
 class RelayRunTest(unittest.TestCase):
-    """Each request gets one final answer, and a true one."""
+    """Each request gets exactly one final and correct response."""
 
     def setUp(self):
         self.world = RelayWorld()
 
     @parameterized.expand(
         (
-            ('whole', PLAIN, [_OK], 200, 1),
-            ('whole_once', UNSAFE, [_OK], 200, 1),
-            ('unreached_target', PLAIN, [_REFUSED, _OK], 200, 2),
-            ('unreached_once', UNSAFE, [_REFUSED, _OK], 200, 2),
+            ('complete', PLAIN, [_OK], 200, 1),
+            ('complete_once', UNSAFE, [_OK], 200, 1),
+            ('unreachable_target', PLAIN, [_REFUSED, _OK], 200, 2),
+            ('unreachable_once', UNSAFE, [_REFUSED, _OK], 200, 2),
             ('declined', PLAIN, [_SHED, _OK], 200, 2),
             ('declined_once', UNSAFE, [_SHED, _OK], 200, 2),
             ('all_declined', PLAIN, [_SHED, _SHED], 503, 2),
-            ('broken', PLAIN, [Swallowed(BROKEN), _OK], 200, 2),
-            ('broken_once', UNSAFE, [Swallowed(BROKEN)], 502, 1),
-            ('silent_once', UNSAFE, [Swallowed(SILENT)], 502, 1),
+            ('broken', PLAIN, [Unresponsive(BROKEN), _OK], 200, 2),
+            ('broken_once', UNSAFE, [Unresponsive(BROKEN)], 502, 1),
+            ('silent_once', UNSAFE, [Unresponsive(SILENT)], 502, 1),
             ('failed', PLAIN, [answer(500), _OK], 200, 2),
             ('failed_twice', PLAIN, [answer(500), answer(500)], 500, 2),
             ('failed_once', UNSAFE, [answer(500, b'no')], 500, 1),
@@ -113,11 +113,11 @@
             ('cut', answer(200, b'x', end=BROKEN)),
         )
     )
-    def test_what_is_no_answer_reaches_no_caller(self, _, script):
-        """Symptom: a caller gets another's answer, or half of one.
+    def test_invalid_response_reaches_no_caller(self, _, script):
+        """A caller gets neither another's response nor half of one.
 
-        Sequence: a target answers late, or breaks off in the body.
-        Cause: bytes were passed on before the answer was judged.
+        A target responds late, or breaks off in the body. Bytes must not be
+        forwarded before the response is known to be valid.
         """
         outlet = self.world.run(relay_samples.call(UNSAFE), script)
         self.assertEqual(outlet.status, 502)
@@ -135,11 +135,11 @@
         sent = self.world.exchange.sent
         return sent[-1].target
 
-    def test_an_evacuated_zone(self):
-        """Symptom: targets of an evacuated zone go on to get requests.
+    def test_evacuated_zone(self):
+        """Targets of an evacuated zone get no requests.
 
-        Sequence: the zone of all targets but one is evacuated.
-        Cause: only a target's own word kept requests away from it.
+        The zone of all targets but one is evacuated, though the targets
+        themselves have not announced anything.
         """
         self.evacuate('zone-a')
         outlet = self.world.run(relay_samples.call(PLAIN))
@@ -156,21 +156,21 @@
         self.world.run(relay_samples.call(PLAIN), _OK)
         self.assertEqual(self.last_target().zone, 'zone-a')
 
-    def test_a_stream_does_not_go_on_in_an_evacuated_zone(self):
+    def test_stream_does_not_resume_in_evacuated_zone(self):
         broken = answer(200, event(1), end=BROKEN)
         script = _After(lambda: self.evacuate('zone-a'), broken)
         outlet = self.world.run(relay_samples.call(STREAM), script)
-        self.assertTrue(outlet.broken)
+        self.assertTrue(outlet.aborted)
         self.assertEqual(len(self.world.exchange.sent), 1)
 
-    def test_stream_goes_on_at_another_target(self):
+    def test_stream_resumes_at_another_target(self):
         outlet = self.world.run(
             relay_samples.call(STREAM),
             answer(200, event(1) + event(2)[:5], end=BROKEN),
             answer(200, event(2) + event(3)),
         )
         self.assertEqual(outlet.body, event(1) + event(2) + event(3))
-        self.assertTrue(outlet.whole)
+        self.assertTrue(outlet.complete)
         second = self.world.exchange.sent[1]
         self.assertEqual(dict(second.headers)['Last-Event-Id'], '1')
 
@@ -189,47 +189,46 @@
             ),
         )
     )
-    def test_a_stream_that_ends_early_never_looks_whole(
+    def test_stream_that_ends_early_never_looks_complete(
         self,
         _,
         route,
         scripts,
     ):
-        """Symptom: a caller takes half a report for the whole.
+        """A caller doesn't mistake half a response for a complete one.
 
-        Sequence: a stream breaks and can't go on.
-        Cause: the answer was ended in order.
+        A stream breaks and can't resume, so the response must be aborted
+        instead of ended normally.
         """
         outlet = self.world.run(relay_samples.call(route), *scripts)
         self.assertEqual(outlet.body, event(1))
-        self.assertTrue(outlet.broken)
-        self.assertFalse(outlet.whole)
+        self.assertTrue(outlet.aborted)
+        self.assertFalse(outlet.complete)
 
-    def test_address_of_another_target_is_left_at_once(self):
-        """Symptom: repeats beyond the users' share after a crash.
+    def test_target_with_reassigned_address_is_removed(self):
+        """Retries after a crash stay within the users' share.
 
-        Sequence: a crashed target's address is taken over; each request that
-        goes there is turned back by the new one and sent on.
-        Cause: the list still had the old target, and being turned back
-        counted neither against it nor as a repeat.
+        Another target takes over a crashed target's address; each request
+        that is sent there is rejected as misdirected and retried. The
+        rejection must remove the old target, which is still listed, and count
+        as a retry.
         """
-        turned = answer(421)
-        outlet = self.world.run(relay_samples.call(PLAIN), turned, _OK)
+        misdirected = answer(421)
+        outlet = self.world.run(relay_samples.call(PLAIN), misdirected, _OK)
         self.assertEqual(outlet.status, 200)
         sent = self.world.exchange.sent
         gone = sent[0].target.incarnation
         left = [place.incarnation for place in self.world.chooser.places]
         self.assertNotIn(gone, left)
         repeats = self.world.repeats
-        self.assertEqual(repeats._steps['desk'][0].again, 1)
+        self.assertEqual(repeats._steps['desk'][0].retries, 1)
 
-    def test_a_probe_that_fails_closes_the_target_again(self):
-        """Symptom: a dead target gets every request after its first pause.
+    def test_failed_probe_opens_breaker_again(self):
+        """A dead target doesn't get every request after its first pause.
 
-        Sequence: nobody listens at a target; its pause ends, and a probe
-        meets the same.
-        Cause: the breaker forgot that a probe was under way before it was
-        told how it ended, and took the failure for an old one.
+        A target refuses connections; its pause ends, and a probe is refused
+        as well. If the breaker forgot the probe before it got the result, it
+        would take the failure for an old one.
         """
         place = self.world.chooser.places.of_service('desk')[0]
         for other in self.world.chooser.places.of_service('desk')[1:]:
@@ -258,8 +257,8 @@
             ),
         )
     )
-    def test_leaving_target_gets_new_work(self, _, route, scripts):
-        """A target said in an answer that it leaves, and nobody notices_ it."""
+    def test_leaving_target_gets_no_requests(self, _, route, scripts):
+        """A target that announces its leaving in a response gets no more."""
         self.world.run(relay_samples.call(route), *scripts)
         leaves = self.first_target()
         for _ in range(8):
@@ -267,16 +266,16 @@
             self.world.run(relay_samples.call(route), script)
             self.assertNotEqual(self.last_target(), leaves)
 
-    def test_leaving_target_gets_new_work_while_it_streams(self):
-        """The word in a stream's head counted only as its last event came."""
+    def test_leaving_applies_while_target_streams(self):
+        """The notice in a stream's headers applies before its last event."""
         chooser = self.world.chooser
         streaming = answer(200, event(1), server_leaving='1')
-        script = _Watched(streaming, chooser.places, [])
+        script = _WatchedHead(streaming, chooser.places, [])
         self.world.run(relay_samples.call(STREAM), script)
         left = script.leaving.pop()
         self.assertEqual(left.service, ENGINES)
 
-    def test_leaving_targets_get_nothing(self):
+    def test_all_targets_are_leaving(self):
         places = self.world.chooser.places
         for place in places.of_service('desk'):
             place.entry = attrs.evolve(place.entry, leaving=True)
@@ -285,8 +284,8 @@
         self.assertIn('retry-after', outlet.headers)
         self.assertEqual(self.world.exchange.sent, [])
 
-    def test_rejecting_target_gets_requests_while_it_backs_off(self):
-        """A rejection's time to come back bound nobody but its caller."""
+    def test_target_that_backs_off_gets_no_requests(self):
+        """The retry time of a rejection applies to all requests."""
         call = relay_samples.call(PLAIN, seconds=60)
         self.world.run(call, _BACK_OFF, _OK)
         first, other = (one.target for one in self.world.exchange.sent)
@@ -310,8 +309,8 @@
         self.assertEqual(outlet.status, 503)
         self.assertEqual(len(self.world.exchange.sent), 3)
 
-    def test_request_is_held_while_all_targets_back_off(self):
-        """A request waited for tokens before targets that take none."""
+    def test_request_while_all_targets_back_off(self):
+        """A request is refused before it waits for tokens."""
         call = relay_samples.call(STREAM, seconds=60)
         outlet = self.world.run(call, _BACK_OFF, _LONG_BACK_OFF)
         self.assertEqual(outlet.status, 503)
@@ -327,8 +326,8 @@
         wait = float(outlet.headers['retry-after'])
         self.assertTrue(2 <= wait <= 3, wait)
 
-    def test_return_is_that_of_a_target_that_stays(self):
-        """Callers came back to targets of which the last one had left."""
+    def test_retry_time_ignores_leaving_targets(self):
+        """The retry time isn't that of a target that will have left."""
         call = relay_samples.call(PLAIN, seconds=60)
         leaves = answer(503, not_executed='1', retry_after='3')
         self.world.run(call, leaves, _LONG_BACK_OFF)
@@ -347,63 +346,63 @@
             ),
         )
     )
-    def test_notice_of_another_keeps_a_target_away(self, _, script):
-        """A target was left alone by what another one had said."""
+    def test_notice_of_another_is_ignored(self, _, script):
+        """A target doesn't back off because of another target's notice."""
         self.world.run(relay_samples.call(UNSAFE), script, _OK)
         chooser = self.world.chooser
         self.assertEqual(len(chooser.places.restrictions), 0)
 
-    def test_request_that_crashes_targets_is_kept_away(self):
-        """Symptom: targets of one service restart in turn.
+    def test_request_that_crashes_targets_is_quarantined(self):
+        """A request doesn't crash one target of a service after the other.
 
-        Sequence: a request crashes its target; its caller sends it again
-        under another identity, through this router.
-        Cause: nobody remembered it by its path, team and body.
+        A request crashes its target, and its caller sends it again under
+        another id through this router. It must be recognized by its path,
+        team and body.
         """
-        crash = [Swallowed(BROKEN), Swallowed(BROKEN)]
+        crash = [Unresponsive(BROKEN), Unresponsive(BROKEN)]
         self.world.run(relay_samples.call(STREAM), *crash)
         outlet = self.world.run(relay_samples.call(STREAM), _OK)
         self.assertEqual(outlet.status, 503)
         self.assertEqual(len(self.world.exchange.sent), 2)
 
     @parameterized.expand((('sent', True, 504), ('unsent', False, 503)))
-    def test_time_is_over(self, _, hangs, status):
-        """What may have run is never told to be not run."""
+    def test_deadline_passes(self, _, hangs, status):
+        """A request that may have run is never reported as not run."""
         self.world.exchange.hang = hangs
         call = relay_samples.call(UNSAFE, seconds=0.01 if hangs else -1)
         outlet = self.world.run(call, _OK)
         self.assertEqual(outlet.status, status)
 
-    def test_budget_that_is_exhausted(self):
+    def test_exhausted_budget(self):
         world = RelayWorld(_EmptySpending())
         outlet = world.run(relay_samples.call(STREAM))
         self.assertEqual(outlet.status, 402)
         self.assertEqual(world.exchange.sent, [])
 
-    def test_charges_what_went_to_the_caller(self):
-        spending = _NotingSpending()
+    def test_charges_forwarded_events(self):
+        spending = _RecordingSpending()
         world = RelayWorld(spending)
         world.run(relay_samples.call(STREAM), answer(200, event(1) + event(2)))
         self.assertEqual(spending.used, [100 + 2 * 7])
 
-    def test_charges_nothing_for_what_did_not_run(self):
-        spending = _NotingSpending()
+    def test_request_that_did_not_run_is_free(self):
+        spending = _RecordingSpending()
         world = RelayWorld(spending)
         world.run(relay_samples.call(STREAM), _SHED, _SHED)
         self.assertEqual(spending.used, [0])
 
-    def test_caller_that_left_frees_the_target(self):
-        """Symptom: targets stay busy for callers that have gone.
+    def test_caller_disconnects(self):
+        """Targets don't stay busy for callers that have disconnected.
 
-        Sequence: a caller closes its connection while its request runs.
-        Cause: the attempt went on.
+        A caller closes its connection while its request runs; the attempt
+        must end.
         """
         self.world.exchange.hang = True
-        asyncio.run(self._leave())
+        asyncio.run(self._disconnect())
         busy = [place.running for place in self.world.chooser.places]
         self.assertEqual(set(busy), {0})
 
-    async def _leave(self):
+    async def _disconnect(self):
         run = RelayRun(
             self.world.parts,
             relay_samples.call(STREAM),
@@ -422,27 +421,27 @@
 
 
 class _EmptySpending(Spending):
-    async def open(self, call):
+    async def reserve(self, call):
         return BUDGET_EXHAUSTED.because('nothing left')
 
-    def close(self, call, tab):
-        raise AssertionError('nothing was opened')
+    def charge(self, call, reservation):
+        raise AssertionError('nothing was reserved')
 
 
 class _UnusedSpending(Spending):
-    async def open(self, call):
+    async def reserve(self, call):
         raise AssertionError('the request can not be served')
 
-    def close(self, call, tab):
-        raise AssertionError('nothing was opened')
+    def charge(self, call, reservation):
+        raise AssertionError('nothing was reserved')
 
 
-class _NotingSpending(Spending):
+class _RecordingSpending(Spending):
     def __init__(self):
         self.used = []
 
-    async def open(self, call):
-        return Tab(most=call.prompt.max_tokens)
+    async def reserve(self, call):
+        return Reservation(tokens=call.prompt.max_tokens)
 
-    def close(self, call, tab):
-        self.used.append(tab.used)
+    def charge(self, call, reservation):
+        self.used.append(reservation.used)
