--- a/src/balsamreach/targets/__init__.py
+++ b/src/balsamreach/targets/__init__.py
@@ -1,1 +1,1 @@
-"""What a router knows of each target: load, requests in progress, leaving."""
+"""The state of each target at a router: load, requests, health, leaving."""
--- a/src/balsamreach/targets/announcements.py
+++ b/src/balsamreach/targets/announcements.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves in the heads of their answers."""
+"""Applies what targets announce in their response headers."""
 
 import asyncio
 import logging
@@ -15,10 +15,11 @@
 from balsamreach.telemetry.logs import log_event
 from balsamreach.telemetry.metrics import Metrics
 
-#: Names the start that is leaving.
+#: Header that names the incarnation that is leaving.
 LEAVING_HEADER = 'x-leaving'
-#: Seconds between two looks at a target whose header names another start.
-_PAUSE = 1.0
+#: Minimum seconds between polls of a target whose header names another
+#: incarnation than the known one.
+_POLL_PAUSE_S = 1.0
 _DOUBTED = 'balsamreach_target_announcements_doubted_total'
 _BACK_OFFS = 'balsamreach_target_back_offs_total'
 
@@ -27,24 +28,28 @@
 
 @attrs.define(eq=False)
 class Announcements:
-    """Heeds targets that leave, or want no requests for a while.
+    """Applies announcements of leaving and back-off to targets.
 
     Parameters
     ----------
     marks : Marks
-        Where a mark is set and told to peers.
+        Sets leaving marks and sends them to peers.
     loads : LoadPoller
-        Asks a target whose word can't be believed as it stands.
+        Polls a target whose announcement has to be confirmed.
+    clock : Clock
+        Source of the current time.
+    metrics : Metrics
+        Counts announcements.
     """
 
     marks: Marks
     loads: LoadPoller
     clock: Clock
     metrics: Metrics
-    _looked: WeakKeyDictionary[Target, float] = attrs.field(
+    _polled_at: WeakKeyDictionary[Target, float] = attrs.field(
         factory=WeakKeyDictionary,
     )
-    _looks: set[asyncio.Task] = attrs.field(factory=set)
+    _polls: set[asyncio.Task] = attrs.field(factory=set)
 
     def take(
         self,
@@ -52,32 +57,36 @@
         status: int,
         headers: Mapping[str, str],
     ) -> None:
-        """Take the head of a target's answer, header names in lower case."""
+        """Apply the headers of a target's response, names in lower case."""
         retry_after = read_retry_after(status, headers)
         if retry_after:
             self._back_off(target, retry_after)
-        self._take_leaving(target, headers)
+        self._apply_leaving(target, headers)
 
-    def take_from(
+    def take_by_address(
         self,
         address: str,
         status: int,
         headers: Mapping[str, str],
     ) -> None:
-        """Take the head of an answer to anything else asked of a target."""
-        # Hosts that say nothing of themselves are not looked for.
-        says = LEAVING_HEADER in headers or read_retry_after(status, headers)
-        for target in self.marks.targets.at_address(address) if says else ():
+        """Apply the headers of a response to any other call of a target."""
+        # Without an announcement there is no need to look up the targets.
+        announces = LEAVING_HEADER in headers or read_retry_after(
+            status, headers
+        )
+        for target in (
+            self.marks.targets.at_address(address) if announces else ()
+        ):
             self.take(target, status, headers)
 
     def _back_off(self, target: Target, retry_after: float) -> None:
         now = self.clock.now()
-        is_news = target.retry_at <= now
-        # Several rows may lead to one host.
+        is_new = target.retry_at <= now
+        # Several rows may have the same address.
         for other in self.marks.targets.at_address(target.row.address):
             other.retry_at = max(other.retry_at, now + retry_after)
         self.metrics.count(_BACK_OFFS)
-        if is_news:
+        if is_new:
             log_event(
                 _logger,
                 logging.INFO,
@@ -87,18 +96,18 @@
                 retry_after=retry_after,
             )
 
-    def _take_leaving(
+    def _apply_leaving(
         self,
         target: Target,
         headers: Mapping[str, str],
     ) -> None:
-        """Mark a target that says that it leaves.
+        """Mark a target whose header announces that it leaves.
 
-        Only the start that this router believes in can be marked so. An
-        answer of the start before, held up on its way, or a header that a
-        service copied from somewhere would otherwise mark a start for good
-        that never said it leaves; it would show as a host that stays unused.
-        Any other word is a reason to ask the target itself.
+        Only the incarnation that this router knows is marked directly. A
+        delayed response of the previous incarnation, or a header that a
+        service copied from elsewhere, would otherwise permanently mark an
+        incarnation that never announced its leaving, and its host would stay
+        unused. In any other case the target is polled.
         """
         named = headers.get(LEAVING_HEADER)
         if not named or target.marked:
@@ -106,22 +115,23 @@
         if named == target.report.incarnation:
             self.marks.mark(target, named, FROM_ANSWER)
             return
-        self._look(target, named)
+        self._poll_if_due(target, named)
 
-    def _look(self, target: Target, named: str) -> None:
+    def _poll_if_due(self, target: Target, named: str) -> None:
         now = self.clock.now()
-        if now - self._looked.get(target, -_PAUSE) < _PAUSE:
+        if now - self._polled_at.get(target, -_POLL_PAUSE_S) < _POLL_PAUSE_S:
             return
-        self._looked[target] = now
+        self._polled_at[target] = now
         self.metrics.count(_DOUBTED)
-        looking = asyncio.create_task(self._ask(target, named))
-        self._looks.add(looking)
-        looking.add_done_callback(self._looks.discard)
+        polling = asyncio.create_task(self._poll(target, named))
+        self._polls.add(polling)
+        polling.add_done_callback(self._polls.discard)
 
-    async def _ask(self, target: Target, named: str) -> None:
+    async def _poll(self, target: Target, named: str) -> None:
         await self.loads.poll(target)
-        # Before its first look a router believes in no start at all. Were
-        # the word dropped then, a target that says so in its answers alone,
-        # and gets no further request here, would never be marked.
+        # Before its first poll of a target a router knows no incarnation. If
+        # the announcement were dropped then, a target that announces its
+        # leaving only in responses, and gets no further request from this
+        # router, would never be marked.
         if named == target.report.incarnation and not target.marked:
             self.marks.mark(target, named, FROM_ANSWER)
--- a/src/balsamreach/targets/cache_feed.py
+++ b/src/balsamreach/targets/cache_feed.py
@@ -1,4 +1,4 @@
-"""Brings a target's cache events, late and with gaps, into order."""
+"""Tracks a target's cache events, which may be late or have gaps."""
 
 import attrs
 
@@ -7,16 +7,16 @@
 
 @attrs.frozen
 class CacheNews:
-    """What a target's cache did since the last question.
+    """Changes of a target's cache since the last request for events.
 
     Parameters
     ----------
     events : tuple of CacheEvent
-        Events not taken in before.
+        New events.
     missing : int
-        Events between that were never told.
+        Number of events in between that were not received.
     anew : bool
-        Whether what was known of the cache before counts no more.
+        Whether everything known about the cache before is invalid.
     """
 
     events: tuple[CacheEvent, ...] = ()
@@ -26,15 +26,15 @@
 
 @attrs.define
 class CacheFeed:
-    """Where a router stands in one target's events.
+    """A router's position in the cache events of one target.
 
-    Only the place is kept here. The blocks themselves are kept in one
+    Only the position is stored here. The blocks themselves are stored in one
     bounded set for all targets: a set for each took 4,096 names a target.
 
     Parameters
     ----------
     next_seq : int
-        Where the next question starts.
+        Sequence number at which the next request starts.
     gaps : int
         How often events were missing.
     """
@@ -43,16 +43,17 @@
     gaps: int = 0
 
     def restart(self) -> None:
-        """Begin anew, such as after the target's restart."""
+        """Reset the position, for example after the target's restart."""
         self.next_seq = 0
 
-    def take(self, told: CacheEvents) -> CacheNews:
-        """Return what is news among the events of an answer."""
-        # Numbers below the known ones began anew, so the cache did as well.
-        anew = not self.next_seq or told.next_seq < self.next_seq
+    def take(self, received: CacheEvents) -> CacheNews:
+        """Return the new events of a response, and advance the position."""
+        # Lower sequence numbers than the known ones mean that the target has
+        # restarted, with an empty cache.
+        anew = not self.next_seq or received.next_seq < self.next_seq
         since = 0 if anew else self.next_seq
-        fresh = tuple(event for event in told.events if event.seq >= since)
-        missing = 0 if anew else told.next_seq - since - len(fresh)
-        self.next_seq = told.next_seq
+        fresh = tuple(event for event in received.events if event.seq >= since)
+        missing = 0 if anew else received.next_seq - since - len(fresh)
+        self.next_seq = received.next_seq
         self.gaps += missing > 0
         return CacheNews(fresh, max(0, missing), anew)
--- a/src/balsamreach/targets/cache_follower.py
+++ b/src/balsamreach/targets/cache_follower.py
@@ -1,4 +1,4 @@
-"""Follows the cache events of the engines that this router sends to."""
+"""Requests the cache events of the engines of this router's zone."""
 
 from collections import deque
 from collections.abc import Callable
@@ -13,27 +13,28 @@
 from balsamreach.targets.registry import Target, Targets
 from balsamreach.telemetry.metrics import Metrics
 
-#: Seconds that a round over all engines may take. Hints older than that lead
-#: to no more hits than none at all, as measured.
-_LONGEST_ROUND = 30
+#: Maximum seconds of a round over all engines. Hints older than that cause no
+#: more cache hits than no hints at all.
+_MAX_ROUND_S = 30
 
-#: Called with a target's name and what its cache did.
+#: Called with a target's name and the changes of its cache.
 CacheWatcher = Callable[[str, CacheNews], None]
 
 
 @attrs.define(eq=False)
 class CacheFollower:
-    """Asks a bounded number of engines in turn for their cache events.
+    """Requests cache events from the engines in turn, at a bounded rate.
 
-    Events are many, and of use only to whoever may send to the engine: they
-    are not shared, and each router asks at its own bounded rate. In a zone
-    of so many engines that each would be asked too rarely, none is: hints
-    from long ago lead requests to engines that let their prompt go.
+    Events are numerous, and useful only to routers that may send to the
+    engine, so they are not shared: each router requests them itself. In a
+    zone with so many engines that each would be asked too rarely, none is
+    asked: outdated hints lead requests to engines that have already evicted
+    their prompt.
 
     Parameters
     ----------
     watchers : list of callable
-        Called after events were taken in.
+        Called after new events were received.
     """
 
     cfg: Settings
@@ -42,45 +43,46 @@
     clock: Clock
     metrics: Metrics
     watchers: list[CacheWatcher] = attrs.field(factory=list)
-    _turns: deque[str] = attrs.field(factory=deque)
+    _queue: deque[str] = attrs.field(factory=deque)
 
     async def run(self) -> None:
-        """Ask engine after engine."""
+        """Request events from one engine after the other, until cancelled."""
         while True:
             await self.ask_next()
             rate = max(0.01, self.cfg.targets.cache_polls)
             await self.clock.sleep(1 / rate)
 
     async def ask_next(self) -> None:
-        """Ask the engine whose turn it is."""
+        """Request events from the engine whose turn it is."""
         target = self._next()
         if target is None:
             return
         feed = target.cache
-        before = target.report.incarnation
-        news = await self.client.cache_events(
+        incarnation = target.report.incarnation
+        received = await self.client.cache_events(
             target.row.address,
             feed.next_seq,
         )
-        if not isinstance(news, CacheEvents):
+        if not isinstance(received, CacheEvents):
             self.metrics.count('balsamreach_cache_event_failures_total')
             return
-        if target.report.incarnation != before:
-            # The answer may be the earlier start's; its cache is gone.
+        if target.report.incarnation != incarnation:
+            # The response may be of the earlier incarnation, whose cache is
+            # gone.
             return
-        fresh = feed.take(news)
-        if fresh.missing:
+        changes = feed.take(received)
+        if changes.missing:
             self.metrics.count('balsamreach_cache_event_gaps_total')
         for watcher in self.watchers:
-            watcher(target.name, fresh)
+            watcher(target.name, changes)
 
     def _next(self) -> Target | None:
-        if not self._turns:
+        if not self._queue:
             engines = self._engines()
-            if len(engines) <= _LONGEST_ROUND * self.cfg.targets.cache_polls:
-                self._turns.extend(engines)
-        while self._turns:
-            target = self.targets.by_name.get(self._turns.popleft())
+            if len(engines) <= _MAX_ROUND_S * self.cfg.targets.cache_polls:
+                self._queue.extend(engines)
+        while self._queue:
+            target = self.targets.by_name.get(self._queue.popleft())
             if target is not None and not target.leaving:
                 return target
         return None
--- a/src/balsamreach/targets/client.py
+++ b/src/balsamreach/targets/client.py
@@ -1,4 +1,4 @@
-"""Abstract base of the client that asks targets and orders them."""
+"""Abstract base of the client for the control calls to targets."""
 
 import abc
 from collections.abc import Callable, Mapping
@@ -24,12 +24,12 @@
 
 @attrs.frozen
 class CacheEvents:
-    """Events from a sequence number on.
+    """Cache events from a sequence number on.
 
     Parameters
     ----------
     next_seq : int
-        Where to go on asking.
+        Sequence number at which the next request starts.
     events : tuple of CacheEvent
         In order, perhaps with gaps.
     """
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class Order:
-    """An order to a target.
+    """A control command to a target.
 
     Parameters
     ----------
@@ -49,9 +49,9 @@
     fence : int
         Fencing number of the power row that the order follows from.
     incarnation : str
-        The start that is meant; a later start must not obey.
+        The intended incarnation; a later one must refuse the order.
     model : str
-        What to load.
+        Model to load.
     """
 
     kind: str
@@ -60,20 +60,21 @@
     model: str = ''
 
 
-#: Takes the address of a target, and the status and headers of its answer.
-HeadTaker = Callable[[str, int, Mapping[str, str]], None]
+#: Called with the address of a target, and the status and headers of its
+#: response.
+HeadCallback = Callable[[str, int, Mapping[str, str]], None]
 
 
 class TargetClient(abc.ABC):
-    """Speaks to targets by their address.
+    """Calls targets by their address.
 
     Parameters
     ----------
     on_head : callable or None
-        Called with the head of each answer, header names in lower case.
+        Called with the headers of each response, names in lower case.
     """
 
-    on_head: HeadTaker | None = None
+    on_head: HeadCallback | None = None
 
     @abc.abstractmethod
     async def load(
@@ -82,7 +83,7 @@
         *,
         fresh: bool = False,
     ) -> LoadReport | TargetFault:
-        """Ask for a load report, on a new connection where ``fresh``."""
+        """Request a load report, on a new connection if ``fresh``."""
 
     @abc.abstractmethod
     async def cache_events(
@@ -90,8 +91,8 @@
         address: str,
         since: int,
     ) -> CacheEvents | TargetFault:
-        """Ask for cache events from a sequence number on."""
+        """Request cache events from a sequence number on."""
 
     @abc.abstractmethod
     async def order(self, address: str, order: Order) -> TargetFault | None:
-        """Send an order once; None means that it was taken."""
+        """Send an order once; None means that it was accepted."""
--- a/src/balsamreach/targets/faults.py
+++ b/src/balsamreach/targets/faults.py
@@ -1,20 +1,20 @@
-"""Sentinel errors met while speaking to targets."""
+"""Sentinel errors of the control calls to targets."""
 
 from balsamreach.faults import Fault
 
 
 class TargetFault(Fault):
-    """A reason why a target gave no report or took no order."""
+    """The reason why a control call to a target failed."""
 
 
-#: No connection came about; nothing was sent.
+#: No connection could be made; nothing was sent.
 UNREACHABLE = TargetFault('target_unreachable')
-#: Something was sent and no answer came: an order may have taken effect.
+#: The call was sent and got no response: an order may have taken effect.
 NO_ANSWER = TargetFault('target_no_answer')
-#: The target answered that it does not do this; it is alive.
+#: The target refused the call; it is alive.
 REFUSED = TargetFault('target_refused')
-#: The answer is not what was asked for; the target is alive.
+#: The response is invalid; the target is alive.
 ODD_ANSWER = TargetFault('target_odd_answer')
 
-#: Faults that speak against the target's health.
+#: Faults that indicate an unhealthy target.
 UNHEALTHY = (UNREACHABLE, NO_ANSWER)
--- a/src/balsamreach/targets/health.py
+++ b/src/balsamreach/targets/health.py
@@ -1,4 +1,4 @@
-"""Suspends targets that do not answer, and brings them back slowly."""
+"""Suspends targets that don't respond, and warms up recovered ones."""
 
 import logging
 import random
@@ -12,20 +12,24 @@
 from balsamreach.telemetry.metrics import Metrics
 
 _JITTER = 0.25
-_MOST_DOUBLINGS = 16
+_MAX_DOUBLINGS = 16
 _logger = logging.getLogger(__name__)
 
 
 @attrs.define(eq=False)
 class Health:
-    """Judges targets by whether they answer polls on new connections.
+    """Suspends targets that don't respond to polls on new connections.
 
     Parameters
     ----------
     cfg : Settings
         First and longest pause.
+    clock : Clock
+        Source of the current time.
     rng : random.Random
-        Spreads the pauses, so that not all routers ask at once.
+        Jitter of the pauses, so that not all routers poll at once.
+    metrics : Metrics
+        Counts failures.
     """
 
     cfg: Settings
@@ -33,10 +37,10 @@
     rng: random.Random
     metrics: Metrics
 
-    def fail(self, target: Target) -> None:
+    def record_failure(self, target: Target) -> None:
         """Suspend a target for a pause that doubles each time."""
         cfg = self.cfg.targets
-        doublings = min(target.failures, _MOST_DOUBLINGS)
+        doublings = min(target.failures, _MAX_DOUBLINGS)
         pause = min(cfg.longest_pause, cfg.first_pause * 2**doublings)
         pause *= 1 + _JITTER * self.rng.random()
         target.failures += 1
@@ -45,8 +49,8 @@
         if target.failures == 1:
             _log(target, logging.WARNING, 'target_suspended')
 
-    def recover(self, target: Target) -> None:
-        """Let a target that answers again take a growing share."""
+    def record_success(self, target: Target) -> None:
+        """Resume a target that responds again, with a growing share."""
         if not target.failures:
             return
         target.failures = 0
--- a/src/balsamreach/targets/holds.py
+++ b/src/balsamreach/targets/holds.py
@@ -1,4 +1,4 @@
-"""What the power row in force says of one target's host."""
+"""Restrictions that a power row puts on one target's host."""
 
 import attrs
 
@@ -11,22 +11,23 @@
 #: The power rows have not been read yet.
 UNREAD = 'unread'
 
-#: States whose recorded start must get nothing more.
-GOING = (LEAVING, STOPPING, OFF)
+#: States whose recorded incarnation must get no more requests.
+LEAVING_STATES = (LEAVING, STOPPING, OFF)
 
 
 @attrs.frozen
 class Hold:
-    """A host that is not simply on.
+    """The state of a host that is not simply on.
 
     Parameters
     ----------
     state : str
         ``starting``, ``leaving``, ``stopping`` or ``off``.
     incarnation : str
-        The last start known before; for a leaving host the one that leaves.
+        The last incarnation known before; for a leaving host the one that
+        leaves.
     models : tuple of str
-        What a starting host has to have loaded before it gets work.
+        Models that a starting host must have loaded before it gets requests.
     """
 
     state: str
@@ -38,13 +39,13 @@
         """Whether the host is off, or about to be."""
         return self.state in {STOPPING, OFF}
 
-    def keeps_off(self, report: LoadReport) -> bool:
-        """Return whether the host must get no new work."""
+    def blocks(self, report: LoadReport) -> bool:
+        """Return whether the host must get no new requests."""
         if self.down or self.state == UNREAD:
-            # Whatever start answers there, an order to switch it off may
-            # still be on its way to a host that checks nothing.
+            # Whichever incarnation reports, an order to switch the host off
+            # may still arrive, and not every host checks orders.
             return True
         if self.state == STARTING:
-            same = report.incarnation in {'', self.incarnation}
-            return same or not set(self.models) <= set(report.models)
+            is_old = report.incarnation in {'', self.incarnation}
+            return is_old or not set(self.models) <= set(report.models)
         return False
--- a/src/balsamreach/targets/host_follower.py
+++ b/src/balsamreach/targets/host_follower.py
@@ -1,4 +1,4 @@
-"""Reads the platform's host list for hosts of targets that leave."""
+"""Reads the platform's host list and marks the hosts that leave."""
 
 import logging
 
@@ -18,14 +18,18 @@
 
 @attrs.define(eq=False)
 class HostFollower:
-    """Reads the list where this router is its zone's reader.
+    """Reads the list if this router is responsible for that in its zone.
 
     Parameters
     ----------
     hosts : HostList
-        The platform's list.
+        The platform's host list.
+    marks : Marks
+        Sets leaving marks.
+    net : PeerNet
+        Chooses the responsible router.
     latest : tuple of HostEntry
-        What the list showed last, empty before.
+        Entries of the last successful read; empty before the first.
     """
 
     cfg: Settings
@@ -36,14 +40,14 @@
     latest: tuple[HostEntry, ...] = ()
 
     async def run(self) -> None:
-        """Read the list round after round."""
+        """Read the list at regular intervals, until cancelled."""
         while True:
             if self.net.home(_HOME_KEY) == self.net.me:
                 await self.read_once()
             await self.clock.sleep(self.cfg.targets.host_list_interval)
 
     async def read_once(self) -> None:
-        """Read the list and mark the starts that it shows as leaving."""
+        """Read the list and mark the incarnations it shows as leaving."""
         listed = await self.hosts.hosts()
         if isinstance(listed, PlatformFault):
             log_event(
@@ -54,4 +58,4 @@
             )
             return
         self.latest = listed
-        self.marks.take_hosts(listed)
+        self.marks.mark_listed(listed)
--- a/src/balsamreach/targets/marks.py
+++ b/src/balsamreach/targets/marks.py
@@ -1,4 +1,4 @@
-"""Leaving marks: taken from wherever they arise, and told to peers."""
+"""Leaving marks: set from several sources, and sent to peers."""
 
 import logging
 from collections.abc import Iterable
@@ -25,36 +25,38 @@
 
 @attrs.define(eq=False)
 class Marks:
-    """Marks starts of targets as leaving and tells peers at once.
+    """Marks incarnations of targets as leaving and informs peers at once.
 
     Parameters
     ----------
     targets : Targets
-        Where marks take effect.
+        All targets.
     net : PeerNet
         The other routers.
+    metrics : Metrics
+        Counts new marks.
     """
 
     targets: Targets
     net: PeerNet
     metrics: Metrics
-    _told: set[str] = attrs.field(factory=set)
+    _informed: set[str] = attrs.field(factory=set)
 
     def __attrs_post_init__(self) -> None:
-        """Take the messages that concern leaving."""
-        self.net.on(TargetMark, self.take_mark)
-        self.net.on(InFlightAsk, self.take_ask)
+        """Register the handlers of peers' messages."""
+        self.net.on(TargetMark, self.receive_mark)
+        self.net.on(InFlightAsk, self.receive_ask)
 
     def mark(self, target: Target, incarnation: str, source: str) -> None:
-        """Mark a start as leaving and spread the news."""
+        """Mark an incarnation as leaving; send a new mark to peers."""
         if self._apply(target, incarnation, source):
             self.net.spread(TargetMark(target.name, incarnation))
 
-    def take_hosts(self, hosts: Iterable[HostEntry]) -> None:
-        """Mark what the host list shows as leaving.
+    def mark_listed(self, hosts: Iterable[HostEntry]) -> None:
+        """Mark the incarnations that the host list shows as leaving.
 
-        The list lags: only an entry that names the start is believed, or
-        an old list would mark the start that came after.
+        The list may be outdated, so only an entry that names the incarnation
+        counts; otherwise an old list would mark the next incarnation.
         """
         leaving = {
             host.address: host.incarnation
@@ -67,19 +69,20 @@
                 self.mark(target, incarnation, FROM_HOST_LIST)
 
     def catch_up(self) -> None:
-        """Tell all marks to neighbours that were not there before.
+        """Send all marks to new neighbours.
 
-        A router that restarts while the host list lags and the platform is
-        away would otherwise send work to hosts that are leaving.
+        A router that restarts while the host list is outdated and the
+        platform is unavailable would otherwise send requests to hosts that
+        are leaving.
         """
-        now = {member.incarnation for member in self.net.neighbours()}
-        for incarnation in now - self._told:
+        neighbours = {member.incarnation for member in self.net.neighbours()}
+        for incarnation in neighbours - self._informed:
             for target in self.targets.by_name.values():
-                self._tell_all(incarnation, target)
-        self._told = now
+                self._send_all(incarnation, target)
+        self._informed = neighbours
 
-    async def take_mark(self, member: Member, mark: TargetMark) -> InFlight:
-        """Take a peer's mark; the answer tells the requests in flight."""
+    async def receive_mark(self, member: Member, mark: TargetMark) -> InFlight:
+        """Apply a peer's mark, and reply with the requests in flight."""
         target = self.targets.by_name.get(mark.target)
         if target is None:
             return InFlight(mark.target, 0, closed=False)
@@ -87,37 +90,38 @@
             self.net.spread(mark, besides=member.incarnation)
         return self.count(target, mark.incarnation)
 
-    async def take_ask(self, member: Member, ask: InFlightAsk) -> InFlight:
-        """Tell the requests in flight at a target."""
+    async def receive_ask(self, member: Member, ask: InFlightAsk) -> InFlight:
+        """Reply with the requests in flight at a target."""
         target = self.targets.by_name.get(ask.target)
         if target is None:
             return InFlight(ask.target, 0, closed=False)
         return self.count(target, target.report.incarnation)
 
     def count(self, target: Target, incarnation: str) -> InFlight:
-        """Return own requests at a host, and whether no more can come.
+        """Return this router's requests at a host, and whether it is closed.
 
-        It is closed only if every row that leads to the host believes in
-        the very start that is marked: a router that still believes in an
-        earlier one would send to whatever answers there.
+        Closed means that this router sends no more requests to the host. That
+        is so only if the marked incarnation is the known one for every row
+        with the host's address: while a router knows an earlier incarnation,
+        it would send to whichever one runs there.
         """
         address = target.row.address
         return InFlight(
             target=target.name,
             requests=self.targets.in_flight_at(address),
             closed=all(
-                other.has_left(incarnation)
+                other.is_closed_for(incarnation)
                 for other in self.targets.at_address(address)
             ),
         )
 
     def _apply(self, target: Target, incarnation: str, source: str) -> bool:
         address = target.row.address
-        news = [
+        changes = [
             other.mark_leaving(incarnation)
             for other in self.targets.at_address(address)
         ]
-        if not any(news):
+        if not any(changes):
             return False
         self.metrics.count('balsamreach_target_marks_total', source=source)
         log_event(
@@ -130,6 +134,6 @@
         )
         return True
 
-    def _tell_all(self, peer: str, target: Target) -> None:
+    def _send_all(self, peer: str, target: Target) -> None:
         for incarnation in target.left:
             self.net.tell(peer, TargetMark(target.name, incarnation))
--- a/src/balsamreach/targets/reports.py
+++ b/src/balsamreach/targets/reports.py
@@ -1,4 +1,4 @@
-"""A target's own report of its load, and how it is read."""
+"""Load reports of targets, and their parsing."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -10,18 +10,19 @@
 
 @attrs.frozen
 class LoadReport:
-    """A target's own lagging report.
+    """A target's report of its load, which may be outdated.
 
     Parameters
     ----------
     running, queued, slots : int
-        Requests running, waiting, and able to run at once.
+        Running requests, waiting requests, and the maximum number of running
+        ones.
     incarnation : str
-        The target's start that reports.
+        Incarnation of the target that reports; empty if it gives none.
     leaving : bool
         Whether the target says that it is leaving.
     taken_at : float
-        Monotonic seconds at which the report held true.
+        Monotonic seconds at which the report was valid.
     models : tuple of str
         Models and adapters that it has loaded.
     """
@@ -36,7 +37,7 @@
 
     @property
     def busy(self) -> int:
-        """Requests that the target has, running or waiting."""
+        """Requests at the target, running or waiting."""
         return self.running + self.queued
 
 
@@ -44,21 +45,21 @@
     body: Any,
     asked_at: float,
 ) -> LoadReport | TargetFault:
-    """Read the JSON of a report.
+    """Parse the JSON of a report.
 
     Parameters
     ----------
     body : object
-        What the target answered, read from JSON.
+        The decoded body of the target's response.
     asked_at : float
-        Monotonic seconds at which it was asked. Counting the age from
-        there, not from the answer, never makes a report look newer than
-        it is, however long the answer took.
+        Monotonic seconds at which the report was requested. With the age
+        counted from the request, not from the response, a report never looks
+        newer than it is, however long the response took.
 
     Returns
     -------
     LoadReport or TargetFault
-        The report, or ODD_ANSWER.
+        The report, or ODD_ANSWER if the body is none.
     """
     if not isinstance(body, Mapping):
         return ODD_ANSWER.because('not a JSON object')
--- a/src/balsamreach/targets/watch.py
+++ b/src/balsamreach/targets/watch.py
@@ -1,4 +1,4 @@
-"""All that watches targets, put together and run."""
+"""Creates and runs everything that watches targets."""
 
 import asyncio
 import random
@@ -17,13 +17,13 @@
 from balsamreach.targets.marks import Marks
 from balsamreach.targets.poller import LoadPoller, PollerParts
 from balsamreach.targets.registry import Targets
-from balsamreach.targets.sharing import LoadSharing
+from balsamreach.targets.report_sharing import ReportSharing
 from balsamreach.telemetry.metrics import Metrics
 
 
 @attrs.frozen(kw_only=True)
 class WatchParts:
-    """What watching targets needs."""
+    """The services that the watchers need."""
 
     cfg: Settings
     targets: Targets
@@ -42,15 +42,15 @@
     Parameters
     ----------
     marks : Marks
-        Leaving marks.
+        Sets leaving marks.
     loads : LoadPoller
-        Load reports and health.
+        Polls load reports and checks health.
     cache : CacheFollower
-        Cache events.
+        Requests cache events.
     hosts : HostFollower
-        The platform's list.
+        Reads the platform's host list.
     announcements : Announcements
-        What targets say of their leaving in answers.
+        Applies what targets announce in response headers.
     """
 
     marks: Marks
@@ -60,7 +60,7 @@
     announcements: Announcements
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Run all watchers until cancelled."""
         await asyncio.gather(
             self.loads.run(),
             self.cache.run(),
@@ -69,7 +69,7 @@
 
 
 def make_watch(parts: WatchParts) -> TargetWatch:
-    """Return the watchers over one set of targets."""
+    """Return the watchers of one set of targets."""
     cfg, targets, net = parts.cfg, parts.targets, parts.net
     clock, metrics = parts.clock, parts.metrics
     marks = Marks(targets, net, metrics)
@@ -81,11 +81,11 @@
             health=Health(cfg, clock, parts.rng, metrics),
             marks=marks,
             metrics=metrics,
-            sharing=LoadSharing(targets, net, clock, metrics),
+            sharing=ReportSharing(targets, net, clock, metrics),
         ),
     )
     announcements = Announcements(marks, loads, clock, metrics)
-    parts.client.on_head = announcements.take_from
+    parts.client.on_head = announcements.take_by_address
     return TargetWatch(
         marks=marks,
         loads=loads,
--- a/tests/fake_targets.py
+++ b/tests/fake_targets.py
@@ -1,4 +1,4 @@
-"""Targets and a clock in one process, under the test's control."""
+"""Fake targets and a clock that the test controls."""
 
 import asyncio
 
@@ -23,10 +23,10 @@
 
 
 class VirtualClock(HeldClock):
-    """Time that stands still until it is advanced, task by task."""
+    """A clock that stands still until the test advances it."""
 
     async def advance(self, seconds: float) -> None:
-        """Let time pass and wake, in order, whoever slept until then."""
+        """Advance the time, and wake the tasks that sleep until then."""
         end = self.seconds + seconds
         await settle()
         while self.sleeps_until(end):
@@ -36,23 +36,23 @@
 
 
 async def settle() -> None:
-    """Let all tasks run until they wait for something."""
+    """Run all tasks until each of them waits for something."""
     for _ in range(30):
         await asyncio.sleep(0)
 
 
 @attrs.define(eq=False)
 class FakeHost:
-    """A host of one target and what runs on it.
+    """A host of one target and its requests.
 
     Parameters
     ----------
     start : int
-        How often it was started; 0 and ``up`` False before the first time.
+        Number of its starts; 0 with ``up`` False before the first.
     blind : bool
-        Whether it reports that nothing runs, whatever does.
+        Whether it always reports that no requests run.
     cut : int
-        Requests that a power-off cut.
+        Number of requests that a power-off aborted.
     """
 
     address: str
@@ -73,7 +73,7 @@
 
     @property
     def incarnation(self) -> str:
-        """Identity of the present start."""
+        """Identity of the current incarnation."""
         return f'{self.address}-{self.start}'
 
     def switch(self, *, on: bool) -> None:
@@ -90,7 +90,7 @@
         self.up = on
 
     def take(self, order: Order) -> TargetFault | None:
-        """Obey an order, or refuse it where the host checks."""
+        """Execute an order, or refuse it if the host checks orders."""
         self.orders.append(order)
         if self.honours_fences and order.fence < self.fence:
             return REFUSED
@@ -110,7 +110,7 @@
 class FakeTargets(TargetClient):
     """Client of hosts in this process.
 
-    ``stale`` names addresses whose pooled connection swallows everything.
+    ``stale`` contains addresses whose pooled connection never responds.
     """
 
     clock: VirtualClock
@@ -127,7 +127,7 @@
         *,
         fresh: bool = False,
     ) -> LoadReport | TargetFault:
-        """Report a host's load as it is."""
+        """Return the current load of a host."""
         self.asked.append((address, fresh))
         host = self.hosts.get(address)
         if host is None or not host.up or address in self.cut:
@@ -149,11 +149,11 @@
         address: str,
         since: int,
     ) -> CacheEvents | TargetFault:
-        """Return what the test laid ready."""
+        """Return the events that the test has set."""
         return self.events.get(address, REFUSED)
 
     async def order(self, address: str, order: Order) -> TargetFault | None:
-        """Carry an order to a host."""
+        """Pass an order to a host."""
         host = self.hosts.get(address)
         if host is None or not host.up or address in self.cut:
             return UNREACHABLE
--- a/tests/test_targets_announcements.py
+++ b/tests/test_targets_announcements.py
@@ -1,4 +1,4 @@
-"""Tests of targets that announce their leaving in an answer's head."""
+"""Tests of targets that announce their leaving in response headers."""
 
 import random
 import unittest
@@ -20,7 +20,7 @@
 
 
 class AnnouncementCase(unittest.IsolatedAsyncioTestCase):
-    """A router of each of two zones that both send to one target."""
+    """Two routers of different zones that both send to one target."""
 
     def setUp(self):
         self.clock = VirtualClock()
@@ -55,7 +55,7 @@
         return targets.by_name['desk']
 
     async def answer(self, header, router=0):
-        """Let a router take an answer's head and act on it."""
+        """Let a router apply the headers of a response."""
         headers = {'x-leaving': header} if header else {}
         announcements = self.watches[router].announcements
         announcements.take(self.target(router), 200, headers)
@@ -64,16 +64,15 @@
 
 
 class HeaderTest(AnnouncementCase):
-    """What a header may mark, and what it may not."""
+    """Which incarnations a header marks, and which it doesn't."""
 
-    async def test_announced_start_gets_nothing_more_from_anybody(self):
-        """A target that says so in its answers still gets new work.
+    async def test_announced_incarnation_is_marked_everywhere(self):
+        """A target that announces its leaving in a response gets no requests.
 
-        Symptom: requests begin at a host that announced its leaving.
-        Sequence: the host list lags, the load report does not say so yet;
-        an answer to the second router, which polls nothing there, names the
-        start in its header.
-        Cause: answers' headers were not read, or the news was not told.
+        The host list is outdated, and the load report doesn't show it yet. A
+        response to the second router, which doesn't poll the target, names
+        the incarnation in its header. The router must read it and inform the
+        other one.
         """
         for router, watch in enumerate(self.watches):
             await watch.loads.poll(self.target(router))
@@ -89,7 +88,7 @@
         self.assertFalse(self.target(0).leaving)
 
     async def test_back_off(self):
-        """A rejection's time to come back bound nobody but its caller."""
+        """The retry time of a rejection applies to all requests."""
         take = self.watches[0].announcements.take
         for status, seconds in ((200, '9'), (503, '3'), (429, '2')):
             take(self.target(), status, {'retry-after': seconds})
@@ -97,18 +96,18 @@
         self.assertEqual(wait, 3)
         self.assertEqual(self.target(1).retry_at, 0)
 
-    async def test_answer_to_a_poll(self):
-        """What a target said of itself to a poll kept nobody away."""
+    async def test_response_to_poll(self):
+        """The retry time in the response to a poll applies to requests."""
         take = self.client.on_head
         take(_ADDRESS, 503, {'retry-after': '3'})
         take('127.0.0.1:1', 503, {'retry-after': '9'})
         take(_ADDRESS, 200, {})
-        # The watchers share this client; the last one made has its heads.
+        # The watchers share this client; the last one gets the headers.
         target = self.target(1)
         self.assertEqual(target.retry_at - self.clock.now(), 3)
 
     async def test_back_off_of_all_rows_of_a_host(self):
-        """A host got requests through another row while it backed off."""
+        """A host that backs off gets no requests through another row."""
         targets = self.watches[0].marks.targets
         targets.update([_ROW, attrs.evolve(_ROW, name='other')])
         announcements = self.watches[0].announcements
@@ -123,18 +122,17 @@
     @parameterized.expand(
         [
             ('no header', '', 0),
-            ('of the start before', f'{_ADDRESS}-1', 1),
-            ('of a start to come', f'{_ADDRESS}-3', 1),
-            ('no start at all', 'true', 1),
+            ('of the earlier incarnation', f'{_ADDRESS}-1', 1),
+            ('of a later incarnation', f'{_ADDRESS}-3', 1),
+            ('no incarnation', 'true', 1),
         ]
     )
-    async def test_other_words_mark_no_start(self, _what, header, polls):
-        """A restarted host stays unused for good.
+    async def test_other_headers_mark_nothing(self, _what, header, polls):
+        """A restarted host doesn't stay unused for good.
 
-        Symptom: a host that nobody takes out gets no work.
-        Sequence: start 2 reports; an answer of start 1 that was held up, or
-        one whose header was copied or forged, says that it leaves.
-        Cause: a header was taken for the word of whatever start is there.
+        Incarnation 2 reports; a delayed response of incarnation 1, or one
+        whose header was copied or forged, says that it leaves. Such a header
+        must not mark the current incarnation.
         """
         self.host.start = 2
         await self.watches[0].loads.poll(self.target())
@@ -147,18 +145,18 @@
 
     @parameterized.expand(
         [
-            ('later start', 2, True),
-            ('start not known', 1, True),
-            ('later start, in answers alone', 2, False),
-            ('start not known, in answers alone', 1, False),
+            ('later incarnation', 2, True),
+            ('unknown incarnation', 1, True),
+            ('later incarnation, only in responses', 2, False),
+            ('unknown incarnation, only in responses', 1, False),
         ]
     )
-    async def test_unknown_start_is_asked_at_once(self, _what, start, reports):
-        """A target's word is lost as its start is news to the router.
+    async def test_unknown_incarnation_is_polled(self, _what, start, reports):
+        """The announcement of an unknown incarnation isn't lost.
 
-        Symptom: requests go on to a host that leaves, until the next round
-        of polls. Sequence: a start that no report told of yet announces its
-        leaving. Cause: a word that can't be believed was dropped.
+        An incarnation that no report has shown yet announces its leaving. If
+        the header were ignored, requests would be sent to the host until the
+        next round of polls.
         """
         if start > 1:
             await self.watches[0].loads.poll(self.target())
--- a/tests/test_targets_leaving.py
+++ b/tests/test_targets_leaving.py
@@ -1,4 +1,4 @@
-"""Test of the last look at a target before a request is sent to it."""
+"""Test of the last check of a target before a request is sent to it."""
 
 import unittest
 from unittest import mock
@@ -12,17 +12,16 @@
 from balsamreach.targets.reports import LoadReport
 
 
-class LastLookTest(unittest.IsolatedAsyncioTestCase):
-    """A request whose target began to leave while it waited is not sent."""
+class LastCheckTest(unittest.IsolatedAsyncioTestCase):
+    """A request isn't sent if its target began to leave while it waited."""
 
-    async def test_target_that_left_while_a_claim_was_recorded(self):
-        """A request is cut by a switch-off although routers were idle.
+    async def test_target_leaves_while_claim_is_recorded(self):
+        """A request isn't cut off by the power-off of its host.
 
-        Symptom: a request ends broken as its host goes off.
-        Sequence: a slot is granted; the claim takes seconds; the target is
-        marked; this router answers that nothing runs there; the claim is
-        recorded and the request sent.
-        Cause: only requests already sent are counted.
+        A slot is granted, and recording the claim takes seconds. Meanwhile
+        the target is marked, and this router reports that it has no requests
+        there, since only requests already sent are counted. The request must
+        not be sent once the claim is recorded.
         """
         row = TargetRow(name='t', address='127.0.0.1:1', zone='z', service='s')
         target = Target(row, report=LoadReport(incarnation='a'))
--- a/tests/test_targets_registry.py
+++ b/tests/test_targets_registry.py
@@ -23,15 +23,14 @@
 
 
 class LeavingTest(unittest.TestCase):
-    """A mark holds for one start, and for good."""
+    """A mark is permanent, and applies to one incarnation."""
 
-    def test_late_report_of_the_earlier_start_does_not_bring_it_back(self):
-        """A host stays unused after its restart.
+    def test_late_report_of_earlier_incarnation_is_ignored(self):
+        """A restarted host is used again.
 
-        Symptom: a host that was restarted gets no work.
-        Sequence: start a leaves; start b reports; a report of a, held up on
-        its way and seemingly newer, arrives.
-        Cause: without a memory of past starts the newest report wins.
+        Incarnation a leaves; incarnation b reports; a delayed report of a
+        arrives and looks newer. If past incarnations were not remembered, it
+        would replace the report of b.
         """
         target = Target(_ROW)
         target.take_report(_report('a', 10, leaving=True), 10)
@@ -44,8 +43,8 @@
         self.assertFalse(target.leaving)
 
     @parameterized.expand((('first', ''), ('same', 'a'), ('later', 'b')))
-    def test_back_off_of_a_start(self, name, start):
-        """A restarted target was left alone for what it had asked before."""
+    def test_back_off_of_incarnation(self, name, start):
+        """The back-off of the earlier incarnation ends with a restart."""
         target = Target(_ROW)
         if start:
             target.take_report(_report('a', 10), 10)
@@ -53,13 +52,11 @@
         target.take_report(_report(start or 'a', 20), 20)
         self.assertEqual(target.retry_at, 0 if name == 'later' else 99)
 
-    def test_a_mark_is_not_undone_by_a_report_without_it(self):
-        """A leaving host gets new work again.
+    def test_report_does_not_undo_mark(self):
+        """A leaving host gets no new requests before it is switched off.
 
-        Symptom: requests reach a host that is about to be switched off.
-        Sequence: the host list marks start a; a's own report does not yet
-        say so.
-        Cause: the sources lag behind each other; a mark is one way.
+        The host list marks incarnation a, whose own report doesn't show its
+        leaving yet. Each source may be outdated, so a mark is permanent.
         """
         target = Target(_ROW)
         target.take_report(_report('a', 10), 10)
@@ -69,7 +66,7 @@
         target.take_report(_report('a', 13), 13)
         self.assertTrue(target.leaving)
 
-    def test_marks_without_a_report_keep_work_away(self):
+    def test_mark_without_report(self):
         target = Target(_ROW)
         target.mark_leaving('a')
         self.assertTrue(target.leaving)
@@ -80,11 +77,11 @@
         (
             ('off', Hold(OFF, 'a'), 'b', True),
             ('stopping', Hold(STOPPING, 'a'), 'b', True),
-            ('old start', Hold(STARTING, 'a'), 'a', True),
-            ('no start', Hold(STARTING, 'a'), '', True),
-            ('new start', Hold(STARTING, 'a'), 'b', False),
+            ('old incarnation', Hold(STARTING, 'a'), 'a', True),
+            ('no incarnation', Hold(STARTING, 'a'), '', True),
+            ('new incarnation', Hold(STARTING, 'a'), 'b', False),
             ('not loaded', Hold(STARTING, 'a', ('model-b',)), 'b', True),
-            ('other start', Hold(LEAVING, 'a'), 'b', False),
+            ('other incarnation', Hold(LEAVING, 'a'), 'b', False),
         )
     )
     def test_hold(self, _name, hold, start, leaving):
@@ -93,12 +90,11 @@
         self.assertEqual(target.leaving, leaving)
 
     def test_rewritten_row_keeps_marks_and_counts(self):
-        """A request is cut although its host was found idle.
+        """A host isn't switched off under a running request.
 
-        Symptom: a host is switched off under a running request.
-        Sequence: a request runs; the operators delete the target's row and
-        write it again; the new entry counts no requests and has no marks.
-        Cause: the count lived in the entry that was thrown away.
+        A request runs; the operators delete the target's row and write it
+        again. The new target has no count and no marks of its own, so those
+        of the old one must still count.
         """
         targets = Targets()
         targets.update([_ROW])
@@ -117,7 +113,7 @@
 
 
 class WeightTest(unittest.TestCase):
-    """A new start's share grows; the first report leaves it whole."""
+    """A new incarnation warms up; the first report has full weight."""
 
     def test_weight(self):
         target = Target(attrs.evolve(_ROW, weight=2), warm_time=10)
