--- a/src/balsamreach/relay/chooser.py
+++ b/src/balsamreach/relay/chooser.py
@@ -98,7 +98,7 @@
         if any(one.window for one in restrictions):
             reason = 'the targets have as many requests as they can take'
             return faults.TARGETS_FULL.because(reason)
-        return faults.NO_TARGET.because('no target takes requests')
+        return faults.NO_TARGET.because('no target accepts requests')
 
     def begin(self, call: RelayCall, place: Place) -> 'InFlight':
         """Count a request as in progress, until ``InFlight.end`` is called."""
--- a/src/balsamreach/targets/cache_feed.py
+++ b/src/balsamreach/targets/cache_feed.py
@@ -29,7 +29,8 @@
     """A router's position in the cache events of one target.
 
     Only the position is stored here. The blocks themselves are stored in one
-    bounded set for all targets: a set for each took 4,096 names a target.
+    bounded set for all targets, since a set for each took 4,096 names a
+    target.
 
     Parameters
     ----------
--- a/tests/relay_world.py
+++ b/tests/relay_harness.py
@@ -28,7 +28,7 @@
 
 
 @attrs.define(eq=False)
-class RelayWorld:
+class RelayHarness:
     """One router's relay with scripted targets."""
 
     spending: Spending = attrs.field(factory=UnmeteredSpending)
--- a/tests/test_placement_windows.py
+++ b/tests/test_placement_windows.py
@@ -14,8 +14,8 @@
 from balsamreach.placement.places import Place
 from balsamreach.placement.restrictions import Window
 from tests import relay_samples
+from tests.relay_harness import RelayHarness
 from tests.relay_samples import DESK, PLAIN, entry
-from tests.relay_world import RelayWorld
 from tests.support import FakeClock
 
 _ROUTERS = 3
@@ -65,20 +65,20 @@
 
     def test_request_beyond_window(self):
         """A target that has backed off gets fewer requests than before."""
-        world = RelayWorld()
-        first, other = world.chooser.places.of_service(DESK)
+        harness = RelayHarness()
+        first, other = harness.chooser.places.of_service(DESK)
         call = relay_samples.call(PLAIN, seconds=60)
         for place in (first, other):
             for _ in range(4):
-                world.chooser.begin(call, place)
+                harness.chooser.begin(call, place)
             notice = TargetNotice(retry_after=3)
-            world.parts.tries.notices.apply(place, notice)
-        world.clock.advance(3)
-        outlet = world.run(call)
+            harness.parts.tries.notices.apply(place, notice)
+        harness.clock.advance(3)
+        outlet = harness.run(call)
         self.assertEqual(outlet.status, 503)
         self.assertIn(b'targets_full', outlet.body)
         first.running = 2
-        self.assertIs(world.chooser.choose(call, set()), first)
+        self.assertIs(harness.chooser.choose(call, set()), first)
 
 
 @attrs.define
@@ -111,13 +111,13 @@
         return self.served / self.sent
 
     def _make_router(self):
-        world = RelayWorld(clock=self.clock)
-        places = world.chooser.places
+        harness = RelayHarness(clock=self.clock)
+        places = harness.chooser.places
         for place in tuple(places):
             places.remove(place.entry.target_id)
         for number in range(_TARGETS):
             places.put(entry(f'target-{number}', DESK, slots=_SLOTS))
-        return world
+        return harness
 
     def _run_until(self, time):
         while self.pending and self.pending[0][0] <= time:
--- a/tests/test_relay_host_link.py
+++ b/tests/test_relay_host_link.py
@@ -7,9 +7,9 @@
 
 from balsamreach.relay.host_link import HostLink
 from tests import relay_samples
+from tests.relay_harness import RelayHarness
 from tests.relay_samples import PLAIN
 from tests.relay_scripts import answer
-from tests.relay_world import RelayWorld
 from tests.support import FakeClock
 
 _MBIT = 10
@@ -41,12 +41,12 @@
     """Requests and responses are counted each time they cross the link."""
 
     def test_requests_and_responses_are_counted(self):
-        world = RelayWorld()
-        world.link.mbit = _MBIT
+        harness = RelayHarness()
+        harness.link.mbit = _MBIT
         body = b'a' * 30_000
         call = attrs.evolve(relay_samples.call(PLAIN), body=body)
-        world.run(call, answer(200, body))
-        self.assertGreater(world.link.wait(), 4 * len(body) / _BYTES_A_SECOND)
+        harness.run(call, answer(200, body))
+        self.assertGreater(harness.link.wait(), 4 * len(body) / _BYTES_A_SECOND)
 
 
 if __name__ == '__main__':
--- a/tests/test_relay_rotation.py
+++ b/tests/test_relay_rotation.py
@@ -83,8 +83,8 @@
 
 def _choose(hosts):
     """Return the host that the load balancer sends the team's callers to."""
-    present = [host for host in hosts if host.failed_checks < 2] or hosts
-    return max(present, key=lambda host: weigh('team', str(host.number)))
+    in_rotation = [host for host in hosts if host.failed_checks < 2] or hosts
+    return max(in_rotation, key=lambda host: weigh('team', str(host.number)))
 
 
 def _simulate(seed, rate, *, rotates):
--- a/tests/test_relay_run.py
+++ b/tests/test_relay_run.py
@@ -14,6 +14,7 @@
 from balsamreach.relay.run import RelayRun
 from balsamreach.relay.spending import Reservation, Spending
 from tests import relay_samples
+from tests.relay_harness import RelayHarness
 from tests.relay_samples import (
     DESK,
     ENGINES,
@@ -32,7 +33,6 @@
     answer,
     unreachable,
 )
-from tests.relay_world import RelayWorld
 
 _REFUSED = unreachable(NOT_SENT.because('refused'))
 _SHED = answer(503, not_executed='1')
@@ -80,7 +80,7 @@
     """Each request gets exactly one final and correct response."""
 
     def setUp(self):
-        self.world = RelayWorld()
+        self.harness = RelayHarness()
 
     @parameterized.expand(
         (
@@ -101,9 +101,9 @@
         )
     )
     def test_plain(self, _, route, scripts, status, sent):
-        outlet = self.world.run(relay_samples.call(route), *scripts)
+        outlet = self.harness.run(relay_samples.call(route), *scripts)
         self.assertEqual(_status(outlet), status)
-        self.assertEqual(len(self.world.exchange.sent), sent)
+        self.assertEqual(len(self.harness.exchange.sent), sent)
 
     @parameterized.expand(
         (
@@ -119,20 +119,20 @@
         A target responds late, or breaks off in the body. Bytes must not be
         forwarded before the response is known to be valid.
         """
-        outlet = self.world.run(relay_samples.call(UNSAFE), script)
+        outlet = self.harness.run(relay_samples.call(UNSAFE), script)
         self.assertEqual(outlet.status, 502)
         self.assertNotEqual(outlet.body, b'x')
 
     def evacuate(self, zone, *, in_force=True, version=5):
         order = Evacuation(zone=zone, version=version, in_force=in_force)
-        self.world.evacuations.put(order, 'test')
+        self.harness.evacuations.put(order, 'test')
 
     def first_target(self):
-        sent = self.world.exchange.sent
+        sent = self.harness.exchange.sent
         return sent[0].target
 
     def last_target(self):
-        sent = self.world.exchange.sent
+        sent = self.harness.exchange.sent
         return sent[-1].target
 
     def test_evacuated_zone(self):
@@ -142,36 +142,36 @@
         themselves have not announced anything.
         """
         self.evacuate('zone-a')
-        outlet = self.world.run(relay_samples.call(PLAIN))
+        outlet = self.harness.run(relay_samples.call(PLAIN))
         self.assertEqual(outlet.status, 503)
         self.assertIn('retry-after', outlet.headers)
-        self.assertEqual(self.world.exchange.sent, [])
+        self.assertEqual(self.harness.exchange.sent, [])
         away = entry('away', DESK, zone='zone-b')
-        chooser = self.world.chooser
+        chooser = self.harness.chooser
         chooser.places.put(away)
-        outlet = self.world.run(relay_samples.call(PLAIN), _OK)
+        outlet = self.harness.run(relay_samples.call(PLAIN), _OK)
         self.assertEqual(outlet.status, 200)
         self.assertEqual(self.last_target(), away)
         self.evacuate('zone-a', in_force=False, version=6)
-        self.world.run(relay_samples.call(PLAIN), _OK)
+        self.harness.run(relay_samples.call(PLAIN), _OK)
         self.assertEqual(self.last_target().zone, 'zone-a')
 
     def test_stream_does_not_resume_in_evacuated_zone(self):
         broken = answer(200, event(1), end=BROKEN)
         script = _After(lambda: self.evacuate('zone-a'), broken)
-        outlet = self.world.run(relay_samples.call(STREAM), script)
+        outlet = self.harness.run(relay_samples.call(STREAM), script)
         self.assertTrue(outlet.aborted)
-        self.assertEqual(len(self.world.exchange.sent), 1)
+        self.assertEqual(len(self.harness.exchange.sent), 1)
 
     def test_stream_resumes_at_another_target(self):
-        outlet = self.world.run(
+        outlet = self.harness.run(
             relay_samples.call(STREAM),
             answer(200, event(1) + event(2)[:5], end=BROKEN),
             answer(200, event(2) + event(3)),
         )
         self.assertEqual(outlet.body, event(1) + event(2) + event(3))
         self.assertTrue(outlet.complete)
-        second = self.world.exchange.sent[1]
+        second = self.harness.exchange.sent[1]
         self.assertEqual(dict(second.headers)['Last-Event-Id'], '1')
 
     @parameterized.expand(
@@ -200,7 +200,7 @@
         A stream breaks and can't resume, so the response must be aborted
         instead of ended normally.
         """
-        outlet = self.world.run(relay_samples.call(route), *scripts)
+        outlet = self.harness.run(relay_samples.call(route), *scripts)
         self.assertEqual(outlet.body, event(1))
         self.assertTrue(outlet.aborted)
         self.assertFalse(outlet.complete)
@@ -214,13 +214,13 @@
         as a retry.
         """
         misdirected = answer(421)
-        outlet = self.world.run(relay_samples.call(PLAIN), misdirected, _OK)
+        outlet = self.harness.run(relay_samples.call(PLAIN), misdirected, _OK)
         self.assertEqual(outlet.status, 200)
-        sent = self.world.exchange.sent
+        sent = self.harness.exchange.sent
         gone = sent[0].target.incarnation
-        left = [place.incarnation for place in self.world.chooser.places]
+        left = [place.incarnation for place in self.harness.chooser.places]
         self.assertNotIn(gone, left)
-        repeats = self.world.repeats
+        repeats = self.harness.repeats
         self.assertEqual(repeats._steps['desk'][0].retries, 1)
 
     def test_failed_probe_opens_breaker_again(self):
@@ -230,15 +230,15 @@
         as well. If the breaker forgot the probe before it got the result, it
         would take the failure for an old one.
         """
-        place = self.world.chooser.places.of_service('desk')[0]
-        for other in self.world.chooser.places.of_service('desk')[1:]:
+        place = self.harness.chooser.places.of_service('desk')[0]
+        for other in self.harness.chooser.places.of_service('desk')[1:]:
             other.entry = attrs.evolve(other.entry, leaving=True)
-        self.world.run(relay_samples.call(PLAIN), _REFUSED)
-        self.world.clock.advance(2)
-        self.assertTrue(place.breaker.passes(self.world.clock.now()))
+        self.harness.run(relay_samples.call(PLAIN), _REFUSED)
+        self.harness.clock.advance(2)
+        self.assertTrue(place.breaker.passes(self.harness.clock.now()))
         call = relay_samples.call(PLAIN, seconds=60)
-        self.world.run(call, _REFUSED)
-        self.assertFalse(place.breaker.passes(self.world.clock.now()))
+        self.harness.run(call, _REFUSED)
+        self.assertFalse(place.breaker.passes(self.harness.clock.now()))
 
     @parameterized.expand(
         (
@@ -259,68 +259,68 @@
     )
     def test_leaving_target_gets_no_requests(self, _, route, scripts):
         """A target that announces its leaving in a response gets no more."""
-        self.world.run(relay_samples.call(route), *scripts)
+        self.harness.run(relay_samples.call(route), *scripts)
         leaves = self.first_target()
         for _ in range(8):
             script = answer(200, event(1)) if route.streams else _OK
-            self.world.run(relay_samples.call(route), script)
+            self.harness.run(relay_samples.call(route), script)
             self.assertNotEqual(self.last_target(), leaves)
 
     def test_leaving_applies_while_target_streams(self):
         """The notice in a stream's headers applies before its last event."""
-        chooser = self.world.chooser
+        chooser = self.harness.chooser
         streaming = answer(200, event(1), server_leaving='1')
         script = _WatchedHead(streaming, chooser.places, [])
-        self.world.run(relay_samples.call(STREAM), script)
+        self.harness.run(relay_samples.call(STREAM), script)
         left = script.leaving.pop()
         self.assertEqual(left.service, ENGINES)
 
     def test_all_targets_are_leaving(self):
-        places = self.world.chooser.places
+        places = self.harness.chooser.places
         for place in places.of_service('desk'):
             place.entry = attrs.evolve(place.entry, leaving=True)
-        outlet = self.world.run(relay_samples.call(PLAIN))
+        outlet = self.harness.run(relay_samples.call(PLAIN))
         self.assertEqual(outlet.status, 503)
         self.assertIn('retry-after', outlet.headers)
-        self.assertEqual(self.world.exchange.sent, [])
+        self.assertEqual(self.harness.exchange.sent, [])
 
     def test_target_that_backs_off_gets_no_requests(self):
         """The retry time of a rejection applies to all requests."""
         call = relay_samples.call(PLAIN, seconds=60)
-        self.world.run(call, _BACK_OFF, _OK)
-        first, other = (one.target for one in self.world.exchange.sent)
+        self.harness.run(call, _BACK_OFF, _OK)
+        first, other = (one.target for one in self.harness.exchange.sent)
         for _ in range(8):
-            self.world.run(call, _OK)
+            self.harness.run(call, _OK)
             self.assertEqual(self.last_target(), other)
-        self.world.clock.advance(3)
+        self.harness.clock.advance(3)
         targets = set()
         for _ in range(20):
-            self.world.run(call, _OK)
+            self.harness.run(call, _OK)
             targets.add(self.last_target())
         self.assertEqual(targets, {first, other})
 
     def test_longest_back_off_holds(self):
         call = relay_samples.call(PLAIN, seconds=60)
         shorter = answer(503, not_executed='1', retry_after='1')
-        self.world.run(call, _BACK_OFF, shorter)
-        self.world.run(call, _BACK_OFF)
-        self.world.clock.advance(2)
-        outlet = self.world.run(call, shorter)
+        self.harness.run(call, _BACK_OFF, shorter)
+        self.harness.run(call, _BACK_OFF)
+        self.harness.clock.advance(2)
+        outlet = self.harness.run(call, shorter)
         self.assertEqual(outlet.status, 503)
-        self.assertEqual(len(self.world.exchange.sent), 3)
+        self.assertEqual(len(self.harness.exchange.sent), 3)
 
     def test_request_while_all_targets_back_off(self):
         """A request is refused before it waits for tokens."""
         call = relay_samples.call(STREAM, seconds=60)
-        outlet = self.world.run(call, _BACK_OFF, _LONG_BACK_OFF)
+        outlet = self.harness.run(call, _BACK_OFF, _LONG_BACK_OFF)
         self.assertEqual(outlet.status, 503)
         self.assertGreaterEqual(float(outlet.headers['retry-after']), 3)
-        self.world.parts = attrs.evolve(
-            self.world.parts,
+        self.harness.parts = attrs.evolve(
+            self.harness.parts,
             spending=_UnusedSpending(),
         )
-        self.world.clock.advance(1)
-        outlet = self.world.run(call)
+        self.harness.clock.advance(1)
+        outlet = self.harness.run(call)
         self.assertEqual(outlet.status, 503)
         self.assertIn(b'targets_back_off', outlet.body)
         wait = float(outlet.headers['retry-after'])
@@ -330,10 +330,10 @@
         """The retry time isn't that of a target that will have left."""
         call = relay_samples.call(PLAIN, seconds=60)
         leaves = answer(503, not_executed='1', retry_after='3')
-        self.world.run(call, leaves, _LONG_BACK_OFF)
-        places = self.world.chooser.places
+        self.harness.run(call, leaves, _LONG_BACK_OFF)
+        places = self.harness.chooser.places
         places.put(attrs.evolve(self.first_target(), leaving=True))
-        outlet = self.world.run(call)
+        outlet = self.harness.run(call)
         wait = float(outlet.headers['retry-after'])
         self.assertTrue(9 <= wait <= 10, wait)
 
@@ -348,8 +348,8 @@
     )
     def test_notice_of_another_is_ignored(self, _, script):
         """A target doesn't back off because of another target's notice."""
-        self.world.run(relay_samples.call(UNSAFE), script, _OK)
-        chooser = self.world.chooser
+        self.harness.run(relay_samples.call(UNSAFE), script, _OK)
+        chooser = self.harness.chooser
         self.assertEqual(len(chooser.places.restrictions), 0)
 
     def test_request_that_crashes_targets_is_quarantined(self):
@@ -360,35 +360,37 @@
         team and body.
         """
         crash = [Unresponsive(BROKEN), Unresponsive(BROKEN)]
-        self.world.run(relay_samples.call(STREAM), *crash)
-        outlet = self.world.run(relay_samples.call(STREAM), _OK)
+        self.harness.run(relay_samples.call(STREAM), *crash)
+        outlet = self.harness.run(relay_samples.call(STREAM), _OK)
         self.assertEqual(outlet.status, 503)
-        self.assertEqual(len(self.world.exchange.sent), 2)
+        self.assertEqual(len(self.harness.exchange.sent), 2)
 
     @parameterized.expand((('sent', True, 504), ('unsent', False, 503)))
     def test_deadline_passes(self, _, hangs, status):
         """A request that may have run is never reported as not run."""
-        self.world.exchange.hang = hangs
+        self.harness.exchange.hang = hangs
         call = relay_samples.call(UNSAFE, seconds=0.01 if hangs else -1)
-        outlet = self.world.run(call, _OK)
+        outlet = self.harness.run(call, _OK)
         self.assertEqual(outlet.status, status)
 
     def test_exhausted_budget(self):
-        world = RelayWorld(_EmptySpending())
-        outlet = world.run(relay_samples.call(STREAM))
+        harness = RelayHarness(_EmptySpending())
+        outlet = harness.run(relay_samples.call(STREAM))
         self.assertEqual(outlet.status, 402)
-        self.assertEqual(world.exchange.sent, [])
+        self.assertEqual(harness.exchange.sent, [])
 
     def test_charges_forwarded_events(self):
         spending = _RecordingSpending()
-        world = RelayWorld(spending)
-        world.run(relay_samples.call(STREAM), answer(200, event(1) + event(2)))
+        harness = RelayHarness(spending)
+        harness.run(
+            relay_samples.call(STREAM), answer(200, event(1) + event(2))
+        )
         self.assertEqual(spending.used, [100 + 2 * 7])
 
     def test_request_that_did_not_run_is_free(self):
         spending = _RecordingSpending()
-        world = RelayWorld(spending)
-        world.run(relay_samples.call(STREAM), _SHED, _SHED)
+        harness = RelayHarness(spending)
+        harness.run(relay_samples.call(STREAM), _SHED, _SHED)
         self.assertEqual(spending.used, [0])
 
     def test_caller_disconnects(self):
@@ -397,14 +399,14 @@
         A caller closes its connection while its request runs; the attempt
         must end.
         """
-        self.world.exchange.hang = True
+        self.harness.exchange.hang = True
         asyncio.run(self._disconnect())
-        busy = [place.running for place in self.world.chooser.places]
+        busy = [place.running for place in self.harness.chooser.places]
         self.assertEqual(set(busy), {0})
 
     async def _disconnect(self):
         run = RelayRun(
-            self.world.parts,
+            self.harness.parts,
             relay_samples.call(STREAM),
             RecordingOutlet(),
         )
@@ -412,7 +414,8 @@
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         busy = [
-            one.running for one in self.world.chooser.places.of_service(ENGINES)
+            one.running
+            for one in self.harness.chooser.places.of_service(ENGINES)
         ]
         self.assertEqual(sum(busy), 1)
         task.cancel()
