--- a/src/balsamreach/dispatch/__init__.py
+++ b/src/balsamreach/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""The way of one request: admit, claim, choose, send, answer, bill."""
+"""Processing of one request: admission, claim, routing, sending, billing."""
--- a/src/balsamreach/dispatch/following.py
+++ b/src/balsamreach/dispatch/answer_copier.py
@@ -1,4 +1,4 @@
-"""Fetches an answer from the router that makes or keeps it."""
+"""Copies answers from the routers that produce or keep them."""
 
 import asyncio
 from itertools import chain
@@ -16,28 +16,28 @@
 from balsamreach.wire.answers import AnswerAsk, AnswerPart
 from balsamreach.wire.membership import Member
 
-#: Bytes of an answer that one message carries.
-_PART = 256 * 1024
-#: Seconds that an answer is waited for before "nothing new" is told.
-_POLL = 0.5
+#: Maximum bytes of an answer in one message.
+_MAX_PART_BYTES = 256 * 1024
+#: Seconds to wait for more of an answer before replying without it.
+_MAX_WAIT_S = 0.5
 
 
 @attrs.frozen
-class Followed:
-    """How an answer ended at the router that made it.
+class CopyResult:
+    """Outcome of copying an answer from another router.
 
     Parameters
     ----------
     fault : DispatchFault or None
-        None if it is whole.
+        None if the answer is complete.
     """
 
     fault: DispatchFault | None
 
 
 @attrs.define(eq=False)
-class Follower:
-    """Copies answers from other routers, and serves ours to them.
+class AnswerCopier:
+    """Copies answers from other routers and serves this router's to them.
 
     Parameters
     ----------
@@ -46,9 +46,9 @@
     answers : Answers
         Answers of this router.
     clock : Clock
-        Time of deadlines.
+        Clock of the deadlines.
     metrics : Metrics
-        Counts duplicates that joined elsewhere.
+        Counts duplicates that joined an answer of another router.
     """
 
     net: PeerNet
@@ -57,16 +57,16 @@
     metrics: Metrics
 
     def __attrs_post_init__(self) -> None:
-        """Serve the answers of this router to others."""
-        self.net.on(AnswerAsk, self._take_ask)
+        """Register the handler that serves this router's answers."""
+        self.net.on(AnswerAsk, self._on_answer_ask)
 
-    async def follow(
+    async def copy(
         self,
         holder: str,
         call: Call,
         answer: Answer,
-    ) -> Followed | None:
-        """Copy another router's answer to a request into ours.
+    ) -> CopyResult | None:
+        """Copy another router's answer to a request into a local one.
 
         Parameters
         ----------
@@ -75,37 +75,37 @@
         call : Call
             The request.
         answer : Answer
-            Where it goes.
+            Where the copy goes.
 
         Returns
         -------
-        Followed or None
-            None if the other router is gone or has no such answer; what
-            came of it until then stands in the answer.
+        CopyResult or None
+            None if the other router is gone or has no such answer; what was
+            copied until then stays in the answer.
         """
         answer.copied = True
         try:
-            return await self._copy(holder, call, answer)
+            return await self._copy_parts(holder, call, answer)
         finally:
             answer.copied = False
 
-    async def _copy(
+    async def _copy_parts(
         self,
         holder: str,
         call: Call,
         answer: Answer,
-    ) -> Followed | None:
+    ) -> CopyResult | None:
         while self.clock.now() < call.deadline:
-            part = await self._fetch(holder, call, answer)
+            part = await self._fetch_part(holder, call, answer)
             if part is None:
                 return None
-            _take(part, answer)
+            _append_part(part, answer)
             if part.ended:
                 self.metrics.count(JOINED, where='peer')
-                return Followed(None if part.whole else _read_fault(part))
-        return Followed(faults.DEADLINE.because('the answer took too long'))
+                return CopyResult(None if part.whole else _read_fault(part))
+        return CopyResult(faults.DEADLINE.because('the answer took too long'))
 
-    async def _fetch(
+    async def _fetch_part(
         self,
         holder: str,
         call: Call,
@@ -123,65 +123,69 @@
             return part
         return None
 
-    async def _take_ask(self, _member: Member, ask: AnswerAsk) -> AnswerPart:
+    async def _on_answer_ask(
+        self, _member: Member, ask: AnswerAsk
+    ) -> AnswerPart:
         answer = self.answers.known(ask.team, ask.key)
         if answer is None or answer.req.fingerprint != ask.fingerprint:
             return AnswerPart(known=False)
-        # Two routers that were each told that the other one runs a request
+        # Two routers that are each told that the other one runs a request
         # would otherwise wait for each other until the deadline.
         if answer.copied:
             return AnswerPart(known=False)
         if answer.end is None and ask.offset >= answer.body.size:
-            await self._wait_for_news(answer)
+            await self._wait_for_change(answer)
         if not answer.joinable:
             return AnswerPart(known=False)
         return _make_part(answer, ask.offset)
 
-    async def _wait_for_news(self, answer: Answer) -> None:
-        news = _News()
-        answer.attach(news, from_now=True)
+    async def _wait_for_change(self, answer: Answer) -> None:
+        watcher = _ChangeSink()
+        answer.attach(watcher, from_now=True)
         ended = asyncio.ensure_future(answer.wait())
-        came = asyncio.ensure_future(news.came.wait())
+        changed = asyncio.ensure_future(watcher.changed.wait())
         await asyncio.wait(
-            (ended, came),
-            timeout=_POLL,
+            (ended, changed),
+            timeout=_MAX_WAIT_S,
             return_when=asyncio.FIRST_COMPLETED,
         )
         ended.cancel()
-        came.cancel()
-        answer.detach(news)
+        changed.cancel()
+        answer.detach(watcher)
 
 
-class _News(Sink):
-    """Wakes whoever waits for more of an answer."""
+class _ChangeSink(Sink):
+    """Sets an event when more of an answer arrives or it is cut off."""
 
     def __init__(self) -> None:
-        self.came = asyncio.Event()
+        self.changed = asyncio.Event()
 
     def start(self, status: int, headers: dict[str, str]) -> None:
-        """Wake."""
-        self.came.set()
+        """Signal the change."""
+        self.changed.set()
 
     def write(self, chunk: bytes) -> None:
-        """Wake."""
-        self.came.set()
+        """Signal the change."""
+        self.changed.set()
 
     def cut(self) -> None:
-        """Wake, to tell that the answer cannot be shared any more."""
-        self.came.set()
+        """Signal that the answer can no longer be shared."""
+        self.changed.set()
 
 
 def _make_part(answer: Answer, offset: int) -> AnswerPart:
-    body = answer.body.read(offset, _PART)
+    body = answer.body.read(offset, _MAX_PART_BYTES)
     end = answer.end
-    # The end is told with the last part only.
+    # The end is only reported with the last part.
     if end is None or offset + len(body) < answer.body.size:
-        return _part(answer, body)
+        return _unfinished_part(answer, body)
     fault = end.fault
     if not isinstance(fault, DispatchFault):
-        return attrs.evolve(_part(answer, body), ended=True, whole=end.whole)
+        return attrs.evolve(
+            _unfinished_part(answer, body), ended=True, whole=end.whole
+        )
     return attrs.evolve(
-        _part(answer, body),
+        _unfinished_part(answer, body),
         ended=True,
         fault=fault.code,
         reason=fault.reason,
@@ -189,7 +193,7 @@
     )
 
 
-def _part(answer: Answer, body: bytes) -> AnswerPart:
+def _unfinished_part(answer: Answer, body: bytes) -> AnswerPart:
     headers = tuple(chain.from_iterable(answer.headers.items()))
     return AnswerPart(
         known=True,
@@ -199,7 +203,7 @@
     )
 
 
-def _take(part: AnswerPart, answer: Answer) -> None:
+def _append_part(part: AnswerPart, answer: Answer) -> None:
     if part.status and not answer.status:
         names = part.headers[::2]
         answer.start(
--- a/src/balsamreach/dispatch/attempts.py
+++ b/src/balsamreach/dispatch/attempts.py
@@ -1,4 +1,4 @@
-"""One try of a request at one target."""
+"""Sends one attempt of a request to one target."""
 
 import asyncio
 import functools
@@ -18,7 +18,7 @@
     Upstream,
     UpstreamFault,
 )
-from balsamreach.dispatch.verdicts import judge, rate
+from balsamreach.dispatch.verdicts import classify_fault, routing_verdict
 from balsamreach.requests.answers import Output
 from balsamreach.routing.feedback import Feedback
 from balsamreach.routing.slot import Slot
@@ -28,12 +28,18 @@
 
 @attrs.define
 class Attempts:
-    """Sends attempts and judges how they ended.
+    """Sends attempts and classifies how they ended.
 
     Parameters
     ----------
+    upstream : Upstream
+        Transport to the targets.
+    clock : Clock
+        Clock of the deadlines.
+    feedback : Feedback
+        Records when slots are used.
     announcements : Announcements or None
-        Told what targets say of themselves in the heads of answers.
+        Receives what targets announce in response headers.
     """
 
     upstream: Upstream
@@ -47,56 +53,56 @@
         reply: Reply,
         slot: Slot,
     ) -> DispatchFault | None:
-        """Send an attempt and take in its answer.
+        """Send an attempt and receive its answer.
 
         Parameters
         ----------
         attempt : Attempt
-            What to send where.
+            The attempt.
         reply : Reply
-            Takes in the answer.
+            Receives the answer.
         slot : Slot
-            The hold on the target; told how the exchange ended.
+            Slot at the target; its verdict is set here.
 
         Returns
         -------
         DispatchFault or None
-            None if the answer is whole.
+            None if the answer is complete.
         """
         if attempt.target.leaving:
             # A slot can be held for seconds while a claim is recorded. A
-            # target marked meanwhile may be counted as idle already, and a
-            # request sent now would be cut when its host is switched off.
+            # target marked as leaving meanwhile may already count as idle, and
+            # a request sent now would be cut off when its host is powered off.
             return faults.OVERLOADED.because('the target began to leave')
         if attempt.target.retry_at > self.clock.now():
             return faults.OVERLOADED.because('the target began to back off')
-        if shows_queueing(attempt.call):
-            reply.on_first.append(slot.first_byte_came)
+        if first_byte_shows_queueing(attempt.call):
+            reply.on_first_byte.append(slot.first_byte_came)
         self.feedback.sent(slot)
         outcome = await self.exchange(attempt, reply)
-        slot.verdict = rate(attempt, reply, outcome)
-        return judge(attempt, reply, outcome)
+        slot.verdict = routing_verdict(attempt, reply, outcome)
+        return classify_fault(attempt, reply, outcome)
 
     async def exchange(
         self,
         attempt: Attempt,
         reply: Reply,
     ) -> UpstreamFault | None:
-        """Send an attempt within its deadline; the reply is closed then."""
-        left = attempt.call.deadline - self.clock.now()
+        """Send an attempt within its deadline and close the reply."""
+        time_left = attempt.call.deadline - self.clock.now()
         if self.announcements is not None:
             reply.on_head = functools.partial(
                 self.announcements.take,
                 attempt.target,
             )
         attempt.target.in_flight += 1
-        # Requests that end between two polls would leave no trace, and a
-        # target of another zone that only gets such would never be asked
-        # whether it leaves.
+        # Requests that start and end between two polls would otherwise leave
+        # no trace, and a target of another zone that only gets such requests
+        # would never be polled for whether it is leaving.
         attempt.target.used = True
         try:
-            async with asyncio.timeout(left) as scope:
-                reply.on_halt = functools.partial(_expire, scope)
+            async with asyncio.timeout(time_left) as timeout:
+                reply.on_halt = functools.partial(_expire, timeout)
                 return await self.upstream.send(attempt, reply)
         except TimeoutError:
             return EXPIRED if reply.halted is None else HALTED
@@ -106,23 +112,23 @@
 
 
 def make_reply(call: Call, output: Output, attempt_id: str) -> Reply:
-    """Return the reply that fits the request."""
+    """Return a reply object of the type that the request needs."""
     if call.stream:
         return StreamReply(
             output,
             attempt_id,
             wants_usage=call.wants_usage,
-            most_tokens=call.most_completion,
+            max_tokens=call.most_completion,
         )
-    return PlainReply(output, attempt_id, checked=call.kind == ENGINE)
+    return PlainReply(output, attempt_id, check_json=call.kind == ENGINE)
 
 
-def _expire(scope: asyncio.Timeout) -> None:
-    scope.reschedule(asyncio.get_running_loop().time())
+def _expire(timeout: asyncio.Timeout) -> None:
+    timeout.reschedule(asyncio.get_running_loop().time())
 
 
-def shows_queueing(call: Call) -> bool:
-    """Return whether a first byte shows how long its target made it wait."""
-    # Of an engine's answer in one piece, the first byte comes with the last
-    # token. A long answer would look like a queue at the target.
+def first_byte_shows_queueing(call: Call) -> bool:
+    """Return whether the time to the first byte shows queueing."""
+    # The first byte of an engine's non-streamed answer comes with the last
+    # token, so a long answer would look like a queue at the target.
     return call.stream or call.kind != ENGINE
--- a/src/balsamreach/dispatch/call.py
+++ b/src/balsamreach/dispatch/call.py
@@ -1,4 +1,4 @@
-"""A caller's request once it has been read and checked."""
+"""A caller's request after parsing and validation."""
 
 from typing import Any
 
@@ -10,40 +10,40 @@
 
 @attrs.frozen
 class Call:
-    """All that is needed to run a request.
+    """Everything needed to run a request.
 
     Parameters
     ----------
     req : RequestId
-        Its identity.
+        Identity of the request.
     team : TeamRow
-        The team's row as it stood when the request came.
+        The team's row as it was when the request arrived.
     kind : str
         ``engine`` or ``service``.
     name : str
-        Model or service asked for.
+        Requested model or service.
     method, path : str
-        Request line at the target.
+        HTTP method and path sent to the target.
     headers : dict of str to str
-        Headers passed on to the target.
+        Headers sent to the target.
     body : bytes
-        Body passed on to the target.
+        Body sent to the target.
     stream : bool
-        Whether the answer is a stream of events.
+        Whether the answer is a stream of server-sent events.
     wants_usage : bool
         Whether the caller asked for the usage event of a stream.
     idempotent : bool
         Whether the request may run more than once.
     prefix : bytes
-        Leading part of the prompt, for affinity.
+        Leading part of the prompt, for cache affinity.
     most_tokens : int
-        Worst case that is reserved.
+        Maximum number of tokens the request can use; reserved up front.
     most_completion : int
-        Completion tokens within the worst case; 0 for no bound.
+        Maximum number of completion tokens among them; 0 for no limit.
     prompt_tokens : int
-        Estimate of the prompt's tokens, billed where usage is missing.
+        Estimated prompt tokens, billed if the target reports no usage.
     deadline : float
-        Monotonic seconds by which the answer must be whole.
+        Monotonic time in seconds by which the answer must be complete.
     trace : object
         Context of the caller's trace.
     """
--- a/src/balsamreach/dispatch/elsewhere.py
+++ b/src/balsamreach/dispatch/elsewhere.py
@@ -1,4 +1,4 @@
-"""What other routers did, or still do, about one request."""
+"""Runs of one request at other routers."""
 
 import uuid
 
@@ -6,15 +6,15 @@
 
 from balsamreach.config.settings import Settings
 from balsamreach.dispatch import faults
+from balsamreach.dispatch.answer_copier import AnswerCopier, CopyResult
 from balsamreach.dispatch.attempts import make_reply
 from balsamreach.dispatch.call import Call
-from balsamreach.dispatch.confirming import Confirming
 from balsamreach.dispatch.faults import DispatchFault
-from balsamreach.dispatch.following import Followed, Follower
+from balsamreach.dispatch.not_run_confirmer import NotRunConfirmer
 from balsamreach.dispatch.replay import Replay, can_replay
 from balsamreach.dispatch.replies import GENERATION_HEADER
-from balsamreach.dispatch.resuming import Resumed, Resumer
-from balsamreach.dispatch.sharing import Sharing, Whereabouts
+from balsamreach.dispatch.resuming import Resumer, ResumeResult
+from balsamreach.dispatch.run_directory import RunDirectory, RunLookup
 from balsamreach.dispatch.tries import Tries, TryParts
 from balsamreach.dispatch.upstream import Attempt
 from balsamreach.peers.base import PeerNet
@@ -22,30 +22,30 @@
 from balsamreach.requests.registry import Answers
 from balsamreach.targets.registry import Targets
 
-_NOBODY = Whereabouts(sure=True, noted=True)
+_NO_OTHER_RUN = RunLookup(home_complete=True, registered=True)
 
 
 @attrs.frozen(kw_only=True)
-class Others:
-    """How a router reaches the runs of others.
+class RemoteRunParts:
+    """Components that give access to runs at other routers.
 
     Parameters
     ----------
-    sharing : Sharing
-        Knows who runs what.
-    confirming : Confirming
-        Asks all routers whether anybody ran a request.
-    follower : Follower
-        Fetches answers.
+    sharing : RunDirectory
+        Finds the router that runs a request.
+    confirmer : NotRunConfirmer
+        Asks all routers whether any of them ran a request.
+    copier : AnswerCopier
+        Copies answers of other routers.
     resumer : Resumer
-        Takes up generations.
+        Resumes generations.
     targets : Targets
-        Where generations are.
+        Targets that hold generations.
     """
 
-    sharing: Sharing
-    confirming: Confirming
-    follower: Follower
+    sharing: RunDirectory
+    confirmer: NotRunConfirmer
+    copier: AnswerCopier
     resumer: Resumer
     targets: Targets
 
@@ -56,94 +56,95 @@
     tries: TryParts,
     targets: Targets,
     cfg: Settings,
-) -> Others:
-    """Put together how a router reaches the runs of others."""
+) -> RemoteRunParts:
+    """Build the components that give access to runs at other routers."""
     clock, metrics = tries.clock, tries.metrics
-    sharing = Sharing(
+    sharing = RunDirectory(
         net,
         cfg.requests,
         cfg.peers.max_peers,
         clock,
         metrics,
     )
-    return Others(
+    return RemoteRunParts(
         sharing=sharing,
-        confirming=Confirming(net, sharing, answers, metrics),
-        follower=Follower(net, answers, clock, metrics),
+        confirmer=NotRunConfirmer(net, sharing, answers, metrics),
+        copier=AnswerCopier(net, answers, clock, metrics),
         resumer=tries.resumer,
         targets=targets,
     )
 
 
 @attrs.define(eq=False)
-class Elsewhere:
-    """One request as other routers may have run it.
+class RemoteRun:
+    """A request's runs at other routers.
 
     Parameters
     ----------
-    others : Others
-        How they are reached.
+    others : RemoteRunParts
+        Shared components.
     call : Call
         The request.
     answer : Answer
-        Where an answer that they have goes.
+        Receives an answer found at another router.
     """
 
-    others: Others
+    others: RemoteRunParts
     call: Call
     answer: Answer
-    _where: Whereabouts = _NOBODY
-    _is_proven: bool = True
+    _lookup: RunLookup = _NO_OTHER_RUN
+    _not_run_is_certain: bool = True
 
     async def look_up(self) -> DispatchFault | None:
-        """Find out who runs the request; a fault if its key is misused."""
-        # A key that this router minted is known to nobody else.
+        """Look up who runs the request; a fault if its key is misused."""
+        # No other router knows a key that this router minted.
         if self.call.req.minted:
             return None
-        self._is_proven = False
-        self._where = await self.others.sharing.look_up(self.call.req)
-        note = self._where.note
+        self._not_run_is_certain = False
+        self._lookup = await self.others.sharing.look_up(self.call.req)
+        note = self._lookup.note
         if note is None or note.fingerprint == self.call.req.fingerprint:
             return None
-        return faults.KEY_REUSED.because('the key came with another body')
+        return faults.KEY_REUSED.because('the key was used with another body')
 
-    async def follow(self, holder: str = '') -> Followed | None:
-        """Copy the answer of whoever runs the request.
+    async def copy_answer(self, holder: str = '') -> CopyResult | None:
+        """Copy the answer of the router that runs the request.
 
         Parameters
         ----------
         holder : str
-            Who does; empty for the router that the key's home names.
+            Incarnation of that router; empty for the one named by the key's
+            home router.
 
         Returns
         -------
-        Followed or None
-            None if the request is to run here, or may be.
+        CopyResult or None
+            None if the request is to run here, or may.
         """
-        note = self._where.note
+        note = self._lookup.note
         if not holder and note is not None:
             holder = note.incarnation
         if not holder or holder == self.others.sharing.me:
             return None
-        followed = await self.others.follower.follow(
+        copied = await self.others.copier.copy(
             holder,
             self.call,
             self.answer,
         )
-        if followed is None or followed.fault is None:
-            return followed
+        if copied is None or copied.fault is None:
+            return copied
         # An idempotent request that failed there may run here.
-        return None if self.may_go_on() else followed
+        return None if self.can_run_here() else copied
 
     @property
     def may_resume(self) -> bool:
-        """Whether a generation is known that could be taken up."""
-        note = self._where.note
+        """Whether a generation is known that could be resumed."""
+        note = self._lookup.note
         return note is not None and bool(note.generation)
 
-    async def resume(self) -> Resumed | None:
-        """Take up the generation that a router left behind when it died."""
-        note = self._where.note
+    async def resume(self) -> ResumeResult | None:
+        """Resume the generation of a router that has died."""
+        note = self._lookup.note
         if not self.may_resume or not self.call.stream:
             return None
         target = self.others.targets.by_name.get(note.target)
@@ -158,48 +159,54 @@
             note.generation,
         )
 
-    def may_go_on(self) -> bool:
-        """Return whether a run here can follow on what came so far."""
+    def can_run_here(self) -> bool:
+        """Return whether a run here can continue the received answer."""
         if not self.answer.status:
             return True
         return self.call.idempotent and can_replay(self.answer)
 
-    def claimed(self) -> None:
-        """Note that a claim was made: whoever ran it would have one."""
-        self._where = _NOBODY
-        self._is_proven = True
+    def mark_claimed(self) -> None:
+        """Record that a claim was made, which rules out other runs."""
+        self._lookup = _NO_OTHER_RUN
+        self._not_run_is_certain = True
 
-    async def confirm(
+    async def confirm_not_run(
         self,
         fault: DispatchFault | None,
     ) -> DispatchFault | None:
-        """Make sure of a "not run", which others have to bear out.
+        """Check a fault that says "not run" with the other routers.
 
-        What was not run here may have been run by a router that died or is
-        cut off. "Not run" would let the caller take another way, and a guest
-        be booked twice. So it is told only where all routers say that they
-        know of no run; else the fault returned says that it is unknown.
+        A request that did not run here may have been run by a router that died
+        or is disconnected. Told "not run", the caller would do it another way,
+        and a guest could be booked twice. So that is only returned if all
+        routers report that they know of no run; otherwise the returned fault
+        says that it is unknown.
         """
-        if fault is None or fault.ran != faults.NOT_RUN or self._is_proven:
+        if (
+            fault is None
+            or fault.ran != faults.NOT_RUN
+            or self._not_run_is_certain
+        ):
             return fault
-        if self._where.sure:
-            confirming = self.others.confirming
-            if await confirming.nobody_ran(self.call.req):
+        if self._lookup.home_complete:
+            confirmer = self.others.confirmer
+            if await confirmer.confirm_not_run(self.call.req):
                 return fault
         return attrs.evolve(fault, ran=faults.MAYBE_RUN)
 
-    def erase(self) -> None:
-        """Let the key's home forget a request that did not run here."""
-        # Where the home knew of a run before, the note is of that one, be it
-        # this router's own: without it the next refusal would be sure.
-        if self._where.noted and not self.call.req.minted:
-            self.others.sharing.erase(self.call.req)
+    def retract(self) -> None:
+        """Delete the home router's note of a request that did not run here."""
+        # If the home router already knew of a run, its note belongs to that
+        # run, even one of this router. Without the note the next refusal would
+        # wrongly be reported as certain.
+        if self._lookup.registered and not self.call.req.minted:
+            self.others.sharing.retract(self.call.req)
 
-    def tell(self, tries: Tries, headers: dict[str, str]) -> None:
-        """Tell the key's home which generation answers the request."""
+    def publish_generation(self, tries: Tries, headers: dict[str, str]) -> None:
+        """Send the generation that answers the request to the home router."""
         generation = headers.get(GENERATION_HEADER, '')
         if self.call.stream and generation:
-            self.others.sharing.tell(
+            self.others.sharing.publish_generation(
                 self.call.req,
                 tries.target,
                 generation,
--- a/src/balsamreach/dispatch/hedging.py
+++ b/src/balsamreach/dispatch/hedging.py
@@ -1,4 +1,4 @@
-"""Two attempts of one request, of which only one may answer."""
+"""Hedged requests: a second attempt if the first one is slow."""
 
 import asyncio
 import functools
@@ -17,34 +17,40 @@
 
 HEDGES = 'balsamreach_hedges_total'
 
-Contender = asyncio.Task[DispatchFault | None]
+AttemptTask = asyncio.Task[DispatchFault | None]
 
 
 @attrs.define(eq=False, kw_only=True)
-class Race:
-    """Tries at a second target where the first one is slow.
+class HedgedAttempts:
+    """Starts a second attempt at another target if the first one is slow.
 
-    The first attempt that has a byte for the caller goes on alone; the
-    other one's connection is closed.
+    The first attempt that receives a byte for the caller continues; the
+    connection of the other one is closed.
 
     Parameters
     ----------
+    placer : Placer
+        Allocates the slot of the second attempt.
+    clock : Clock
+        Clock of the delay.
+    metrics : Metrics
+        Counts hedges by outcome.
     call : Call
         An idempotent request.
-    attempt : callable
-        Makes an attempt with a slot, which it gives back, and ``enter``s.
+    make_attempt : callable
+        Makes an attempt with a slot, which it releases, and calls `register`.
     winner : Reply or None
-        The answer that goes to the caller.
+        The reply that goes to the caller.
     """
 
     placer: Placer
     clock: Clock
     metrics: Metrics
     call: Call
-    attempt: Callable[[Slot], Coroutine[Any, Any, DispatchFault | None]]
+    make_attempt: Callable[[Slot], Coroutine[Any, Any, DispatchFault | None]]
     winner: Reply | None = None
-    _entered: dict[Contender, Reply] = attrs.field(factory=dict)
-    _slots: dict[Contender, Slot] = attrs.field(factory=dict)
+    _replies: dict[AttemptTask, Reply] = attrs.field(factory=dict)
+    _slots: dict[AttemptTask, Slot] = attrs.field(factory=dict)
 
     async def run(
         self,
@@ -52,64 +58,67 @@
         delay: float,
         tried: set[str],
     ) -> DispatchFault | None:
-        """Return how the winner ended, or without one the last that did."""
+        """Return the fault of the winner, or else of the last attempt."""
         try:
-            return await self._run(slot, delay, tried)
+            return await self._run_attempts(slot, delay, tried)
         finally:
-            await self._end()
+            await self._cancel_all()
 
-    def enter(self, reply: Reply, on_win: Callable[[], None]) -> None:
-        """Take in the attempt that the present task makes."""
+    def register(self, reply: Reply, on_win: Callable[[], None]) -> None:
+        """Register the attempt that the current task makes."""
         task = asyncio.current_task()
         assert task is not None
-        self._entered[task] = reply
-        reply.on_first.append(functools.partial(self.claim, reply, on_win))
+        self._replies[task] = reply
+        reply.on_first_byte.append(
+            functools.partial(self.declare_winner, reply, on_win)
+        )
 
-    def claim(self, reply: Reply, on_win: Callable[[], None]) -> None:
-        """Let a reply win unless another one has; the other ends."""
+    def declare_winner(self, reply: Reply, on_win: Callable[[], None]) -> None:
+        """Make a reply the winner, unless there is one, and end the other."""
         if self.winner is not None:
             return
         self.winner = reply
         on_win()
-        for task, other in self._entered.items():
+        for task, other in self._replies.items():
             if other is reply:
                 continue
-            # The task ends only at its next turn. Bytes that came meanwhile
-            # would be joined to the winner's answer, so it is closed first.
+            # The task ends only when it is next scheduled. Bytes that arrive
+            # before that would be appended to the winner's answer, so its
+            # reply is closed first.
             other.close()
             task.cancel()
-            self._note_outrun(task)
+            self._mark_outrun(task)
 
-    def lost(self, reply: Reply) -> bool:
+    def is_loser(self, reply: Reply) -> bool:
         """Return whether a reply may not add to the answer."""
         return self.winner is not reply
 
-    async def _run(
+    async def _run_attempts(
         self,
         slot: Slot,
         delay: float,
         tried: set[str],
     ) -> DispatchFault | None:
-        first = self._begin(slot)
-        await self._pause(first, delay)
+        first = self._start_attempt(slot)
+        await self._wait_for_delay(first, delay)
         if self.winner is None and not first.done():
-            self._hedge(tried)
+            self._start_hedge(tried)
         await asyncio.wait(self._slots)
         return self._outcome()
 
-    def _begin(self, slot: Slot) -> Contender:
-        task = asyncio.create_task(self.attempt(slot))
+    def _start_attempt(self, slot: Slot) -> AttemptTask:
+        task = asyncio.create_task(self.make_attempt(slot))
         self._slots[task] = slot
         return task
 
-    def _hedge(self, tried: set[str]) -> None:
-        slot = self.placer.hedge(self.call, tried)
+    def _start_hedge(self, tried: set[str]) -> None:
+        slot = self.placer.place_hedge(self.call, tried)
         if isinstance(slot, Slot):
-            self._begin(slot)
+            self._start_attempt(slot)
         else:
             self.metrics.count(HEDGES, outcome='not_sent')
 
-    async def _pause(self, first: Contender, delay: float) -> None:
+    async def _wait_for_delay(self, first: AttemptTask, delay: float) -> None:
         pausing = asyncio.create_task(self.clock.sleep(delay))
         try:
             await asyncio.wait(
@@ -119,18 +128,19 @@
         finally:
             pausing.cancel()
 
-    def _note_outrun(self, loser: Contender) -> None:
+    def _mark_outrun(self, loser: AttemptTask) -> None:
         first = next(iter(self._slots))
         slot = self._slots[loser]
-        # The second attempt began later; that it lost says nothing. One that
-        # is not sent yet keeps its verdict.
+        # Only the first attempt counts as outrun: the second one started
+        # later, so losing says nothing about its target. An attempt that was
+        # not sent yet keeps its verdict.
         if loser is first and slot.verdict == Verdict.ABANDONED:
             slot.verdict = Verdict.OUTRUN
 
     def _outcome(self) -> DispatchFault | None:
         first, *others = self._slots
         ended = others[0] if others else first
-        for task, reply in self._entered.items():
+        for task, reply in self._replies.items():
             if reply is self.winner:
                 ended = task
         if others:
@@ -139,12 +149,12 @@
             self.metrics.count(HEDGES, outcome='failed' if fault else won)
         return ended.result()
 
-    async def _end(self) -> None:
+    async def _cancel_all(self) -> None:
         for task in self._slots:
             task.cancel()
         await asyncio.wait(self._slots)
         for task, slot in self._slots.items():
-            # A task that is cancelled before its first turn runs no code,
-            # and its slot would be held for ever.
-            if task not in self._entered:
-                self.placer.leave(slot)
+            # A task that is cancelled before it first runs executes no code,
+            # so its slot would never be released.
+            if task not in self._replies:
+                self.placer.release(slot)
--- a/src/balsamreach/dispatch/placing.py
+++ b/src/balsamreach/dispatch/placing.py
@@ -1,4 +1,4 @@
-"""Finds slots at targets for a call, in the terms of the dispatch layer."""
+"""Team limits and target slots for calls, adapted to the dispatch layer."""
 
 import attrs
 
@@ -15,10 +15,11 @@
 from balsamreach.table.rows import ENGINE
 from balsamreach.telemetry import hops
 
-#: A team of weight 0 gets what the others leave.
-_LEAST_WEIGHT = 0.01
+#: Minimum weight: a team of weight 0 still gets the capacity that others
+#: leave.
+_MIN_WEIGHT = 0.01
 
-_TURNED = {
+_DISPATCH_FAULTS = {
     routing_faults.NO_TARGET: faults.NO_TARGET,
     routing_faults.ALL_BUSY: faults.OVERLOADED,
     routing_faults.TARGETS_BACK_OFF: faults.TARGETS_BACK_OFF,
@@ -33,74 +34,74 @@
 
 @attrs.define
 class Placer:
-    """Counts calls in and out of their teams' limits and places them."""
+    """Applies team limits to calls and allocates slots at targets."""
 
     routing: Routing
 
-    def enter(self, call: Call) -> DispatchFault | None:
-        """Count a call in, or return why its team must wait.
+    def admit(self, call: Call) -> DispatchFault | None:
+        """Count a call against its team's limits, or return why not.
 
-        A call that was counted in must ``close`` once it has ended.
+        Each admitted call must be passed to `finish` once it has ended.
         """
         refusal = self.routing.limits.enter(call.team, call.most_tokens)
-        return None if refusal is None else _turn(refusal)
+        return None if refusal is None else _translate(refusal)
 
-    def close(self, call: Call, used_tokens: int) -> None:
-        """Count a call out; the tokens it did not use count no more."""
+    def finish(self, call: Call, used_tokens: int) -> None:
+        """Stop counting a call; unused reserved tokens are returned."""
         self.routing.limits.leave(call.team, call.most_tokens, used_tokens)
 
-    def refuse(self, call: Call) -> DispatchFault | None:
-        """Return why no target takes the call now, None if one may."""
+    def check_available(self, call: Call) -> DispatchFault | None:
+        """Return why no target accepts the call now, None if one may."""
         refusal = self.routing.refuse(_pool_of(call))
-        return None if refusal is None else _turn(refusal)
+        return None if refusal is None else _translate(refusal)
 
     async def place(self, call: Call) -> Slot | DispatchFault:
-        """Return a slot for the first attempt, waiting in fair turn."""
+        """Wait in the fair queue and return a slot for the first attempt."""
         with hops.hop('queue'):
-            slot = await self.routing.enter(_ask(call))
-        return _turn(slot) if isinstance(slot, RoutingFault) else slot
+            slot = await self.routing.enter(_make_ask(call))
+        return _translate(slot) if isinstance(slot, RoutingFault) else slot
 
-    async def place_again(
+    async def place_retry(
         self,
         call: Call,
         tried: set[str],
     ) -> Slot | DispatchFault:
-        """Return a slot at another target after a jittered pause.
+        """Return a slot at another target after a jittered backoff.
 
         Parameters
         ----------
         call : Call
             A request that may run again.
         tried : set of str
-            Names of targets that earlier attempts went to.
+            Names of the targets of earlier attempts.
         """
         pause = backoff(len(tried), self.routing.rng)
         await self.routing.clock.sleep(pause)
-        slot = await self.routing.again(_ask(call), frozenset(tried))
-        return _turn(slot) if isinstance(slot, RoutingFault) else slot
+        slot = await self.routing.again(_make_ask(call), frozenset(tried))
+        return _translate(slot) if isinstance(slot, RoutingFault) else slot
 
     def hedge_delay(self, call: Call) -> float:
-        """Return after how many seconds to try twice; 0 for never."""
+        """Return the delay before a hedge in seconds; 0 for no hedge."""
         if not call.idempotent:
             return 0
         return self.routing.hedges.delay((call.kind, call.name))
 
-    def hedge(self, call: Call, tried: set[str]) -> Slot | DispatchFault:
-        """Return a slot for a second attempt beside the first."""
-        slot = self.routing.hedge(_ask(call), frozenset(tried))
-        return _turn(slot) if isinstance(slot, RoutingFault) else slot
+    def place_hedge(self, call: Call, tried: set[str]) -> Slot | DispatchFault:
+        """Return a slot for a hedge that runs beside the first attempt."""
+        slot = self.routing.hedge(_make_ask(call), frozenset(tried))
+        return _translate(slot) if isinstance(slot, RoutingFault) else slot
 
-    def leave(self, slot: Slot) -> None:
-        """Give a slot back."""
+    def release(self, slot: Slot) -> None:
+        """Release a slot."""
         self.routing.leave(slot)
 
 
-def _ask(call: Call) -> Ask:
+def _make_ask(call: Call) -> Ask:
     req = call.req
     team = call.team
-    # Priority scales the weight rather than going before it, so that a team
-    # of high priority cannot starve the others for good.
-    weight = max(team.weight, _LEAST_WEIGHT) * (1 + team.priority)
+    # Priority scales the weight instead of taking precedence, so that a team
+    # with high priority cannot starve the others.
+    weight = max(team.weight, _MIN_WEIGHT) * (1 + team.priority)
     return Ask(
         team=team.name,
         pool=_pool_of(call),
@@ -117,9 +118,9 @@
     return call.kind, call.name
 
 
-def _turn(fault: RoutingFault) -> DispatchFault:
+def _translate(fault: RoutingFault) -> DispatchFault:
     return attrs.evolve(
-        _TURNED[fault],
+        _DISPATCH_FAULTS[fault],
         reason=fault.reason,
         retry_after=fault.retry_after,
     )
--- a/src/balsamreach/dispatch/replay.py
+++ b/src/balsamreach/dispatch/replay.py
@@ -1,4 +1,4 @@
-"""Compares a second run of a stream with what the caller has already."""
+"""Compares the second run of a stream with what was already sent."""
 
 import json
 from collections import deque
@@ -11,14 +11,15 @@
 
 _EVENT_END = b'\n\n'
 _DATA = b'data:'
-#: Fields that differ between two runs that say the same.
-_NAMES = frozenset(('id', 'created', 'system_fingerprint'))
+#: Fields that differ between two runs with the same output.
+_VOLATILE_FIELDS = frozenset(('id', 'created', 'system_fingerprint'))
 
 
 def can_replay(answer: Answer) -> bool:
-    """Return whether another run can go on with an answer.
+    """Return whether another run can continue an answer.
 
-    What was passed on must be here to be compared, and be events.
+    What was passed on must still be held, to be compared, and be a stream of
+    events.
     """
     kind = answer.headers.get('content-type', '')
     return answer.joinable and kind.startswith('text/event-stream')
@@ -26,14 +27,14 @@
 
 @attrs.define(eq=False)
 class Replay(Output):
-    """Takes a stream from its beginning and passes on what is new.
+    """Receives a stream from its beginning and passes on what is new.
 
     Parameters
     ----------
     answer : Answer
-        What the caller has already, and where the rest goes.
+        What the caller already has, and where the rest goes.
     on_diverged : callable or None
-        Called where the second run says something else than the first one.
+        Called if the second run's output differs from the first one's.
     """
 
     answer: Answer
@@ -47,11 +48,11 @@
 
     @property
     def backlog(self) -> int:
-        """Bytes that wait for the fastest of the callers attached."""
+        """Bytes waiting for the fastest of the attached callers."""
         return self.answer.backlog
 
     def start(self, status: int, headers: dict[str, str]) -> None:
-        """Take the head; the caller has one already."""
+        """Receive the head; usually the caller already has one."""
         self.status = status
         if not self.answer.status:
             self.answer.start(status, headers)
@@ -59,21 +60,21 @@
             self.answer.on_start(headers)
 
     def write(self, chunk: bytes) -> None:
-        """Take whole events; those that the caller has must be the same."""
+        """Receive complete events; those already sent must be equal."""
         if not self._expected:
             self.answer.write(chunk)
             return
         for event in chunk.split(_EVENT_END)[:-1]:
-            self._take(event)
+            self._take_event(event)
 
-    def _take(self, event: bytes) -> None:
+    def _take_event(self, event: bytes) -> None:
         if self.diverged:
             return
         if not self._expected:
             self.answer.write(event + _EVENT_END)
             return
-        # A model may word its second reply differently. Joined to the first
-        # one, the caller would get an answer that no run ever gave.
+        # A model may word its second reply differently. Appended to the first
+        # one, it would make an answer that no run produced.
         if _normalise(event) == self._expected.popleft():
             return
         self.diverged = True
@@ -92,4 +93,4 @@
         return event
     if not isinstance(body, dict):
         return body
-    return {name: body[name] for name in body if name not in _NAMES}
+    return {name: body[name] for name in body if name not in _VOLATILE_FIELDS}
--- a/src/balsamreach/dispatch/replies.py
+++ b/src/balsamreach/dispatch/replies.py
@@ -1,4 +1,4 @@
-"""Checks a target's answer on its way into the caller's answer."""
+"""Checks a target's answer before passing it on to the caller."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,12 +8,12 @@
 from balsamreach.dispatch.usage import Usage, read_json, read_usage
 from balsamreach.requests.answers import Output
 
-_FIRST_FAILURE = 500
-#: Bytes a caller may be behind before the target is read no further.
-_BACKLOG_LIMIT = 256 * 1024
+_FIRST_SERVER_ERROR = 500
+#: Bytes that may wait for callers before reading from the target pauses.
+_MAX_BACKLOG = 256 * 1024
 _NOT_RUN_HEADER = 'x-not-run'
 _ATTEMPT_HEADER = 'x-attempt-id'
-#: Names the generation that answers a request.
+#: Response header with the identifier of the engine's generation.
 GENERATION_HEADER = 'x-engine-request'
 _PASSED_HEADERS = (
     'cache-control',
@@ -27,133 +27,139 @@
     'retry-after',
     GENERATION_HEADER,
 )
-#: A plain answer longer than this is passed on as it comes.
-_LARGEST_PLAIN = 1024 * 1024
+#: A longer plain answer is streamed instead of buffered.
+_MAX_BUFFERED = 1024 * 1024
 
 
 class Reply(Intake):
-    """An answer being taken in; its subclasses know when it is whole.
+    """An answer being received; subclasses decide when it is complete.
 
     Parameters
     ----------
     answer : Output
-        Where checked bytes go.
+        Receives checked bytes.
     attempt_id : str
         The attempt that this answer must belong to.
 
     Attributes
     ----------
-    on_first : list of callable
-        Called once as the first bytes come that may go to the caller.
+    on_first_byte : list of callable
+        Called once when the first bytes arrive that may go to the caller.
     on_halt : callable or None
-        Called where no more of the answer is wanted.
+        Called when the rest of the answer is not wanted.
     halted : DispatchFault or None
-        Why no more of it is wanted.
+        Why the rest is not wanted.
     declined : bool
-        Whether the target says that it did not run the request.
+        Whether the target reports that it did not run the request.
+    foreign : bool
+        Whether the answer belongs to another attempt.
+    event_count : int
+        Events passed on.
     """
 
     def __init__(self, answer: Output, attempt_id: str) -> None:
         super().__init__()
         self.on_halt: Callable[[], None] | None = None
         self.halted: DispatchFault | None = None
-        self.on_first: list[Callable[[], None]] = []
+        self.on_first_byte: list[Callable[[], None]] = []
         self.answer = answer
         self.attempt_id = attempt_id
         self.status = 0
         self.headers: dict[str, str] = {}
-        self.events = 0
+        self.event_count = 0
         self.foreign = False
         self.declined = False
-        self._passes = False
+        self._is_forwarding = False
 
     @property
     def full(self) -> bool:
-        """Whether every caller attached is far behind."""
-        # A caller that reads slowly, or not at all without closing, would
-        # have its whole answer pile up in its connection's buffer.
-        return self.answer.backlog > _BACKLOG_LIMIT
+        """Whether every attached caller is far behind."""
+        # If a caller reads slowly, or stops reading without closing, its whole
+        # answer would pile up in its connection's buffer.
+        return self.answer.backlog > _MAX_BACKLOG
 
     @property
     def generation(self) -> str:
-        """The engine's name for the generation, empty if not known."""
+        """The engine's identifier of the generation, empty if unknown."""
         return self.headers.get(GENERATION_HEADER, '')
 
     def halt(self, fault: DispatchFault) -> None:
-        """Take no more of the answer."""
+        """Stop receiving the answer."""
         self.halted = fault
-        self._passes = False
+        self._is_forwarding = False
         if self.on_halt is not None:
             self.on_halt()
 
     def close(self) -> None:
-        """End the attempt; what comes late is dropped."""
+        """End the attempt; bytes that arrive later are dropped."""
         super().close()
-        self._passes = False
+        self._is_forwarding = False
         self.on_halt = None
 
     def start(self, status: int, headers: dict[str, str]) -> None:
-        """Take the head; an answer to another attempt is dropped."""
+        """Receive the head; an answer to another attempt is dropped."""
         self.status = status
         self.headers = headers
         self.declined = headers.get(_NOT_RUN_HEADER) == 'true'
-        # A target that mixes up its connections would hand one caller's
-        # answer to another. The echoed attempt shows it; nothing of such an
+        # A target that mixes up its connections would send one caller's answer
+        # to another. The echoed attempt ID reveals it, and nothing of such an
         # answer is passed on.
         echoed = headers.get(_ATTEMPT_HEADER, self.attempt_id)
         self.foreign = echoed != self.attempt_id
-        self._passes = not (self.foreign or self.closed or self._withheld())
-        self._tell_head()
+        self._is_forwarding = not (
+            self.foreign or self.closed or self._is_withheld()
+        )
+        self._report_head()
 
     def write(self, chunk: bytes) -> None:
-        """Take bytes of the body unless they are not for this caller."""
-        if not self._passes:
+        """Receive body bytes; drop them if they must not be passed on."""
+        if not self._is_forwarding:
             return
-        while self.on_first:
-            self.on_first.pop()()
-        self._take(chunk)
+        while self.on_first_byte:
+            self.on_first_byte.pop()()
+        self._forward(chunk)
 
-    def whole(self) -> bool:
-        """Return whether the answer has its end mark, or needs none."""
+    def is_complete(self) -> bool:
+        """Return whether the answer has its end marker, or needs none."""
         return True
 
     def usage(self) -> Usage | None:
-        """Return the target's usage figures, if it gave any."""
+        """Return the usage that the target reported, if any."""
         return None
 
-    def _withheld(self) -> bool:
+    def _is_withheld(self) -> bool:
         return self.declined or is_failure(self.status)
 
-    def _tell_head(self) -> None:
+    def _report_head(self) -> None:
         if self.on_head is not None and not self.foreign:
             self.on_head(self.status, self.headers)
 
-    def _open(self, length: int = 0) -> None:
+    def _start_answer(self, length: int = 0) -> None:
         if self.answer.status == 0:
             passed = {
                 name: self.headers[name]
                 for name in _PASSED_HEADERS
                 if name in self.headers
             }
-            # With its length named, a caller notices an answer cut short.
+            # With a content length, a caller notices a truncated answer.
             if length:
                 passed['content-length'] = str(length)
             self.answer.start(self.status, passed)
 
-    def _take(self, chunk: bytes) -> None:
-        self._open()
+    def _forward(self, chunk: bytes) -> None:
+        self._start_answer()
         self.answer.write(chunk)
 
 
 class PlainReply(Reply):
-    """An answer that is passed on once all of it is here.
+    """An answer that is buffered and passed on once it is complete.
 
     Parameters
     ----------
     answer, attempt_id
         As in `Reply`.
-    checked : bool
-        Whether a JSON body must be one that can be read.
+    check_json : bool
+        Whether a JSON body must be valid.
     """
 
     def __init__(
@@ -161,49 +167,49 @@
         answer: Output,
         attempt_id: str,
         *,
-        checked: bool = False,
+        check_json: bool = False,
     ) -> None:
         super().__init__(answer, attempt_id)
-        self._checked = checked
-        self._parts: list[bytes] = []
+        self._check_json = check_json
+        self._chunks: list[bytes] = []
         self._size = 0
 
-    def whole(self) -> bool:
-        """Return whether a JSON body of an engine can be read."""
+    def is_complete(self) -> bool:
+        """Return whether the body is valid where JSON is required."""
         kind = self.headers.get('content-type', '')
-        if not self._checked or not kind.startswith('application/json'):
+        if not self._check_json or not kind.startswith('application/json'):
             return True
-        return self.answer.status != 0 or self._read() is not None
+        return self.answer.status != 0 or self._read_body() is not None
 
     def usage(self) -> Usage | None:
-        """Return the usage figures of a JSON body."""
-        return read_usage(self._read())
+        """Return the usage reported in a JSON body."""
+        return read_usage(self._read_body())
 
     def deliver(self) -> None:
-        """Pass the whole answer on."""
-        body = b''.join(self._parts)
-        self._open(len(body))
+        """Pass on the complete answer."""
+        body = b''.join(self._chunks)
+        self._start_answer(len(body))
         if body:
             self.answer.write(body)
 
-    def _withheld(self) -> bool:
+    def _is_withheld(self) -> bool:
         # The body of a plain service's own error is passed on in the end.
         return self.declined
 
-    def _take(self, chunk: bytes) -> None:
+    def _forward(self, chunk: bytes) -> None:
         self._size += len(chunk)
-        self._parts.append(chunk)
-        # A long answer would take as much memory as its target likes. What
-        # has been passed on can't be had from another target, though.
-        if self._size > _LARGEST_PLAIN and not is_failure(self.status):
-            self._open()
-            self.answer.write(b''.join(self._parts))
-            self._parts.clear()
+        self._chunks.append(chunk)
+        # Limits the memory for long answers. An answer that has been passed on
+        # in part cannot be retried at another target, however.
+        if self._size > _MAX_BUFFERED and not is_failure(self.status):
+            self._start_answer()
+            self.answer.write(b''.join(self._chunks))
+            self._chunks.clear()
 
-    def _read(self) -> Any:
-        return read_json(b''.join(self._parts))
+    def _read_body(self) -> Any:
+        return read_json(b''.join(self._chunks))
 
 
 def is_failure(status: int) -> bool:
-    """Return whether a target's status means that it failed."""
-    return status >= _FIRST_FAILURE
+    """Return whether a target's status is a server error."""
+    return status >= _FIRST_SERVER_ERROR
--- a/src/balsamreach/dispatch/reserving.py
+++ b/src/balsamreach/dispatch/reserving.py
@@ -1,4 +1,4 @@
-"""Sets a request's worst case aside, in the terms of the dispatch layer."""
+"""Token reservations for calls, adapted to the dispatch layer."""
 
 import attrs
 
@@ -15,7 +15,7 @@
     budgets: Budgets,
     call: Call,
 ) -> Reservation | DispatchFault:
-    """Reserve the most tokens that a call can use.
+    """Reserve the maximum number of tokens that a call can use.
 
     Parameters
     ----------
@@ -27,16 +27,16 @@
     Returns
     -------
     Reservation or DispatchFault
-        A fault means that nothing was set aside.
+        With a fault, nothing was reserved.
     """
     with hops.hop('allotment', tokens=call.most_tokens):
         reservation = await budgets.reserve(call.team.name, call.most_tokens)
     if isinstance(reservation, BudgetFault):
-        return _turn(reservation)
+        return _translate(reservation)
     return reservation
 
 
-def _turn(fault: BudgetFault) -> DispatchFault:
+def _translate(fault: BudgetFault) -> DispatchFault:
     if fault == EXHAUSTED:
         return faults.BUDGET_EXHAUSTED.because(fault.reason)
     return attrs.evolve(
--- a/src/balsamreach/dispatch/resuming.py
+++ b/src/balsamreach/dispatch/resuming.py
@@ -1,4 +1,4 @@
-"""Resumes a broken stream at the engine that still has the generation."""
+"""Resumes broken streams at the engine that keeps the generation."""
 
 import asyncio
 
@@ -12,27 +12,27 @@
 from balsamreach.dispatch.replies import PlainReply, Reply
 from balsamreach.dispatch.stream_replies import ResumedReply, StreamReply
 from balsamreach.dispatch.upstream import Attempt
-from balsamreach.dispatch.verdicts import judge
+from balsamreach.dispatch.verdicts import classify_fault
 from balsamreach.requests.answers import Output
 from balsamreach.telemetry.metrics import Metrics
 
 RESUMED = 'balsamreach_streams_resumed_total'
 CANCELLED = 'balsamreach_generations_cancelled_total'
-_MOST_RESUMES = 3
-_PAUSE = 0.05
-_CANCEL_TIMEOUT = 5
+_MAX_RESUMES = 3
+_PAUSE_S = 0.05
+_CANCEL_TIMEOUT_S = 5
 
 
 @attrs.frozen
-class Resumed:
-    """How a resumed stream ended.
+class ResumeResult:
+    """Outcome of resuming a stream.
 
     Parameters
     ----------
     reply : ResumedReply
-        All that came of the stream.
+        Everything received of the stream.
     fault : DispatchFault or None
-        None if it is whole.
+        None if the stream is complete.
     """
 
     reply: ResumedReply
@@ -46,11 +46,11 @@
     Parameters
     ----------
     attempts : Attempts
-        Sends what resumes them.
+        Sends the requests to the engine.
     clock : Clock
-        Time between two tries and of a cancel's deadline.
+        Clock of retries and of the cancel deadline.
     metrics : Metrics
-        Counts resumed streams.
+        Counts resumed streams and cancelled generations.
     """
 
     attempts: Attempts
@@ -63,47 +63,47 @@
         attempt: Attempt,
         broken: StreamReply,
         generation: str = '',
-    ) -> Resumed | None:
-        """Take up a stream after its last whole event.
+    ) -> ResumeResult | None:
+        """Resume a stream after its last complete event.
 
         Parameters
         ----------
         attempt : Attempt
-            What the generation was begun by, or stands in for it.
+            The attempt that started the generation, or a substitute for it.
         broken : StreamReply
-            What came of the stream so far.
+            What was received of the stream so far.
         generation : str
-            The engine's name for it, where the reply does not know it.
+            The engine's identifier of the generation, if the reply lacks it.
 
         Returns
         -------
-        Resumed or None
-            None if the generation is not known or the engine has it no
-            longer; then nothing was added to the answer.
+        ResumeResult or None
+            None if the generation is unknown or the engine no longer has it;
+            then nothing was added to the answer.
         """
         generation = generation or broken.generation
         if not generation or broken.halted is not None:
             return None
         reply = broken
         resumed = None
-        for _ in range(_MOST_RESUMES):
+        for _ in range(_MAX_RESUMES):
             reply = ResumedReply(reply, generation)
-            fault = await self._follow(attempt, reply)
-            if reply.lost or not reply.status:
+            fault = await self._resume_once(attempt, reply)
+            if reply.is_gone or not reply.status:
                 break
-            resumed = Resumed(reply, fault)
+            resumed = ResumeResult(reply, fault)
             if fault != faults.ANSWER_BROKEN:
                 break
-            await self.clock.sleep(_PAUSE)
-        outcome = 'lost' if resumed is None else _label(resumed.fault)
+            await self.clock.sleep(_PAUSE_S)
+        outcome = 'lost' if resumed is None else _outcome_label(resumed.fault)
         self.metrics.count(RESUMED, outcome=outcome)
         return resumed
 
     def cancel(self, attempt: Attempt, reply: Reply) -> None:
-        """Tell the engine that nobody waits for a generation any more.
+        """Cancel a generation that nobody waits for.
 
-        The closed connection alone would let it go on for the time that it
-        keeps broken streams, on a slot that others wait for.
+        If only the connection were closed, the engine would continue for the
+        time it keeps broken streams and occupy a slot that others need.
         """
         if not reply.generation:
             return
@@ -114,45 +114,47 @@
             path=path,
             body=b'',
             stream=False,
-            deadline=self.clock.now() + _CANCEL_TIMEOUT,
+            deadline=self.clock.now() + _CANCEL_TIMEOUT_S,
         )
         self.metrics.count(CANCELLED)
-        sending = asyncio.create_task(self._cancel(attempt, call))
+        sending = asyncio.create_task(self._send_cancel(attempt, call))
         self._cancels.add(sending)
         sending.add_done_callback(self._cancels.discard)
 
-    async def _cancel(self, attempt: Attempt, call: Call) -> None:
-        sent = attrs.evolve(attempt, call=call)
-        reply = PlainReply(_Nowhere(), attempt.attempt_id)
-        await self.attempts.exchange(sent, reply)
+    async def _send_cancel(self, attempt: Attempt, call: Call) -> None:
+        outgoing = attrs.evolve(attempt, call=call)
+        reply = PlainReply(_NullOutput(), attempt.attempt_id)
+        await self.attempts.exchange(outgoing, reply)
 
-    async def _follow(
+    async def _resume_once(
         self,
         attempt: Attempt,
         reply: ResumedReply,
     ) -> DispatchFault | None:
-        path = f'/generations/{reply.generation}?from={reply.received}'
+        path = f'/generations/{reply.generation}?from={reply.received_count}'
         call = attrs.evolve(
             attempt.call,
             method='GET',
             path=path,
             body=b'',
         )
-        sent = attrs.evolve(attempt, call=call)
-        return judge(sent, reply, await self.attempts.exchange(sent, reply))
+        outgoing = attrs.evolve(attempt, call=call)
+        return classify_fault(
+            outgoing, reply, await self.attempts.exchange(outgoing, reply)
+        )
 
 
-class _Nowhere(Output):
-    """Takes the answer to a cancel, which tells nothing of use."""
+class _NullOutput(Output):
+    """Discards the answer to a cancel, which is not needed."""
 
     status = 0
 
     def start(self, status: int, headers: dict[str, str]) -> None:
-        """Drop the head."""
+        """Discard the head."""
 
     def write(self, chunk: bytes) -> None:
-        """Drop the body."""
+        """Discard the body."""
 
 
-def _label(fault: DispatchFault | None) -> str:
+def _outcome_label(fault: DispatchFault | None) -> str:
     return 'whole' if fault is None else fault.code
--- a/src/balsamreach/dispatch/run.py
+++ b/src/balsamreach/dispatch/run.py
@@ -1,4 +1,4 @@
-"""One request's way: admit, reserve, claim, try targets, bill."""
+"""Runs one request: admission, reservation, claim, attempts, billing."""
 
 import asyncio
 import functools
@@ -12,7 +12,7 @@
 from balsamreach.dispatch import faults
 from balsamreach.dispatch.billing import make_bill
 from balsamreach.dispatch.call import Call
-from balsamreach.dispatch.elsewhere import Elsewhere, Others
+from balsamreach.dispatch.elsewhere import RemoteRun, RemoteRunParts
 from balsamreach.dispatch.faults import DispatchFault
 from balsamreach.dispatch.placing import Placer
 from balsamreach.dispatch.replies import PlainReply, Reply
@@ -35,132 +35,143 @@
 
 @attrs.frozen(kw_only=True)
 class RunParts:
-    """What every request runs on."""
+    """Components shared by all requests of a router."""
 
     budgets: Budgets
     claims: Claims
     answers: Answers
     tries: TryParts
-    others: Others
+    others: RemoteRunParts
 
     @property
     def placer(self) -> Placer:
-        """Counts requests into their teams' limits and places them."""
+        """Checks team limits and allocates target slots."""
         return self.tries.placer
 
     @property
     def metrics(self) -> Metrics:
-        """Counters."""
+        """Metrics registry."""
         return self.tries.metrics
 
 
 @attrs.define(eq=False)
-class Run:
+class RequestRun:
     """A request from its admission to its bill.
 
     Parameters
     ----------
     parts : RunParts
-        What it runs on.
+        Shared components.
     call : Call
         The request.
     answer : Answer
-        Where the answer goes.
+        Receives the answer.
     used_tokens : int
-        What it was billed.
+        Tokens billed to the team.
     """
 
     parts: RunParts
     call: Call
     answer: Answer
     used_tokens: int = 0
-    _refused: bool = False
-    _elsewhere: Elsewhere = attrs.field(init=False)
+    _was_refused: bool = False
+    _remote: RemoteRun = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Set up the view of other routers."""
-        self._elsewhere = Elsewhere(
+        """Create the view of runs at other routers."""
+        self._remote = RemoteRun(
             self.parts.others,
             self.call,
             self.answer,
         )
 
     async def run(self) -> None:
-        """Run the request; the answer is ended when this returns."""
+        """Run the request; the answer has ended when this returns."""
         fault: DispatchFault | None = faults.CANCELLED
         try:
-            fault = await self._answer()
-            self._refused = fault is not None and fault.ran == faults.NOT_RUN
-            fault = await self._elsewhere.confirm(fault)
+            fault = await self._process()
+            self._was_refused = (
+                fault is not None and fault.ran == faults.NOT_RUN
+            )
+            fault = await self._remote.confirm_not_run(fault)
         finally:
-            # Whatever ends the task, callers must not wait for good.
-            self._end(fault)
-
-    async def _answer(self) -> DispatchFault | None:
-        misuse = await self._elsewhere.look_up()
-        if misuse is not None:
-            return misuse
-        followed = await self._elsewhere.follow()
-        if followed is not None:
-            return followed.fault
+            # Even if the task is cancelled, the answer must end: callers would
+            # otherwise wait forever.
+            self._finish(fault)
+
+    async def _process(self) -> DispatchFault | None:
+        key_fault = await self._remote.look_up()
+        if key_fault is not None:
+            return key_fault
+        copied = await self._remote.copy_answer()
+        if copied is not None:
+            return copied.fault
         return await self._admit()
 
     async def _admit(self) -> DispatchFault | None:
-        refusal = self.parts.placer.enter(self.call)
+        refusal = self.parts.placer.admit(self.call)
         if refusal is not None:
             return refusal
         try:
             return await self._reserve()
         finally:
-            self.parts.placer.close(self.call, self.used_tokens)
+            self.parts.placer.finish(self.call, self.used_tokens)
 
     async def _reserve(self) -> DispatchFault | None:
-        # A generation that another router began can be taken up all the same.
-        if not self._elsewhere.may_resume:
-            refusal = self.parts.placer.refuse(self.call)
+        # A generation that another router started can be resumed even if no
+        # target accepts new requests.
+        if not self._remote.may_resume:
+            refusal = self.parts.placer.check_available(self.call)
             if refusal is not None:
                 return refusal
         reservation = await reserve(self.parts.budgets, self.call)
         if isinstance(reservation, DispatchFault):
             return reservation
         try:
-            return await self._take_up(reservation)
+            return await self._resume_or_place(reservation)
         finally:
             self.parts.budgets.release(reservation)
 
-    async def _take_up(self, reservation: Reservation) -> DispatchFault | None:
-        resumed = await self._elsewhere.resume()
+    async def _resume_or_place(
+        self, reservation: Reservation
+    ) -> DispatchFault | None:
+        resumed = await self._remote.resume()
         if resumed is not None and resumed.fault is None:
             self._bill(resumed.reply, reservation)
             await self.parts.budgets.secure()
             return None
-        if not self._elsewhere.may_go_on():
-            return faults.ANSWER_BROKEN.because('it broke off elsewhere')
-        return await self._place(reservation)
+        if not self._remote.can_run_here():
+            return faults.ANSWER_BROKEN.because(
+                'the answer broke off at another router'
+            )
+        return await self._place_and_run(reservation)
 
-    async def _place(self, reservation: Reservation) -> DispatchFault | None:
-        # The slot comes after the reservation: a draw from the platform can
-        # take seconds, and a slot held meanwhile would leave its target idle.
+    async def _place_and_run(
+        self, reservation: Reservation
+    ) -> DispatchFault | None:
+        # The slot is taken after the reservation: drawing tokens from the
+        # platform can take seconds, and a slot held meanwhile would leave its
+        # target idle.
         slot = await self.parts.placer.place(self.call)
         if isinstance(slot, DispatchFault):
             return slot
-        claim = await self._claim_for(slot)
+        claim = await self._claim(slot)
         if claim is None or isinstance(claim, Claim):
-            return await self._try(slot, claim, reservation)
-        self.parts.placer.leave(slot)
+            return await self._send(slot, claim, reservation)
+        self.parts.placer.release(slot)
         if isinstance(claim, RequestFault):
-            return turn_request(claim)
-        followed = await self._elsewhere.follow(claim.holder)
-        if followed is not None:
-            return followed.fault
+            return translate_request_fault(claim)
+        copied = await self._remote.copy_answer(claim.holder)
+        if copied is not None:
+            return copied.fault
         return faults.OUTCOME_UNKNOWN.because('it was dispatched before')
 
-    async def _claim_for(
+    async def _claim(
         self,
         slot: Slot,
     ) -> Claim | Held | RequestFault | None:
-        # A key that this router minted is known to nobody else, so no other
-        # router can run the request and no durable claim is needed.
+        # No other router knows a key that this router minted, so none can run
+        # the request and no durable claim is needed.
         if self.call.idempotent or self.call.req.minted:
             return None
         try:
@@ -169,13 +180,13 @@
                 uuid.uuid4().hex,
             )
         except asyncio.CancelledError:
-            self.parts.placer.leave(slot)
+            self.parts.placer.release(slot)
             raise
         if isinstance(claim, Claim):
-            self._elsewhere.claimed()
+            self._remote.mark_claimed()
         return claim
 
-    async def _try(
+    async def _send(
         self,
         slot: Slot,
         claim: Claim | None,
@@ -184,7 +195,7 @@
         tries = Tries(self.parts.tries, self.call, self.answer)
         if not self.call.req.minted:
             self.answer.on_start = functools.partial(
-                self._elsewhere.tell,
+                self._remote.publish_generation,
                 tries,
             )
         try:
@@ -193,38 +204,39 @@
             if tries.may_have_run:
                 self._bill(tries.reply, reservation)
             raise
-        own = self._is_own(tries.reply, fault)
-        if own or fault is None or self.answer.status:
+        buffered = self._is_buffered_answer(tries.reply, fault)
+        if buffered or fault is None or self.answer.status:
             self._bill(tries.reply, reservation)
-        if own or fault is None:
-            # A caller who has the whole answer must not have it for nothing
-            # because this router dies a moment later.
+        if buffered or fault is None:
+            # The bill is secured before the end of the answer is delivered.
+            # Otherwise a caller could have the complete answer unbilled if
+            # this router died right after.
             await self.parts.budgets.secure()
             fault = None
-        if own:
+        if buffered:
             tries.reply.deliver()
         if tries.may_have_run:
-            return _may_have_run(self.call, fault)
+            return _as_maybe_run(self.call, fault)
         if claim is not None:
             self.parts.claims.give_up(claim)
         return fault
 
-    def _is_own(
+    def _is_buffered_answer(
         self,
         reply: Reply | None,
         fault: DispatchFault | None,
     ) -> bool:
-        """Return whether a plain answer waits here to be passed on."""
+        """Return whether a buffered answer is ready to be delivered."""
         if not isinstance(reply, PlainReply):
             return False
-        # An error of a plain service is its own answer to the caller, where
-        # no other worker gave a better one.
+        # If no other target gave a better answer, a plain service's error
+        # response is passed on to the caller.
         failed = fault == faults.TARGET_FAILED and self.call.kind != ENGINE
         return fault is None or failed
 
     def _bill(self, reply: Reply | None, reservation: Reservation) -> None:
         # A request that failed here and was sent again under its key may
-        # have been billed the first time already.
+        # already have been billed the first time.
         if reply is None or self.answer.billed:
             return
         bill = make_bill(self.call, reply)
@@ -232,15 +244,15 @@
         self.answer.billed = True
         self.parts.budgets.bill(reservation, bill)
 
-    def _end(self, fault: DispatchFault | None) -> None:
+    def _finish(self, fault: DispatchFault | None) -> None:
         answers = self.parts.answers
         if fault is None:
             answers.finish(self.answer, End(whole=True))
             return
-        if self._refused:
-            # A refused request leaves nothing behind, so that its key can
-            # be sent again.
-            self._elsewhere.erase()
+        if self._was_refused:
+            # A refused request must leave no trace, so that its key can be
+            # used again.
+            self._remote.retract()
             answers.finish(self.answer, End(whole=False, fault=fault))
             answers.drop(self.answer)
             return
@@ -257,20 +269,20 @@
         )
 
 
-def _may_have_run(
+def _as_maybe_run(
     call: Call,
     fault: DispatchFault | None,
 ) -> DispatchFault | None:
     if fault is None:
         return None
     fault = attrs.evolve(fault, ran=faults.MAYBE_RUN)
-    if call.idempotent and fault in _WORTH_ANOTHER_TRY:
-        return attrs.evolve(fault, retry_after=_RETRY_AFTER)
+    if call.idempotent and fault in _RETRYABLE:
+        return attrs.evolve(fault, retry_after=_RETRY_AFTER_S)
     return fault
 
 
-_RETRY_AFTER = 1
-_WORTH_ANOTHER_TRY = frozenset(
+_RETRY_AFTER_S = 1
+_RETRYABLE = frozenset(
     (faults.ANSWER_BROKEN, faults.TARGET_FAILED, faults.OVERLOADED),
 )
 
@@ -284,6 +296,6 @@
 }
 
 
-def turn_request(fault: RequestFault) -> DispatchFault:
-    """Turn a fault of the requests layer into what callers are told."""
+def translate_request_fault(fault: RequestFault) -> DispatchFault:
+    """Translate a fault of the requests layer into one for callers."""
     return _REQUEST_FAULTS[fault].because(fault.reason)
--- a/src/balsamreach/dispatch/stream_replies.py
+++ b/src/balsamreach/dispatch/stream_replies.py
@@ -1,4 +1,4 @@
-"""Streams of server-sent events on their way into the caller's answer."""
+"""Checks streams of server-sent events before passing them on."""
 
 import re
 
@@ -9,16 +9,16 @@
 
 _EVENT_END = b'\n\n'
 _DONE = b'data: [DONE]'
-# Figures, that is, and not the null that many engines put into every event
-# but the last. Inside a text the quotes would be escaped.
-_USAGE = re.compile(rb'"usage"(?!\s*:\s*null)')
+# Matches usage figures, but not the null that many engines put into every
+# event except the last. Quotes inside generated text are escaped.
+_USAGE_FIELD = re.compile(rb'"usage"(?!\s*:\s*null)')
 _DATA = b'data:'
-_RESUMED = 200
-#: An event longer than this is not waited for.
-_LARGEST_EVENT = 4 * 1024 * 1024
-#: Events of a stream that may carry no token: the first and the last one of
-#: each choice, the usage figures and the end mark.
-_MARK_EVENTS = 300
+_HTTP_OK = 200
+#: Longer events are dropped.
+_MAX_EVENT_BYTES = 4 * 1024 * 1024
+#: Upper bound for events of a stream that carry no token: the first and the
+#: last event of each choice, the usage event and the end marker.
+_MAX_EVENTS_WITHOUT_TOKENS = 300
 
 
 class StreamReply(Reply):
@@ -30,10 +30,13 @@
         As in `Reply`.
     wants_usage : bool
         Whether the caller asked for the usage event.
-    most_tokens : int
-        Completion tokens that are reserved; 0 for no bound.
-    received : int
-        Events that came, those included that are not passed on.
+    max_tokens : int
+        Reserved completion tokens; 0 for no limit.
+
+    Attributes
+    ----------
+    received_count : int
+        Events received, including those not passed on.
     """
 
     def __init__(
@@ -42,75 +45,78 @@
         attempt_id: str,
         *,
         wants_usage: bool,
-        most_tokens: int = 0,
+        max_tokens: int = 0,
     ) -> None:
         super().__init__(answer, attempt_id)
-        self.received = 0
+        self.received_count = 0
         self.wants_usage = wants_usage
-        self.most_tokens = most_tokens
-        self._tail = b''
+        self.max_tokens = max_tokens
+        self._partial_event = b''
         self._done = False
-        self._torn = False
+        self._dropped_event = False
         self._usage: Usage | None = None
 
-    def whole(self) -> bool:
-        """Return whether the end mark came, with no part after it."""
-        ended = self._done and not self._torn
+    def is_complete(self) -> bool:
+        """Return whether the end marker came and no event was dropped."""
+        ended = self._done and not self._dropped_event
         return ended or not self._is_stream()
 
     def usage(self) -> Usage | None:
-        """Return the figures of the usage event."""
+        """Return the usage of the usage event."""
         return self._usage
 
     def _is_stream(self) -> bool:
         kind = self.headers.get('content-type', '')
         return kind.startswith('text/event-stream')
 
-    def _take(self, chunk: bytes) -> None:
+    def _forward(self, chunk: bytes) -> None:
         if not self._is_stream():
-            super()._take(chunk)
+            super()._forward(chunk)
             return
-        received = self._tail + chunk if self._tail else chunk
-        # Only whole events are passed on, so that a stream that breaks in
-        # the middle of one can be resumed or ended with an error event.
+        received = self._partial_event + chunk if self._partial_event else chunk
+        # Only complete events are passed on, so that a stream that breaks
+        # inside an event can be resumed or ended with an error event.
         cut = received.rfind(_EVENT_END) + len(_EVENT_END)
         if cut < len(_EVENT_END):
-            self._hold(received)
+            self._keep_partial(received)
             return
-        self._tail = received[cut:]
+        self._partial_event = received[cut:]
         events = received[:cut]
-        self.received += events.count(_EVENT_END)
-        if self._is_overrun():
+        self.received_count += events.count(_EVENT_END)
+        if self._exceeds_reservation():
             self.halt(faults.RESERVATION_SPENT)
             return
-        if _USAGE.search(events) or _DONE in events:
-            events = self._look_closer(events)
-        self.events += events.count(_EVENT_END)
+        if _USAGE_FIELD.search(events) or _DONE in events:
+            events = self._filter_events(events)
+        self.event_count += events.count(_EVENT_END)
         if events:
-            self._open()
+            self._start_answer()
             self.answer.write(events)
 
-    def _hold(self, received: bytes) -> None:
-        # A target that never ends its event would fill the memory. What is
-        # dropped here is missed as the end mark, so the answer is broken.
-        self._torn = self._torn or len(received) > _LARGEST_EVENT
-        self._tail = b'' if self._torn else received
+    def _keep_partial(self, received: bytes) -> None:
+        # A target that never ends its event would exhaust the memory. The
+        # dropped bytes could contain the end marker, so the answer counts as
+        # broken.
+        self._dropped_event = (
+            self._dropped_event or len(received) > _MAX_EVENT_BYTES
+        )
+        self._partial_event = b'' if self._dropped_event else received
 
-    def _is_overrun(self) -> bool:
-        # Nothing beyond the reservation was set aside: a target that goes on
-        # and on would spend what the team has not paid for.
-        most = self.most_tokens
-        return 0 < most < self.received - _MARK_EVENTS
+    def _exceeds_reservation(self) -> bool:
+        # Only the reserved tokens are set aside: a target that does not stop
+        # would spend tokens that the team has not paid for.
+        limit = self.max_tokens
+        return 0 < limit < self.received_count - _MAX_EVENTS_WITHOUT_TOKENS
 
-    def _look_closer(self, events: bytes) -> bytes:
+    def _filter_events(self, events: bytes) -> bytes:
         passed = [
             event + _EVENT_END
             for event in events.split(_EVENT_END)[:-1]
-            if self._pass_on(event)
+            if self._should_forward(event)
         ]
         return b''.join(passed)
 
-    def _pass_on(self, event: bytes) -> bool:
+    def _should_forward(self, event: bytes) -> bool:
         if event.startswith(_DONE):
             self._done = True
             return True
@@ -123,16 +129,19 @@
 
 
 class ResumedReply(StreamReply):
-    """The rest of a stream, after the connection that brought it broke.
+    """The rest of a stream after its connection broke.
 
     Parameters
     ----------
     earlier : StreamReply
-        What came before.
+        What was received before.
     generation : str
-        The engine's name for the generation.
-    lost : bool
-        Whether the engine no longer has it.
+        The engine's identifier of the generation.
+
+    Attributes
+    ----------
+    is_gone : bool
+        Whether the engine no longer has the generation.
     """
 
     def __init__(self, earlier: StreamReply, generation: str) -> None:
@@ -140,27 +149,27 @@
             earlier.answer,
             earlier.attempt_id,
             wants_usage=earlier.wants_usage,
-            most_tokens=earlier.most_tokens,
+            max_tokens=earlier.max_tokens,
         )
-        self.received = earlier.received
-        self.events = earlier.events
-        self.lost = False
+        self.received_count = earlier.received_count
+        self.event_count = earlier.event_count
+        self.is_gone = False
         self._generation = generation
         self._usage = earlier.usage()
 
     @property
     def generation(self) -> str:
-        """The engine's name for the generation."""
+        """The engine's identifier of the generation."""
         return self._generation
 
     def start(self, status: int, headers: dict[str, str]) -> None:
-        """Take the head of the resumed stream."""
+        """Receive the head of the resumed stream."""
         self.status = status
         self.headers = headers
-        # The attempt that is echoed is the one that began the generation,
-        # maybe another router's; the generation's name is what must match.
+        # The echoed attempt is the one that started the generation, which may
+        # be another router's. So the generation is compared instead.
         named = headers.get(GENERATION_HEADER, self._generation)
         self.foreign = named != self._generation
-        self.lost = status != _RESUMED or not self._is_stream()
-        self._passes = not (self.foreign or self.lost or self.closed)
-        self._tell_head()
+        self.is_gone = status != _HTTP_OK or not self._is_stream()
+        self._is_forwarding = not (self.foreign or self.is_gone or self.closed)
+        self._report_head()
--- a/src/balsamreach/dispatch/tries.py
+++ b/src/balsamreach/dispatch/tries.py
@@ -1,4 +1,4 @@
-"""Tries a request at one target after the other until it is answered."""
+"""Sends a request to one target after another until it is answered."""
 
 import asyncio
 import functools
@@ -10,10 +10,14 @@
 from balsamreach.clock import Clock
 from balsamreach.config.settings import RequestsSettings
 from balsamreach.dispatch import faults
-from balsamreach.dispatch.attempts import Attempts, make_reply, shows_queueing
+from balsamreach.dispatch.attempts import (
+    Attempts,
+    first_byte_shows_queueing,
+    make_reply,
+)
 from balsamreach.dispatch.call import Call
 from balsamreach.dispatch.faults import DispatchFault
-from balsamreach.dispatch.hedging import Race
+from balsamreach.dispatch.hedging import HedgedAttempts
 from balsamreach.dispatch.placing import Placer
 from balsamreach.dispatch.replay import Replay, can_replay
 from balsamreach.dispatch.replies import Reply
@@ -28,11 +32,12 @@
 from balsamreach.telemetry.logs import log_event
 from balsamreach.telemetry.metrics import Metrics
 
-FOREIGN = 'balsamreach_answers_foreign_total'
-RERUN = 'balsamreach_streams_rerun_total'
-_MOST_ATTEMPTS = 3
-#: Seconds an engine holds a stream that nobody can come back for.
-_KEEP_MINTED = 2
+FOREIGN_ANSWERS = 'balsamreach_answers_foreign_total'
+RERUNS = 'balsamreach_streams_rerun_total'
+_ATTEMPT_LIMIT = 3
+#: Seconds for which an engine keeps a stream under a minted key, which no
+#: caller can come back for.
+_MINTED_KEEP_S = 2
 _KEEP_HEADER = 'X-Keep-Seconds'
 
 _logger = logging.getLogger(__name__)
@@ -40,7 +45,7 @@
 
 @attrs.frozen(kw_only=True)
 class TryParts:
-    """What every request is tried with."""
+    """Components shared by the attempts of all requests."""
 
     cfg: RequestsSettings
     placer: Placer
@@ -56,7 +61,7 @@
     upstream: Upstream,
     announcements: Announcements | None = None,
 ) -> TryParts:
-    """Return what one router's requests are tried with."""
+    """Build the components that one router's attempts share."""
     attempts = Attempts(
         upstream,
         routing.clock,
@@ -80,17 +85,18 @@
     Parameters
     ----------
     parts : TryParts
-        What they are made with.
+        Shared components.
     call : Call
         The request.
     answer : Answer
-        Where the answer goes.
+        Receives the answer.
     reply : Reply or None
-        The newest attempt's, for the bill.
+        Reply of the latest attempt, or of the winning one if hedged; the bill
+        is computed from it.
     target : str
-        Name of the target it went to.
+        Name of the target that `reply` comes from.
     may_have_run : bool
-        Whether any attempt may have reached a target that ran it.
+        Whether any attempt may have reached a target that ran the request.
     """
 
     parts: TryParts
@@ -100,68 +106,70 @@
     target: str = ''
     may_have_run: bool = False
     _tried: set[str] = attrs.field(factory=set)
-    _race: Race | None = None
+    _hedged: HedgedAttempts | None = None
 
     async def run(self, slot: Slot) -> DispatchFault | None:
-        """Try at a first target, then at others as far as that is allowed.
+        """Try the first target, then others as far as retries are allowed.
 
         Parameters
         ----------
         slot : Slot
-            The hold on the first target; given back here.
+            Slot at the first target; released here.
 
         Returns
         -------
         DispatchFault or None
-            None if the answer is whole; else what the last attempt met.
+            None if the answer is complete, else the fault of the last attempt.
         """
-        fault = await self._first(slot)
+        fault = await self._attempt_first(slot)
         while fault is not None and self._may_retry(fault, slot):
-            other = await self.parts.placer.place_again(
+            other = await self.parts.placer.place_retry(
                 self.call,
                 self._tried,
             )
             if isinstance(other, DispatchFault):
-                # What the last attempt met says more than that no other
-                # target is left to try, but not when to come back.
+                # The fault of the last attempt says more than that no other
+                # target is left, except about when to retry.
                 if fault == faults.OVERLOADED:
-                    fault = _put_off(fault, other)
+                    fault = _extend_retry_after(fault, other)
                 break
             slot = other
-            fault = await self._try(slot)
+            fault = await self._attempt(slot)
         return fault
 
-    async def _first(self, slot: Slot) -> DispatchFault | None:
+    async def _attempt_first(self, slot: Slot) -> DispatchFault | None:
         delay = self.parts.placer.hedge_delay(self.call)
-        if not delay or not shows_queueing(self.call):
-            return await self._try(slot)
-        self._race = Race(
+        if not delay or not first_byte_shows_queueing(self.call):
+            return await self._attempt(slot)
+        self._hedged = HedgedAttempts(
             placer=self.parts.placer,
             clock=self.parts.clock,
             metrics=self.parts.metrics,
             call=self.call,
-            attempt=self._try,
+            make_attempt=self._attempt,
         )
         try:
-            return await self._race.run(slot, delay, self._tried)
+            return await self._hedged.run(slot, delay, self._tried)
         finally:
-            self._race = None
+            self._hedged = None
 
-    async def _try(self, slot: Slot) -> DispatchFault | None:
+    async def _attempt(self, slot: Slot) -> DispatchFault | None:
         self.target = slot.target.name
         self._tried.add(self.target)
-        attempt = Attempt(uuid.uuid4().hex, self._kept(), slot.target)
-        output = self._output()
+        attempt = Attempt(
+            uuid.uuid4().hex, self._with_keep_header(), slot.target
+        )
+        output = self._make_output()
         reply = make_reply(self.call, output, attempt.attempt_id)
         if isinstance(output, Replay):
             output.on_diverged = functools.partial(reply.halt, _DIVERGED)
         self.reply = reply
-        if self._race is not None:
-            # A second attempt becomes the newest; what is billed and told
-            # to other routers must be the one that answers.
-            self._race.enter(
+        if self._hedged is not None:
+            # A hedge replaces `reply` with its own. Billing and other routers
+            # must get the reply that wins.
+            self._hedged.register(
                 reply,
-                functools.partial(self._answered_by, reply, self.target),
+                functools.partial(self._set_reply, reply, self.target),
             )
         try:
             fault = await self._send(attempt, reply, slot)
@@ -169,18 +177,18 @@
             self.parts.resumer.cancel(attempt, reply)
             raise
         finally:
-            self.parts.placer.leave(slot)
-            self._note(attempt, reply)
-        if fault is None and self._race is not None:
-            self._race.claim(
+            self.parts.placer.release(slot)
+            self._record(attempt, reply)
+        if fault is None and self._hedged is not None:
+            self._hedged.declare_winner(
                 reply,
-                functools.partial(self._answered_by, reply, slot.target.name),
+                functools.partial(self._set_reply, reply, slot.target.name),
             )
         if reply.halted is not None:
             self.parts.resumer.cancel(attempt, reply)
         return fault
 
-    def _answered_by(self, reply: Reply, target: str) -> None:
+    def _set_reply(self, reply: Reply, target: str) -> None:
         self.reply = reply
         self.target = target
 
@@ -193,7 +201,7 @@
         fault = await self.parts.attempts.send(attempt, reply, slot)
         if fault != faults.ANSWER_BROKEN or not isinstance(reply, StreamReply):
             return fault
-        if self._race is not None and self._race.lost(reply):
+        if self._hedged is not None and self._hedged.is_loser(reply):
             return fault
         resumed = await self.parts.resumer.resume(attempt, reply)
         if resumed is None:
@@ -203,22 +211,22 @@
             slot.verdict = Verdict.GOOD
         return resumed.fault
 
-    def _kept(self) -> Call:
+    def _with_keep_header(self) -> Call:
         if not self.call.stream or self.call.kind != ENGINE:
             return self.call
-        # A stream whose connection breaks can be resumed only while its
-        # engine holds it. A caller that went away for good is told to the
-        # engine by a cancel; should that get lost, the time runs out.
-        keep = self.parts.cfg.stream_keep
+        # A stream whose connection breaks can be resumed only while its engine
+        # keeps it. When the caller has gone for good, the engine is sent a
+        # cancel; if that is lost, this time limit applies.
+        keep_s = self.parts.cfg.stream_keep
         if self.call.req.minted:
-            keep = min(keep, _KEEP_MINTED)
-        headers = self.call.headers | {_KEEP_HEADER: str(keep)}
+            keep_s = min(keep_s, _MINTED_KEEP_S)
+        headers = self.call.headers | {_KEEP_HEADER: str(keep_s)}
         return attrs.evolve(self.call, headers=headers)
 
-    def _output(self) -> Output:
+    def _make_output(self) -> Output:
         if not self.answer.status:
             return self.answer
-        self.parts.metrics.count(RERUN)
+        self.parts.metrics.count(RERUNS)
         log_event(
             _logger,
             logging.INFO,
@@ -228,12 +236,12 @@
         )
         return Replay(self.answer)
 
-    def _note(self, attempt: Attempt, reply: Reply) -> None:
+    def _record(self, attempt: Attempt, reply: Reply) -> None:
         trusted = attempt.target.row.trusted_refusals
         if reply.sent and not (reply.declined and trusted):
             self.may_have_run = True
         if reply.foreign:
-            self.parts.metrics.count(FOREIGN)
+            self.parts.metrics.count(FOREIGN_ANSWERS)
             log_event(
                 _logger,
                 logging.WARNING,
@@ -244,11 +252,11 @@
             )
 
     def _may_retry(self, fault: DispatchFault, slot: Slot) -> bool:
-        if len(self._tried) >= _MOST_ATTEMPTS:
+        if len(self._tried) >= _ATTEMPT_LIMIT:
             return False
         if not self.call.idempotent:
-            # Only where nothing was sent or no connection was made is the
-            # single run of a non-idempotent request certainly unused.
+            # A non-idempotent request may run once. Only if nothing was sent
+            # or no connection was made is it certain that it has not.
             return slot.verdict in {Verdict.UNUSED, Verdict.REFUSED}
         if self.answer.status and not can_replay(self.answer):
             return False
@@ -256,7 +264,9 @@
         return retried or fault == faults.OVERLOADED
 
 
-def _put_off(fault: DispatchFault, other: DispatchFault) -> DispatchFault:
+def _extend_retry_after(
+    fault: DispatchFault, other: DispatchFault
+) -> DispatchFault:
     if other != faults.TARGETS_BACK_OFF:
         return fault
     wait = max(fault.retry_after, other.retry_after)
@@ -264,5 +274,5 @@
 
 
 _DIVERGED = faults.ANSWER_BROKEN.because(
-    'the stream broke, and a second run says something else',
+    'the stream broke and a second run gave different output',
 )
--- a/src/balsamreach/dispatch/upstream.py
+++ b/src/balsamreach/dispatch/upstream.py
@@ -1,4 +1,4 @@
-"""Abstract base of what carries a request to a target."""
+"""Interface of the transport that sends requests to targets."""
 
 import abc
 from collections.abc import Callable
@@ -14,37 +14,37 @@
 
 
 class UpstreamFault(Fault):
-    """A reason why a target's answer did not come whole."""
+    """Reason why a target's answer is incomplete."""
 
 
-#: No connection was made: no byte can have reached the target.
+#: No connection was made, so no byte can have reached the target.
 NOT_SENT = UpstreamFault('not_sent')
-#: The target said itself that it did not run the request.
+#: The target reported that it did not run the request.
 DECLINED = UpstreamFault('declined')
 #: The connection broke after bytes may have reached the target.
 BROKEN = UpstreamFault('connection_broken')
-#: Nothing came for the gap timeout although the connection stands.
+#: No data arrived within the gap timeout although the connection is open.
 SILENT = UpstreamFault('connection_silent')
 #: The target answered with a server error.
 FAILED = UpstreamFault('target_failed')
 #: The request's deadline passed.
 EXPIRED = UpstreamFault('deadline_passed')
-#: The intake wants no more of the answer.
+#: The intake stopped the answer.
 HALTED = UpstreamFault('answer_halted')
 
 
-#: Takes the status and headers of an answer, names in lower case.
+#: Called with the status and headers of an answer, header names in lower case.
 HeadTaker = Callable[[int, dict[str, str]], None]
 
 
 @attrs.frozen
 class Attempt:
-    """One try of a request at one target.
+    """One attempt to run a request at one target.
 
     Parameters
     ----------
     attempt_id : str
-        Identity that the target echoes.
+        Identifier that the target echoes.
     call : Call
         The request.
     target : Target
@@ -57,12 +57,12 @@
 
 
 class Intake(abc.ABC):
-    """What takes in a target's answer.
+    """Receives a target's answer.
 
     Parameters
     ----------
     sent : bool
-        Whether bytes of the request may have left for the target.
+        Whether bytes of the request may have been sent to the target.
     closed : bool
         Whether the attempt is over.
     on_head : callable or None
@@ -75,24 +75,24 @@
         self.on_head: HeadTaker | None = None
 
     def close(self) -> None:
-        """End the attempt for good.
+        """End the attempt permanently.
 
-        Whoever waits for a connection still finds out that it may not send.
-        Without this, a request could leave after its caller was told that
-        it did not run.
+        If the transport is still waiting for a connection, `before_send` now
+        forbids sending. Otherwise the request could be sent after its caller
+        was told that it did not run.
         """
         self.closed = True
         self.on_head = None
 
     def before_send(self) -> bool:
-        """Note that the request is about to leave, once.
+        """Record that the request is about to be sent, once.
 
         Returns
         -------
         bool
-            Whether it may leave. HTTP clients send a request again by
-            themselves where a reused connection turns out dead; the target
-            may have run the first one, so a second time is forbidden.
+            Whether it may be sent. HTTP clients retry by themselves if a
+            reused connection turns out dead; the target may have run the first
+            request, so sending again is forbidden.
         """
         if self.sent or self.closed:
             return False
@@ -101,16 +101,16 @@
 
     @property
     def full(self) -> bool:
-        """Whether reading is to pause until the callers caught up."""
+        """Whether to pause reading until callers have caught up."""
         return False
 
     @abc.abstractmethod
     def start(self, status: int, headers: dict[str, str]) -> None:
-        """Take the head of the answer, header names in lower case."""
+        """Receive status and headers, header names in lower case."""
 
     @abc.abstractmethod
     def write(self, chunk: bytes) -> None:
-        """Take the next bytes of the body."""
+        """Receive the next bytes of the body."""
 
 
 class Upstream(abc.ABC):
@@ -122,18 +122,18 @@
         attempt: Attempt,
         intake: Intake,
     ) -> UpstreamFault | None:
-        """Send a request and feed the answer to the intake until it ends.
+        """Send a request and pass the answer to the intake until it ends.
 
         Returns
         -------
         UpstreamFault or None
-            None if the HTTP exchange ended in order, with any status.
-            NOT_SENT only if ``intake.before_send`` never allowed a byte.
+            None if the HTTP exchange completed, with any status. NOT_SENT only
+            if ``intake.before_send`` never returned True.
 
         Notes
         -----
         An implementation calls ``intake.before_send`` each time right before
-        the first byte of the request can leave, and sends nothing where that
-        returns False. What callers are told about whether their request ran
-        rests on this. Cancelling the task closes the connection.
+        the first byte of the request can be sent, and sends nothing if that
+        returns False. Whether callers are told that their request ran depends
+        on this. Cancelling the task closes the connection.
         """
--- a/src/balsamreach/dispatch/usage.py
+++ b/src/balsamreach/dispatch/usage.py
@@ -1,4 +1,4 @@
-"""A target's usage figures: the tokens it says that a request used."""
+"""Token usage as reported by targets."""
 
 import json
 from typing import Any
@@ -8,29 +8,29 @@
 
 @attrs.frozen
 class Usage:
-    """Tokens a target says a request used."""
+    """Tokens that a target reports for a request."""
 
     prompt: int
     completion: int
 
     @property
     def total(self) -> int:
-        """Tokens to bill."""
+        """Total tokens to bill."""
         return self.prompt + self.completion
 
 
 def read_usage(body: Any) -> Usage | None:
-    """Return the usage figures of a chat completion or chunk.
+    """Return the usage reported in a chat completion or chunk.
 
     Parameters
     ----------
     body : object
-        The JSON of the answer or event.
+        Parsed JSON of the answer or event.
 
     Returns
     -------
     Usage or None
-        None where figures are missing or are no whole numbers.
+        None if figures are missing or not integers.
     """
     usage = body.get('usage') if isinstance(body, dict) else None
     if not isinstance(usage, dict):
@@ -43,7 +43,7 @@
 
 
 def read_json(text: bytes) -> Any:
-    """Return the JSON of a body or event, None where it is malformed."""
+    """Parse the JSON of a body or event; None if it is malformed."""
     try:
         return json.loads(text)
     except ValueError:
--- a/src/balsamreach/dispatch/verdicts.py
+++ b/src/balsamreach/dispatch/verdicts.py
@@ -1,4 +1,4 @@
-"""What the end of an exchange with a target means."""
+"""Classifies how an exchange with a target ended."""
 
 import attrs
 
@@ -8,7 +8,7 @@
 from balsamreach.dispatch.upstream import Attempt, UpstreamFault
 from balsamreach.routing.slot import Verdict
 
-_VERDICTS = {
+_VERDICT_BY_FAULT = {
     upstream.NOT_SENT: Verdict.REFUSED,
     upstream.DECLINED: Verdict.DECLINED,
     upstream.FAILED: Verdict.FAILED,
@@ -19,18 +19,18 @@
 }
 
 
-def judge(
+def classify_fault(
     attempt: Attempt,
     reply: Reply,
     outcome: UpstreamFault | None,
 ) -> DispatchFault | None:
-    """Return why an answer is not whole, and whether the request ran.
+    """Return why an answer is incomplete, and whether the request ran.
 
-    Only two things show that it did not run: no byte was allowed to leave,
-    or the target says so and is trusted to. All else is unknown.
+    The request certainly did not run in only two cases: no byte was allowed to
+    be sent, or a trusted target reports it. Otherwise it is unknown.
     """
     if outcome is not None and not reply.sent:
-        return _not_sent(outcome)
+        return _classify_unsent(outcome)
     if reply.foreign:
         return faults.ANSWER_BROKEN.because('answer to another attempt')
     if reply.halted is not None:
@@ -41,38 +41,40 @@
         return faults.DEADLINE.because('the deadline passed')
     if outcome is not None:
         return faults.ANSWER_BROKEN.because(outcome.reason or outcome.code)
-    return _judge_whole(reply)
+    return _classify_answer(reply)
 
 
-def _not_sent(outcome: UpstreamFault) -> DispatchFault:
+def _classify_unsent(outcome: UpstreamFault) -> DispatchFault:
     if outcome == upstream.EXPIRED:
         expired = faults.DEADLINE.because('no connection before the deadline')
         return attrs.evolve(expired, ran=faults.NOT_RUN)
     return faults.OVERLOADED.because('no connection to the target')
 
 
-def _judge_whole(reply: Reply) -> DispatchFault | None:
+def _classify_answer(reply: Reply) -> DispatchFault | None:
     if reply.declined:
-        return faults.ANSWER_BROKEN.because('declined, but is not trusted')
+        return faults.ANSWER_BROKEN.because(
+            'the target declined, but its refusals are not trusted'
+        )
     if is_failure(reply.status):
         return faults.TARGET_FAILED.because(
             f'the target answered {reply.status}'
         )
-    if not reply.whole():
+    if not reply.is_complete():
         return faults.ANSWER_BROKEN.because('the answer has no proper end')
     return None
 
 
-def rate(
+def routing_verdict(
     attempt: Attempt,
     reply: Reply,
     outcome: UpstreamFault | None,
 ) -> Verdict:
-    """Return what routing learns from the end of an exchange."""
+    """Return the verdict on the target that routing uses."""
     if outcome is not None:
-        return _VERDICTS[outcome]
+        return _VERDICT_BY_FAULT[outcome]
     if reply.declined and attempt.target.row.trusted_refusals:
         return Verdict.DECLINED
     if reply.foreign or is_failure(reply.status):
         return Verdict.FAILED
-    return Verdict.GOOD if reply.whole() else Verdict.BROKEN
+    return Verdict.GOOD if reply.is_complete() else Verdict.BROKEN
--- a/tests/test_dispatch_crashes.py
+++ b/tests/test_dispatch_crashes.py
@@ -14,40 +14,40 @@
 from tests.small_router import QuickClock, SmallRouter, open_account
 
 _ENGINES = 8
-_CULPRIT = 'culprit'
-_END = b'data: [DONE]\n\n'
-_TURNS = 200
+_CRASHING = 'culprit'
+_DONE_EVENT = b'data: [DONE]\n\n'
+_LOOP_ITERATIONS = 200
 
 
 @attrs.define(eq=False)
 class CrashingEngines(Upstream):
-    """Engines that one request crashes, with all that run beside it."""
+    """Engines that one request crashes, with all requests running there."""
 
-    lost: list = attrs.field(factory=list)
-    begun: list = attrs.field(factory=list)
+    crashed: list = attrs.field(factory=list)
+    started: list = attrs.field(factory=list)
     dead: set = attrs.field(factory=set)
     go_on: asyncio.Event = attrs.field(factory=asyncio.Event)
-    _crashes: dict = attrs.field(factory=dict)
+    _crash_events: dict = attrs.field(factory=dict)
 
     async def send(self, attempt, intake):
-        """Run a request until its end or its engine's."""
+        """Run a request until it ends or its engine crashes."""
         name = attempt.target.name
         await asyncio.sleep(0)
         if name in self.dead or not intake.before_send():
             return NOT_SENT
         fingerprint = attempt.call.req.fingerprint
-        self.begun.append((name, fingerprint))
-        crash = self._crashes.setdefault(name, asyncio.Event())
-        if fingerprint == _CULPRIT:
-            self.lost.append(name)
+        self.started.append((name, fingerprint))
+        crash = self._crash_events.setdefault(name, asyncio.Event())
+        if fingerprint == _CRASHING:
+            self.crashed.append(name)
             self.dead.add(name)
-            self._crashes.pop(name).set()
+            self._crash_events.pop(name).set()
             return BROKEN
         await self._first_of(crash, self.go_on)
         if crash.is_set():
             return BROKEN
         intake.start(200, {'content-type': 'text/event-stream'})
-        intake.write(_END)
+        intake.write(_DONE_EVENT)
         return None
 
     async def _first_of(self, *events):
@@ -58,7 +58,7 @@
 
 
 class CrashTest(unittest.IsolatedAsyncioTestCase):
-    """Two routers before eight engines."""
+    """Two routers with eight engines."""
 
     async def asyncSetUp(self):
         self.clock = QuickClock()
@@ -82,10 +82,10 @@
             self.report(router, 'first')
 
     def report(self, router, start):
-        """Let a router hear of all engines."""
+        """Report all engines to a router, crashed ones as restarted."""
         for target in router.targets.by_name.values():
-            lost = target.name in self.engines.lost
-            incarnation = start if lost else 'first'
+            crashed = target.name in self.engines.crashed
+            incarnation = start if crashed else 'first'
             report = LoadReport(
                 incarnation=incarnation, taken_at=self.clock.now()
             )
@@ -96,17 +96,17 @@
         return router.routing.quarantine
 
     def send(self, router, mark, key):
-        """Begin a request."""
+        """Start a request."""
         return asyncio.create_task(router.call(mark=mark, key=key))
 
-    async def turn(self):
-        """Let happen whatever needs no further time."""
-        for _ in range(_TURNS):
+    async def run_tasks(self):
+        """Run all tasks that need no further time."""
+        for _ in range(_LOOP_ITERATIONS):
             await asyncio.sleep(0)
         await self.net.settle()
 
-    async def learn(self, how):
-        """Let the crashes become known, or not yet."""
+    async def reveal_crashes(self, how):
+        """Make the crashes known in the given way, or not yet."""
         if how == 'restarted':
             self.engines.dead.clear()
             for router in self.routers:
@@ -114,60 +114,59 @@
                 router.routing.tick()
         if how == 'refused':
             quarantine = self.quarantine(self.routers[0])
-            for name in self.engines.lost:
+            for name in self.engines.crashed:
                 quarantine.refused(name)
         await self.net.settle()
 
     @parameterized.expand([('not known yet',), ('refused',), ('restarted',)])
-    async def test_two_engines_are_lost_and_no_neighbour_is_blamed(self, how):
-        """One request takes engine after engine down, and others' names.
-
-        Symptom: a third engine is lost a moment after the second; or
-        callers of sound requests are refused for an hour. Sequence: a
-        request crashes its engine, with others of both routers beside it,
-        and the one it is tried at again; before or after anybody knows that
-        they crashed, it is sent again under a new key through the other
-        router. Cause: connections that broke were known to one router
-        alone until a crash was certain; or all that were there look alike.
+    async def test_request_crashes_two_engines_and_others_are_served(self, how):
+        """Guards against one request crashing many engines.
+
+        The request crashes its engine, then the one it is retried at, with
+        other requests of both routers running there. It is then sent again
+        under new keys. This may happen before the crashes are known. If broken
+        connections are known to one router only, a third engine crashes; if
+        all requests that ran there are suspected alike, sound ones are refused
+        for an hour.
         """
-        await self.crash_two()
-        broken = self.neighbours()
-        self.assertGreater(len(broken), 2)
-        await self.learn(how)
+        await self.crash_two_engines()
+        others = self.other_fingerprints()
+        self.assertGreater(len(others), 2)
+        await self.reveal_crashes(how)
         for number, router in enumerate(reversed(self.routers)):
-            again = await router.call(mark=_CULPRIT, key=f'again-{number}')
+            again = await router.call(mark=_CRASHING, key=f'again-{number}')
             self.assertEqual(again.fault.ran, faults.NOT_RUN)
-        self.assertEqual(len(self.engines.lost), 2)
-        await self.check_others(broken)
+        self.assertEqual(len(self.engines.crashed), 2)
+        await self.check_others(others)
 
-    async def crash_two(self):
-        """Send the culprit beside others, which all are to be answered."""
+    async def crash_two_engines(self):
+        """Send the crashing request among others, which must be answered."""
         beside = [
             self.send(self.routers[number % 2], f'n{number}', f'key-{number}')
             for number in range(4 * _ENGINES)
         ]
-        await self.turn()
-        culprit = self.send(self.routers[0], _CULPRIT, 'first key')
-        await self.turn()
+        await self.run_tasks()
+        crashing = self.send(self.routers[0], _CRASHING, 'first key')
+        await self.run_tasks()
         self.engines.go_on.set()
-        await self.turn()
-        self.assertIsNotNone((await culprit).fault)
-        self.assertEqual(len(self.engines.lost), 2)
+        await self.run_tasks()
+        self.assertIsNotNone((await crashing).fault)
+        self.assertEqual(len(self.engines.crashed), 2)
         for caller in await asyncio.gather(*beside):
             self.assertIsNone(caller.fault)
 
-    def neighbours(self):
-        """Return the fingerprints that ran at the engines that were lost."""
-        lost = self.engines.lost
-        ran = {mark for name, mark in self.engines.begun if name in lost}
-        return sorted(ran - {_CULPRIT})
+    def other_fingerprints(self):
+        """Return the fingerprints of other requests at crashed engines."""
+        crashed = self.engines.crashed
+        ran = {mark for name, mark in self.engines.started if name in crashed}
+        return sorted(ran - {_CRASHING})
 
-    async def check_others(self, broken):
-        """Check that all but the culprit are served by both routers."""
+    async def check_others(self, others):
+        """Check that both routers serve all other requests."""
         for router in self.routers:
-            for mark in (*broken, 'new'):
+            for mark in (*others, 'new'):
                 caller = await router.call(mark=mark, key=f'later-{mark}')
                 self.assertIsNone(caller.fault, mark)
             held = self.quarantine(router).listed()
-            prints = {one.fingerprint for one in held}
-            self.assertLessEqual(prints, {f'team-{_CULPRIT}'})
+            fingerprints = {one.fingerprint for one in held}
+            self.assertLessEqual(fingerprints, {f'team-{_CRASHING}'})
--- a/tests/test_dispatch_hedging.py
+++ b/tests/test_dispatch_hedging.py
@@ -1,4 +1,4 @@
-"""Tests of second attempts beside slow ones."""
+"""Tests of hedged requests."""
 
 import asyncio
 import unittest
@@ -18,11 +18,11 @@
 
 _ENGINE = ('engine', 'model-a')
 _DESK = ('service', 'desk')
-_LAST = b'data: [DONE]\n\n'
+_DONE_EVENT = b'data: [DONE]\n\n'
 
 
 class DelayTest(unittest.TestCase):
-    """When an attempt counts as slow."""
+    """The delay before a hedge."""
 
     def test_delay_is_a_high_percentile_with_a_floor(self):
         delays = HedgeDelays(enabled=True)
@@ -44,7 +44,7 @@
 
 
 class HedgeTest(unittest.IsolatedAsyncioTestCase):
-    """One answer, one bill, and the slow attempt is let go."""
+    """A hedged request gets one answer and one bill."""
 
     async def asyncSetUp(self):
         clock = QuickClock()
@@ -60,31 +60,29 @@
                 self.routing.hedges.observe(pool, 0.1)
 
     def plan_first(self, fault):
-        """Let the request that is sent first meet a fault."""
+        """Set the fault of the request that is sent first."""
         self.upstream.plan_next(fault)
 
     def hedges(self, outcome):
-        """Return how many hedges ended so."""
+        """Return the number of hedges with an outcome."""
         return self.tries.metrics.counted(HEDGES, outcome=outcome)
 
     async def settle(self):
-        """Let all that can happen without further time happen."""
+        """Run all tasks that need no further time."""
         for _ in range(100):
             await asyncio.sleep(0)
 
-    def check_free(self):
-        """Check that no slot is held any more."""
+    def check_slots_released(self):
+        """Check that all slots have been released."""
         pools = self.routing.admission.picker.pools
         held = [state.held for state in pools.states.values()]
         self.assertEqual(sum(held), 0)
 
     @parameterized.expand([({},), (service_call(),)])
     async def test_second_target_answers_for_a_silent_one(self, changes):
-        """A caller waits for one slow target while others are idle.
+        """Guards against a request waiting for the gap timeout.
 
-        Symptom: a few requests take as long as the gap timeout.
-        Sequence: the target takes the request and says nothing.
-        Cause: nobody else is asked.
+        A target takes the request and sends nothing, while others are idle.
         """
         self.plan_first(HANG)
         caller = await self.router.call(**changes)
@@ -92,14 +90,13 @@
         self.assertEqual(self.upstream.runs['key'], 2)
         self.assertEqual(len(self.router.bills()), 1)
         self.assertEqual(self.hedges('second'), 1)
-        self.check_free()
+        self.check_slots_released()
 
-    async def test_first_goes_on_where_it_is_the_first_to_answer(self):
-        """Bytes of two attempts are never joined to one answer.
+    async def test_first_attempt_continues_if_it_answers_first(self):
+        """Guards against mixing the bytes of two attempts.
 
-        Symptom: the caller gets the beginning of the reply twice.
-        Sequence: the first attempt answers while the second is under way.
-        Cause: both attempts write to the caller.
+        The first attempt answers while the second one is running; if both
+        wrote to the caller, it would get the beginning twice.
         """
         self.plan_first(pause(0))
         self.upstream.plan_next(HANG)
@@ -109,9 +106,9 @@
         self.upstream.go_on.set()
         caller = await submitted
         self.assertTrue(caller.end.whole, caller.end)
-        self.assertEqual(caller.body.count(_LAST), 1)
+        self.assertEqual(caller.body.count(_DONE_EVENT), 1)
         self.assertEqual(self.hedges('first'), 1)
-        self.check_free()
+        self.check_slots_released()
 
     @parameterized.expand(
         [
@@ -120,11 +117,10 @@
         ]
     )
     async def test_some_requests_are_never_hedged(self, _name, changes):
-        """A booking runs at most once, however slow it is.
+        """Guards against hedging requests that must not run twice.
 
-        Symptom: a guest is booked twice.
-        Sequence: the first attempt is slow and a second is sent.
-        Cause: a hedge of a request that may run once only.
+        If a slow booking were sent a second time, a guest would be booked
+        twice.
         """
         self.plan_first(HANG)
         submitted = asyncio.create_task(self.router.call(**changes))
@@ -134,11 +130,10 @@
         submitted.cancel()
 
     async def test_empty_retry_budget_allows_no_hedge(self):
-        """Hedges do not multiply the load when everything is slow.
+        """Guards against hedges beyond the retry budget.
 
-        Symptom: attempts double as soon as the targets are overloaded.
-        Sequence: every request is slow, so each is sent twice.
-        Cause: hedges beyond the retry budget.
+        If all targets are slow, every request would be sent twice, which
+        doubles the load on overloaded targets.
         """
         self.routing.retries.tokens = 0
         self.upstream.plan_next(pause(0))
@@ -150,14 +145,13 @@
         self.assertTrue(caller.end.whole, caller.end)
         self.assertEqual(self.upstream.runs['key'], 1)
 
-    async def test_target_that_is_always_outrun_is_suspended(self):
-        """The p95 rises with hedges while the p99 falls.
+    async def test_target_that_always_loses_is_suspended(self):
+        """Guards against a slow target attracting requests by being hedged.
 
-        Symptom: a slow target gets more requests than without hedges, and
-        each of them waits for the delay first. Sequence: attempts there are
-        broken off as soon as the second one answers.
-        Cause: its slots come free early, so it looks idle, and nothing of a
-        lost race counted against it.
+        Attempts at it are cancelled as soon as the hedge answers, so its slots
+        are released early and it looks idle. If lost races didn't count
+        against it, it would get more requests than without hedging, each
+        waiting for the delay first: the p99 falls but the p95 rises.
         """
         self.routing.retries.tokens = 100
         self.upstream.plan('engine-0', *(HANG for _ in range(60)))
@@ -165,17 +159,17 @@
             caller = await self.router.call(key=f'key-{number}')
             self.assertTrue(caller.end.whole, caller.end)
         pools = self.routing.admission.picker.pools
-        failures = {
+        breakers = {
             name: state.breaker.open for name, state in pools.states.items()
         }
-        slow = failures.pop('engine-0')
+        slow = breakers.pop('engine-0')
         self.assertTrue(slow)
-        self.assertFalse(any(failures.values()))
-        self.check_free()
+        self.assertFalse(any(breakers.values()))
+        self.check_slots_released()
 
     async def test_failed_first_attempt_waits_for_the_hedge(self):
         self.plan_first(BREAK_BEFORE_HEAD)
         caller = await self.router.call()
         self.assertTrue(caller.end.whole, caller.end)
         self.assertEqual(len(self.router.bills()), 1)
-        self.check_free()
+        self.check_slots_released()
--- a/tests/test_dispatch_histories.py
+++ b/tests/test_dispatch_histories.py
@@ -1,7 +1,7 @@
 """Random histories of duplicates, crashes, lost answers and outages.
 
-The number of histories can be raised by hand, for a longer run, with the
-environment variable ``BALSAMREACH_HISTORIES``.
+For a longer run, set the environment variable ``BALSAMREACH_HISTORIES`` to the
+number of histories.
 """
 
 import asyncio
@@ -33,16 +33,16 @@
 
 _HISTORIES = int(os.environ.get('BALSAMREACH_HISTORIES', '150'))
 _ROUTERS = 3
-_LAST = b'data: [DONE]\n\n'
-_WORDS = b'word-'
-#: What a request is, by its key.
+_DONE_EVENT = b'data: [DONE]\n\n'
+_WORD = b'word-'
+#: Changes to the default call, by request key.
 _CALLS = {
     'quote': {},
     'report': {'idempotent': False},
     'booking': service_call(idempotent=False),
     'weather': service_call(),
 }
-_SINGLE = ('report', 'booking')
+_NON_IDEMPOTENT = ('report', 'booking')
 _FAULTS = (
     fake_upstream.REFUSE,
     fake_upstream.DECLINE,
@@ -54,17 +54,17 @@
     cut(4),
     pause(2),
 )
-#: An ask can time out; what is told on a connection arrives, or the
-#: connection is seen to break.
+#: Kinds of messages to lose. Only asks can time out; a message without an
+#: answer arrives, or the broken connection is noticed.
 _MESSAGES = (RunAsk, AnswerAsk, RunsAsk)
 
 _routers = st.integers(0, _ROUTERS - 1)
-# Most duplicates are of one request: its histories go deep.
-_others = st.sampled_from(('', '', '', '', *sorted(_CALLS)))
+# Most duplicates are of one request, for longer histories of it.
+_keys = st.sampled_from(('', '', '', '', *sorted(_CALLS)))
 _send = st.tuples(
     st.just('send'),
     _routers,
-    _others,
+    _keys,
     st.sampled_from((0, 5, 15, 80)),
 )
 _plan = st.tuples(
@@ -93,71 +93,71 @@
 )
 
 
-class _Yielding(PassingTable):
-    """A table service that takes its time before and after each call."""
+class _YieldingTable(PassingTable):
+    """A table service that yields before and after each call."""
 
     async def commit(self, change):
-        """Commit, so that a crash can come before or after it."""
+        """Commit; a crash can come before or after it."""
         await asyncio.sleep(0)
         outcome = await super().commit(change)
         await asyncio.sleep(0)
         return outcome
 
     async def read(self, keys):
-        """Read."""
+        """Read rows."""
         await asyncio.sleep(0)
         return await super().read(keys)
 
 
-class _Gone:
+class _DeadUpstream:
     async def send(self, _attempt, _intake):
-        """Send nothing, as a dead router does."""
+        """Send nothing, like a dead router."""
         await asyncio.Future()
 
 
 class _History:
-    """Three routers, and all that happens to them."""
+    """Three routers and the events of one history."""
 
-    def __init__(self, main):
-        self.main = main
+    def __init__(self, main_key):
+        self.main_key = main_key
         self.clock = QuickClock()
         self.platform = MemoryPlatform.start(self.clock)
-        self.yielding = attrs.evolve(
+        self.yielding_platform = attrs.evolve(
             self.platform,
-            table=_Yielding(self.platform.table),
+            table=_YieldingTable(self.platform.table),
         )
         self.targets = FakeUpstream()
         self.fabric = FakeNet()
-        self.starts = 0
+        self.started_count = 0
         self.routers = []
         self.calls = []
-        self.flaws = []
+        self.violations = []
 
     async def run(self, steps):
-        """Take the steps, let everything end and check what came of it."""
+        """Run the steps, let all requests end and return the violations."""
         await open_account(self.platform)
-        self.routers = [self._start() for _ in range(_ROUTERS)]
-        self._watch()
+        self.routers = [self._start_router() for _ in range(_ROUTERS)]
+        self._refresh_members()
         for name, *arguments in steps:
             await getattr(self, name)(*arguments)
-        await self._end()
-        return self.flaws
+        await self._finish()
+        return self.violations
 
     async def send(self, index, key, turns):
-        """Let a caller send a request, or send it again."""
+        """Send a request, or send it again."""
         router = self.routers[index]
-        calling = self._call(router, key or self.main)
-        self.calls.append((router, asyncio.ensure_future(calling)))
+        caller_task = self._call(router, key or self.main_key)
+        self.calls.append((router, asyncio.ensure_future(caller_task)))
         await self.wait(turns)
 
     async def wait(self, turns):
-        """Let some time pass."""
+        """Let tasks run for a number of loop iterations."""
         for _ in range(turns):
             await asyncio.sleep(0)
         await self.fabric.settle()
 
     async def plan(self, target, fault):
-        """Let a target, or all of a kind, meet a request with a fault."""
+        """Set the next fault of a target, or of all targets of a kind."""
         names = [target]
         if '-' not in target:
             names = [f'{target}-{number}' for number in range(3)]
@@ -165,42 +165,42 @@
             self.targets.plan(name, fault)
 
     async def crash(self, index):
-        """Kill a router; another one starts on its address."""
+        """Kill a router and start a successor at its address."""
         router = self.routers[index]
         self.fabric.kill(router.name)
         attempts = router.parts.tries.attempts
-        attempts.upstream = _Gone()
-        for owner, calling in self.calls:
+        attempts.upstream = _DeadUpstream()
+        for owner, caller_task in self.calls:
             if owner is router:
-                calling.cancel()
+                caller_task.cancel()
         for task in tuple(router.dispatcher.running.values()):
             task.cancel()
-        self.routers[index] = self._start()
+        self.routers[index] = self._start_router()
 
     async def lose_answers(self, number):
         """Lose the answers to the next commits."""
         self.platform.weather.lose_answers = number
 
     async def outage(self, down):
-        """Take the platform away, or bring it back."""
+        """Take the platform down or bring it back."""
         self.platform.weather.down = down
 
     async def cut_off(self, index):
-        """Cut a router off from the others."""
+        """Disconnect a router from the others."""
         names = [router.name for router in self.routers]
-        alone = names.pop(index)
-        self.fabric.cut([alone], names)
-        self._watch()
+        isolated = names.pop(index)
+        self.fabric.cut([isolated], names)
+        self._refresh_members()
 
     async def interrupt(self, index):
-        """Cut a router off from the others; nobody notices in time."""
+        """Disconnect a router too briefly for the others to notice."""
         names = [router.name for router in self.routers]
-        alone = names.pop(index)
+        isolated = names.pop(index)
         for other in names:
-            self.fabric.interrupt(alone, other)
+            self.fabric.interrupt(isolated, other)
 
     async def heal(self):
-        """End all cuts."""
+        """Reconnect all routers."""
         self.fabric.heal()
 
     async def lose_message(self, kind):
@@ -208,38 +208,38 @@
         self.fabric.lost[kind] += 1
 
     async def forget_streams(self):
-        """Let the engines forget their generations."""
+        """Delete the engines' generations."""
         self.targets.generations.clear()
 
     async def release(self):
-        """Let routers release the claims that they gave up."""
+        """Release all claims that were given up."""
         for router in self.routers:
             await router.parts.claims.release_all()
 
     async def record(self):
-        """Let routers record their bills."""
+        """Record all bills."""
         for router in self.routers:
             await router.parts.budgets.flush()
 
-    def _start(self):
-        self.starts += 1
-        name = f'start-{self.starts}'
+    def _start_router(self):
+        self.started_count += 1
+        name = f'start-{self.started_count}'
         router = SmallRouter(
             name,
-            self.yielding,
+            self.yielding_platform,
             self.targets,
             self.clock,
             self.fabric.join(name),
         )
-        # The start of a successor is no later than its peers' by their
-        # clocks; the row of its address tells that there was one before.
-        if self.starts > _ROUTERS:
+        # By their clocks, a successor doesn't start later than its peers; only
+        # the row of its address shows that there was a router before it.
+        if self.started_count > _ROUTERS:
             sharing = router.parts.others.sharing
             sharing.is_first = bool
         return router
 
-    def _watch(self):
-        """Let routers look at who is there, as they do every second."""
+    def _refresh_members(self):
+        """Update the members of all routers, as they do every second."""
         for router in self.routers:
             sharing = router.parts.others.sharing
             sharing.watch()
@@ -254,36 +254,38 @@
         answer.attach(caller)
         end = await answer.wait()
         if end.whole:
-            self._check_whole(key, caller)
+            self._check_complete(key, caller)
         else:
             self._check_fault(key, end.fault)
 
     def _check_fault(self, key, fault):
         if fault.ran == faults.NOT_RUN and self.targets.runs[key]:
-            self.flaws.append(f'{key}: not run told, but it ran: {fault}')
+            self.violations.append(f'{key}: not run told, but it ran: {fault}')
 
-    def _check_whole(self, key, caller):
+    def _check_complete(self, key, caller):
         if _CALLS[key].get('stream', True):
-            whole = caller.body.count(_LAST) == 1
-            whole = whole and caller.body.endswith(_LAST)
-            texts = (caller.body.count(_WORDS), caller.body.count(b'else'))
-            if not whole or texts not in {(5, 0), (0, 1)}:
-                self.flaws.append(f'{key}: not whole: {caller.body}')
+            complete = caller.body.count(_DONE_EVENT) == 1
+            complete = complete and caller.body.endswith(_DONE_EVENT)
+            texts = (caller.body.count(_WORD), caller.body.count(b'else'))
+            if not complete or texts not in {(5, 0), (0, 1)}:
+                self.violations.append(f'{key}: incomplete: {caller.body}')
         elif caller.status == 200 and _owner(caller) != key:
-            self.flaws.append(f'{key}: foreign: {caller.body}')
+            self.violations.append(f'{key}: foreign: {caller.body}')
 
-    async def _end(self):
+    async def _finish(self):
         self.platform.weather.down = False
         self.targets.go_on.set()
         await asyncio.gather(
-            *(calling for _router, calling in self.calls),
+            *(caller_task for _router, caller_task in self.calls),
             return_exceptions=True,
         )
         await self.record()
         await self._check_bills()
-        for key in _SINGLE:
+        for key in _NON_IDEMPOTENT:
             if self.targets.runs[key] > 1:
-                self.flaws.append(f'{key}: ran {self.targets.runs[key]} times')
+                self.violations.append(
+                    f'{key}: ran {self.targets.runs[key]} times'
+                )
 
     async def _check_bills(self):
         bills = await self.platform.table.scan(Scan('bill/'))
@@ -291,7 +293,7 @@
         billed = sum(row.value['tokens'] for row in bills.rows)
         settled = sum(row.value['settled'] for row in allotments.rows)
         if billed != settled:
-            self.flaws.append(f'billed {billed}, settled {settled}')
+            self.violations.append(f'billed {billed}, settled {settled}')
 
 
 def _owner(caller):
@@ -299,7 +301,7 @@
 
 
 class HistoriesTest(unittest.TestCase):
-    """Whatever happens, in whatever order."""
+    """Random orders of random events."""
 
     def setUp(self):
         logging.disable(logging.CRITICAL)
@@ -316,13 +318,11 @@
         st.sampled_from(sorted(_CALLS)),
         st.lists(_step, min_size=8, max_size=30),
     )
-    def test_history(self, main, steps):
-        """Requests run, are billed and told of as they should be.
-
-        Symptom: a second run, a second bill, "not run" of what ran, an
-        answer that is cut, foreign or put together from two runs.
-        Sequence: any of duplicates at three routers, crashes, lost answers,
-        outages, cuts, and targets' faults.
-        Cause: whichever step trusted what it was told before an await.
+    def test_history(self, main_key, steps):
+        """Checks the guarantees on runs, bills, answers and faults.
+
+        Guards against a second run or bill, "not run" for a request that ran,
+        and answers that are truncated, foreign or mixed from two runs. Typical
+        cause: a step that relies on what it was told before an await.
         """
-        self.assertEqual(asyncio.run(_History(main).run(steps)), [])
+        self.assertEqual(asyncio.run(_History(main_key).run(steps)), [])
--- a/tests/test_dispatch_run.py
+++ b/tests/test_dispatch_run.py
@@ -1,4 +1,4 @@
-"""Tests of a request's way at one router, under each fault of a target."""
+"""Tests of requests at one router, under each fault of a target."""
 
 import asyncio
 import unittest
@@ -24,13 +24,13 @@
 
 _ENGINES = ('engine-0', 'engine-1', 'engine-2')
 _DESKS = ('desk-0', 'desk-1', 'desk-2')
-_LAST = b'data: [DONE]\n\n'
-_WORDS = b'word-'
-_ONCE = service_call(idempotent=False)
+_DONE_EVENT = b'data: [DONE]\n\n'
+_WORD = b'word-'
+_NON_IDEMPOTENT = service_call(idempotent=False)
 
 
-class RunCase(unittest.IsolatedAsyncioTestCase):
-    """One router, three engines, three workers of a service."""
+class RunTestCase(unittest.IsolatedAsyncioTestCase):
+    """One router, three engines and three workers of a plain service."""
 
     async def asyncSetUp(self):
         self.clock = QuickClock()
@@ -42,20 +42,20 @@
         )
 
     def plan_all(self, fault):
-        """Let every target meet its next request with a fault."""
+        """Set the next fault of every target."""
         for name in _ENGINES + _DESKS:
             self.targets.plan(name, fault)
 
-    def check_whole(self, caller, words=5):
-        """Check that a stream came whole and once."""
+    def check_complete(self, caller, words=5):
+        """Check that a stream is complete and arrived once."""
         self.assertTrue(caller.end.whole, caller.end)
-        self.assertTrue(caller.body.endswith(_LAST))
-        self.assertEqual(caller.body.count(_LAST), 1)
-        self.assertEqual(caller.body.count(_WORDS), words)
+        self.assertTrue(caller.body.endswith(_DONE_EVENT))
+        self.assertEqual(caller.body.count(_DONE_EVENT), 1)
+        self.assertEqual(caller.body.count(_WORD), words)
 
 
-class _Watched:
-    """Notes what a caller has, and which bills wait, at a moment."""
+class _BillObserver:
+    """Records the caller's body and the pending bills at one moment."""
 
     def __init__(self, caller, budgets):
         self.caller = caller
@@ -63,61 +63,59 @@
         self.bodies = []
         self.waiting = []
 
-    def note(self):
-        """Note both."""
+    def record(self):
+        """Record both."""
         self.bodies.append(self.caller.body)
         self.waiting.append(self.budgets.waiting)
 
 
-class StreamTest(RunCase):
-    """Streams come whole, or end with an explicit fault."""
+class StreamTest(RunTestCase):
+    """Streams are complete or end with an explicit fault."""
 
     @parameterized.expand(
         [
             ('stream', {}),
             ('plain', {'stream': False}),
             ('service', service_call()),
-            ('single', _ONCE),
+            ('single', _NON_IDEMPOTENT),
         ],
     )
     async def test_whole_answer_waits_for_its_bill(self, _name, changes):
-        """Symptom: a caller has a whole answer that nobody ever bills.
+        """Guards against a complete answer that is never billed.
 
-        Sequence: a router dies right after the last byte. Cause: the bill
-        is made and copied after that.
+        If the bill were made and copied only after the last byte was passed
+        on, a router that died in between would lose it.
         """
         caller = Caller()
         with mock.patch.object(Budgets, 'secure') as secure:
-            watched = _Watched(caller, self.router.parts.budgets)
-            secure.side_effect = watched.note
+            observer = _BillObserver(caller, self.router.parts.budgets)
+            secure.side_effect = observer.record
             call = self.router.request(**changes)
             answer = self.router.dispatcher.submit(call)
             answer.attach(caller)
             caller.end = await answer.wait()
-        self.assertEqual(watched.waiting, [1])
-        body = watched.bodies.pop()
+        self.assertEqual(observer.waiting, [1])
+        body = observer.bodies.pop()
         self.assertTrue(caller.body.startswith(body))
         self.assertNotEqual(body, caller.body)
-        self.assertNotIn(_LAST, body)
+        self.assertNotIn(_DONE_EVENT, body)
 
     async def test_stream_is_passed_on_and_billed_once(self):
         caller = await self.router.call()
-        self.check_whole(caller)
+        self.check_complete(caller)
         self.assertEqual(self.router.bills(), {'key': 7})
 
     @parameterized.expand([(number,) for number in range(1, 8)])
     async def test_broken_stream_is_resumed_at_its_engine(self, events):
-        """The caller sees no seam, whichever event was the last.
+        """Guards against a resumed stream with lost or repeated events.
 
-        Symptom: a stream ends early, repeats or leaves out a part.
-        Sequence: the connection breaks after some events; the engine still
-        has the generation.
-        Cause: the place to resume at counts events as the engine does,
-        those included that are not passed on to the caller.
+        The connection breaks after some events while the engine keeps the
+        generation. The offset to resume at must count events as the engine
+        does, including those not passed on to the caller.
         """
         self.plan_all(cut(events))
         caller = await self.router.call()
-        self.check_whole(caller)
+        self.check_complete(caller)
         self.assertEqual(self.targets.runs['key'], 1)
         self.assertEqual(self.router.bills(), {'key': 7})
 
@@ -125,28 +123,26 @@
         self.plan_all(cut(2))
         self.targets.cut_resumes = 2
         caller = await self.router.call()
-        self.check_whole(caller)
+        self.check_complete(caller)
         self.assertEqual(self.targets.runs['key'], 1)
 
-    async def test_lost_generation_runs_again_behind_the_sent_prefix(self):
-        """An idempotent stream goes on at another engine.
+    async def test_lost_generation_runs_again_and_continues(self):
+        """Guards against a repeated beginning when a stream runs again.
 
-        Symptom: the caller gets the beginning twice, or only an error.
-        Sequence: an engine dies in the middle of a stream.
-        Cause: a second run starts from the beginning.
+        An engine dies during a stream; the second run starts from the
+        beginning.
         """
         self._die_after(3)
         caller = await self.router.call()
-        self.check_whole(caller)
+        self.check_complete(caller)
         self.assertEqual(self.targets.runs['key'], 2)
         self.assertEqual(self.router.bills(), {'key': 7})
 
-    async def test_second_run_that_says_something_else_ends_the_stream(self):
-        """Two replies are never joined to one.
+    async def test_second_run_with_other_output_ends_the_stream(self):
+        """Guards against joining the output of two different runs.
 
-        Symptom: the caller gets an answer that no run gave.
-        Sequence: an engine dies in a stream; the second run differs.
-        Cause: models do not word a reply twice alike.
+        An engine dies during a stream, and the second run is worded
+        differently.
         """
         self._die_after(3)
         for name in _ENGINES:
@@ -156,18 +152,17 @@
         self.assertEqual(caller.fault.ran, faults.MAYBE_RUN)
         self.assertNotIn(b'something', caller.body)
 
-    async def test_broken_stream_of_a_single_run_is_not_run_again(self):
+    async def test_broken_non_idempotent_stream_is_not_run_again(self):
         self._die_after(3)
         caller = await self.router.call(idempotent=False)
         self.assertEqual(caller.fault, faults.ANSWER_BROKEN)
         self.assertEqual(self.targets.runs['key'], 1)
 
     async def test_stream_beyond_its_reservation_is_ended(self):
-        """A target that goes on and on cannot spend what is not paid for.
+        """Guards against a stream that exceeds its reservation.
 
-        Symptom: a team's spend passes its budget.
-        Sequence: an engine ignores the bound on the reply's length.
-        Cause: only the reservation was checked against the budget.
+        An engine ignores the limit on the reply's length; only the reserved
+        tokens were checked against the team's budget.
         """
         self.plan_all(fake_upstream.ENDLESS)
         caller = await self.router.call()
@@ -178,11 +173,10 @@
         self.assertEqual(len(self.targets.cancelled), 1)
 
     async def test_caller_without_key_that_leaves_ends_the_generation(self):
-        """Nobody can come back for the answer, so its slot is freed.
+        """Guards against engines occupied by replies that nobody reads.
 
-        Symptom: engines are busy with replies that nobody reads.
-        Sequence: the caller closes its connection in the stream.
-        Cause: the engine keeps a broken stream for a while.
+        The caller disconnects during the stream. An engine keeps a broken
+        stream for a while unless it is told to cancel it.
         """
         answer, task = await self._start_and_leave(None)
         await asyncio.wait((task,))
@@ -196,7 +190,7 @@
         answer, _task = await self._start_and_leave('key')
         await answer.wait()
         again = await self.router.call()
-        self.check_whole(again)
+        self.check_complete(again)
         self.assertEqual(self.targets.runs['key'], 1)
         self.assertEqual(self.router.bills(), {'key': 7})
 
@@ -211,12 +205,12 @@
         return answer, task
 
     def _die_after(self, events):
-        engine = _Dying(self.targets, events)
+        engine = _DyingEngine(self.targets, events)
         self.targets.plans = dict.fromkeys(_ENGINES, engine)
 
 
-class _Dying:
-    """A plan by which the first target dies and the others go on."""
+class _DyingEngine:
+    """A plan by which the first target dies and the others answer."""
 
     def __init__(self, targets, events):
         self.targets = targets
@@ -226,27 +220,27 @@
         return len(self.faults)
 
     def extend(self, more):
-        """Add to the plan of whoever is next."""
+        """Add faults for the next targets."""
         self.faults.extend(more)
 
     def popleft(self):
-        """Forget all generations, as a target that dies does."""
-        self.targets.generations = _Forgetful()
+        """Delete all generations, as if the target had died."""
+        self.targets.generations = _NoGenerations()
         return self.faults.pop(0)
 
 
-class _Forgetful:
+class _NoGenerations:
     def __len__(self):
         return 1
 
     def __setitem__(self, name, events):
-        """Forget at once."""
+        """Discard the generation."""
 
     def get(self, *_name):
-        """Know nothing."""
+        """Return None."""
 
 
-class TruthTest(RunCase):
+class RunStatusTest(RunTestCase):
     """What callers are told about whether their request ran."""
 
     @parameterized.expand(
@@ -261,34 +255,32 @@
         fault,
         expected,
     ):
-        """A caller that was told "not run" can ask again.
+        """Guards against a claim that outlives a request that did not run.
 
-        Symptom: the retry of a request that did not run gets "unknown".
-        Sequence: no target takes the request; the caller sends it again.
-        Cause: the claim was made before a target was reached.
+        No target takes the request, but the claim was made before one was
+        tried. If it stayed, the caller's retry would be told "unknown".
         """
         self.plan_all(fault)
-        refused = await self.router.call(**_ONCE)
+        refused = await self.router.call(**_NON_IDEMPOTENT)
         runs = self.targets.runs['key']
         self.targets.plans.clear()
-        again = await self.router.call(**_ONCE)
+        again = await self.router.call(**_NON_IDEMPOTENT)
         self.assertEqual(refused.fault, expected)
         self.assertEqual(refused.fault.ran, faults.NOT_RUN)
         self.assertEqual(runs, 0)
         self.assertTrue(again.end.whole)
         self.assertEqual(self.targets.runs['key'], 1)
 
-    async def test_single_run_that_broke_stays_unknown(self):
-        """A lost answer is neither "not run" nor a reason to run again.
+    async def test_broken_non_idempotent_run_stays_unknown(self):
+        """Guards against a second run after a lost answer.
 
-        Symptom: a certificate is sent twice.
-        Sequence: the target runs the request, the connection breaks, the
-        caller retries.
-        Cause: a retry looks like a request that never arrived.
+        The target runs the request and the connection breaks. The retry must
+        not be treated like a request that never arrived: a certificate would
+        be sent twice.
         """
         self.plan_all(fake_upstream.BREAK_BEFORE_HEAD)
-        first = await self.router.call(**_ONCE)
-        again = await self.router.call(**_ONCE)
+        first = await self.router.call(**_NON_IDEMPOTENT)
+        again = await self.router.call(**_NON_IDEMPOTENT)
         self.assertEqual(first.fault.ran, faults.MAYBE_RUN)
         self.assertEqual(again.fault.ran, faults.MAYBE_RUN)
         self.assertEqual(self.targets.runs['key'], 1)
@@ -307,11 +299,10 @@
         self.assertEqual(len(self.router.bills()), 1)
 
     async def test_refusal_after_a_broken_run_is_not_told_as_not_run(self):
-        """What the last target said does not speak for the first one.
+        """Guards against "not run" derived from the last attempt alone.
 
-        Symptom: "not run" although a target ran the request.
-        Sequence: a target breaks off; the next ones refuse connections.
-        Cause: only the last attempt was looked at.
+        A target breaks off after running the request; the next ones refuse
+        connections.
         """
         self.targets.plan('desk-0', fake_upstream.BREAK_BEFORE_HEAD)
         for name in _DESKS:
@@ -331,11 +322,10 @@
         self.assertEqual(self.router.bills(), {'key': 0})
 
     async def test_foreign_answer_is_dropped_and_counted(self):
-        """A target that mixes up its connections harms nobody.
+        """Guards against passing on the answer of another attempt.
 
-        Symptom: a caller reads another's quote.
-        Sequence: a target answers with another attempt's answer.
-        Cause: its connections were mixed up.
+        A target mixes up its connections; a caller would read another one's
+        quote.
         """
         self.plan_all(fake_upstream.FOREIGN)
         caller = await self.router.call(**service_call())
@@ -351,35 +341,33 @@
             attrs.evolve(row, trusted_refusals=False) for row in target_rows()
         )
         self.plan_all(fake_upstream.DECLINE)
-        caller = await self.router.call(**_ONCE)
+        caller = await self.router.call(**_NON_IDEMPOTENT)
         self.assertEqual(caller.fault.ran, faults.MAYBE_RUN)
 
 
-class LeavingTest(RunCase):
-    """A graceful shutdown ends what is in progress."""
+class DrainTest(RunTestCase):
+    """A graceful shutdown completes requests in progress."""
 
     async def test_drain_waits_for_streams_and_releases_claims(self):
-        """Nothing is cut off, and no unused claim stays behind.
+        """Guards against truncated streams and unused claims at shutdown.
 
-        Symptom: a stream is cut, or a retry is told "unknown" for good.
-        Sequence: the router is told to leave with requests in progress.
-        Cause: a claim that was not used waits for its release.
+        A claim that remains would answer every retry with "unknown".
         """
         self.plan_all(fake_upstream.REFUSE)
-        await self.router.call(**_ONCE)
+        await self.router.call(**_NON_IDEMPOTENT)
         self.targets.plans.clear()
         caller = Caller()
         answer = self.router.dispatcher.submit(self.router.request(key='two'))
         answer.attach(caller)
         await self.router.dispatcher.drain()
         caller.end = answer.end
-        self.check_whole(caller)
+        self.check_complete(caller)
         rows = await self.platform.table.read(('claim/team/key',))
         self.assertIsNone(rows[0].value)
 
 
-class DeadlineTest(RunCase):
-    """A deadline ends a request with its final answer at once."""
+class DeadlineTest(RunTestCase):
+    """A deadline ends a request at once."""
 
     async def test_deadline_while_the_target_is_silent(self):
         self.plan_all(fake_upstream.HANG)
@@ -390,34 +378,33 @@
         self.assertEqual(caller.fault, faults.DEADLINE)
         self.assertEqual(caller.fault.ran, faults.MAYBE_RUN)
 
-    async def test_attempt_that_waits_past_its_end_may_not_leave(self):
-        """A request told "not run" must not be sent late.
+    async def test_attempt_is_not_sent_after_its_deadline(self):
+        """Guards against sending a request after its deadline.
 
-        Symptom: "not run" is told, and the request runs after all.
-        Sequence: the deadline passes while the attempt waits for a
-        connection; the connection comes after that.
-        Cause: the wait goes on in the transport.
+        The deadline passes while the transport waits for a connection. A
+        request sent over it later would run after its caller was told "not
+        run".
         """
-        late = _Late(self.targets)
+        transport = _NeverConnects(self.targets)
         attempts = self.router.parts.tries.attempts
-        attempts.upstream = late
+        attempts.upstream = transport
         deadline = self.clock.now() + 0.01
         caller = await self.router.call(
             **service_call(idempotent=False, deadline=deadline),
         )
         self.assertEqual(caller.fault, faults.DEADLINE)
         self.assertEqual(caller.fault.ran, faults.NOT_RUN)
-        self.assertFalse(late.intake.before_send())
+        self.assertFalse(transport.intake.before_send())
 
 
-class _Late:
-    """A transport that never gets its connection."""
+class _NeverConnects:
+    """A transport that never gets a connection."""
 
     def __init__(self, targets):
         self.targets = targets
         self.intake = None
 
     async def send(self, _attempt, intake):
-        """Wait for good."""
+        """Wait forever."""
         self.intake = intake
         await asyncio.Future()
--- a/tests/test_dispatch_sharing.py
+++ b/tests/test_dispatch_several_routers.py
@@ -1,4 +1,4 @@
-"""Tests of duplicates that reach several routers."""
+"""Tests of duplicate requests sent to several routers."""
 
 import asyncio
 import unittest
@@ -7,8 +7,8 @@
 from parameterized import parameterized
 
 from balsamreach.dispatch import faults
-from balsamreach.dispatch.confirming import CONFIRMED
-from balsamreach.dispatch.sharing import LOOKUPS, Whereabouts
+from balsamreach.dispatch.not_run_confirmer import CONFIRMATIONS
+from balsamreach.dispatch.run_directory import LOOKUPS, RunLookup
 from balsamreach.standins.memory import MemoryPlatform
 from balsamreach.wire.runs import RunAsk, RunNote, RunsAsk
 from tests import fake_upstream
@@ -25,14 +25,14 @@
 
 _NAMES = ('router-a', 'router-b', 'router-c')
 _KEYS = tuple(f'key-{number}' for number in range(6))
-_LAST = b'data: [DONE]\n\n'
-_WORDS = b'word-'
-_ONCE = service_call(idempotent=False)
-_ELSEWHERE = Whereabouts()
+_DONE_EVENT = b'data: [DONE]\n\n'
+_WORD = b'word-'
+_NON_IDEMPOTENT = service_call(idempotent=False)
+_UNKNOWN_RUN = RunLookup()
 
 
-class SeveralRouters(unittest.IsolatedAsyncioTestCase):
-    """Three routers on one platform, before the same targets."""
+class SeveralRoutersCase(unittest.IsolatedAsyncioTestCase):
+    """Three routers with one platform and the same targets."""
 
     async def asyncSetUp(self):
         self.clock = QuickClock()
@@ -47,18 +47,18 @@
             )
             for net in nets
         ]
-        self.ours = self.routers[0]
-        self.theirs = self.routers[1]
-        self.third = self.routers[2]
+        self.router_a = self.routers[0]
+        self.router_b = self.routers[1]
+        self.router_c = self.routers[2]
 
-    def check_whole(self, caller):
-        """Check that a stream came whole and once."""
+    def check_complete(self, caller):
+        """Check that a stream is complete and arrived once."""
         self.assertTrue(caller.end.whole, caller.end)
-        self.assertEqual(caller.body.count(_LAST), 1)
-        self.assertEqual(caller.body.count(_WORDS), 5)
+        self.assertEqual(caller.body.count(_DONE_EVENT), 1)
+        self.assertEqual(caller.body.count(_WORD), 5)
 
     async def start(self, router, **changes):
-        """Send a request and return its caller once it has some of it."""
+        """Send a request and return its caller after its first bytes."""
         caller = Caller()
         answer = router.dispatcher.submit(router.request(**changes))
         answer.attach(caller)
@@ -66,28 +66,28 @@
         return caller, answer
 
     def pause_streams(self, events):
-        """Let the next stream of each engine wait after some events."""
+        """Make the next stream of each engine pause after some events."""
         for number in range(3):
             self.targets.plan(f'engine-{number}', fake_upstream.pause(events))
 
     def kill(self, router):
-        """End a router's tasks and let it vanish from the net."""
+        """Cancel a router's tasks and remove it from the net."""
         self.fabric.kill(router.name)
         attempts = router.parts.tries.attempts
-        attempts.upstream = _Gone()
+        attempts.upstream = _DeadUpstream()
         for task in tuple(router.dispatcher.running.values()):
             task.cancel()
 
     async def all_bills(self):
-        """Return the bills of all routers once they are recorded."""
+        """Record the bills of all routers and return their keys."""
         for router in self.routers:
             await router.parts.budgets.flush()
         page = self.platform.table._rows
         return [key for key in page if key.startswith('bill/')]
 
 
-class _Gone:
-    """What is left of the transport of a router that died."""
+class _DeadUpstream:
+    """Transport of a router that died."""
 
     async def send(self, _attempt, _intake):
         """Send nothing."""
@@ -96,13 +96,13 @@
 
 @attrs.frozen
 class _PausedTable(PassingTable):
-    """Pauses whoever made a claim until the test wakes it."""
+    """Delays the result of making a claim until `wake` is set."""
 
     claimed: asyncio.Event = attrs.field(factory=asyncio.Event)
     wake: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     async def commit(self, change):
-        """Commit; a claim's answer comes late."""
+        """Commit; delay the answer for a claim."""
         outcome = await super().commit(change)
         if change.writes[0].key.startswith('claim/'):
             self.claimed.set()
@@ -110,19 +110,18 @@
         return outcome
 
 
-class DuplicateTest(SeveralRouters):
-    """Duplicates at other routers get the answer of the one run."""
+class DuplicateTest(SeveralRoutersCase):
+    """Duplicates at other routers get the answer of the only run."""
 
     @parameterized.expand([(key,) for key in _KEYS])
     async def test_duplicate_elsewhere_gets_the_kept_answer(self, key):
-        """Whichever router is the key's home.
+        """Guards against a second run for a retry at another router.
 
-        Symptom: each tablet's retry costs a run of its own.
-        Sequence: the balancer sends a retry to another router.
-        Cause: only the first router has the answer.
+        The load balancer sends the retry to a router that doesn't have the
+        answer. Any router may be the key's home.
         """
-        first = await self.ours.call(key=key)
-        again = await self.theirs.call(key=key)
+        first = await self.router_a.call(key=key)
+        again = await self.router_b.call(key=key)
         self.assertEqual(again.body, first.body)
         self.assertEqual(again.status, first.status)
         self.assertEqual(self.targets.runs[key], 1)
@@ -131,120 +130,121 @@
     @parameterized.expand([(key,) for key in _KEYS])
     async def test_duplicate_elsewhere_joins_the_answer_in_progress(self, key):
         self.pause_streams(3)
-        first, answer = await self.start(self.ours, key=key)
-        again, joined = await self.start(self.theirs, key=key)
+        first, answer = await self.start(self.router_a, key=key)
+        again, joined = await self.start(self.router_b, key=key)
         self.targets.go_on.set()
         await answer.wait()
         again.end = await joined.wait()
-        self.check_whole(again)
+        self.check_complete(again)
         self.assertEqual(again.body, first.body)
         self.assertEqual(self.targets.runs[key], 1)
 
     @parameterized.expand([(key,) for key in _KEYS])
     async def test_other_body_under_the_key_is_refused_elsewhere(self, key):
-        await self.ours.call(key=key)
-        other = await self.theirs.call(key=key, mark='other')
+        await self.router_a.call(key=key)
+        other = await self.router_b.call(key=key, mark='other')
         self.assertEqual(other.fault, faults.KEY_REUSED)
         self.assertEqual(self.targets.runs[key], 1)
 
-    async def test_duplicate_of_a_single_run_gets_its_answer(self):
-        first = await self.ours.call(**_ONCE)
-        again = await self.theirs.call(**_ONCE)
+    async def test_duplicate_of_a_non_idempotent_request_gets_its_answer(self):
+        first = await self.router_a.call(**_NON_IDEMPOTENT)
+        again = await self.router_b.call(**_NON_IDEMPOTENT)
         self.assertEqual(again.body, first.body)
         self.assertEqual(self.targets.runs['key'], 1)
 
-    async def test_claim_alone_leads_to_the_answer(self):
-        """The home knows nothing; the claim names who has the answer."""
-        first = await self.ours.call(**_ONCE)
+    async def test_claim_without_a_note_leads_to_the_answer(self):
+        """The home has no note; the claim names the router with the answer."""
+        first = await self.router_a.call(**_NON_IDEMPOTENT)
         for router in self.routers:
             sharing = router.parts.others.sharing
             sharing.notes._notes.clear()
-        again = await self.theirs.call(**_ONCE)
+        again = await self.router_b.call(**_NON_IDEMPOTENT)
         self.assertEqual(again.body, first.body)
         self.assertEqual(self.targets.runs['key'], 1)
 
-    async def test_two_that_follow_each_other_do_not_wait(self):
-        """Notes that contradict each other cost work, not time.
+    async def test_routers_told_of_each_other_do_not_wait(self):
+        """Guards against two routers that wait for each other.
 
-        Symptom: both callers wait until their deadlines.
-        Sequence: each of two routers is told that the other one runs it.
-        Cause: an answer that is being fetched was served to others.
+        Each of two routers is told that the other one runs the request. If an
+        answer that is being copied were served to others, both callers would
+        wait until their deadlines.
         """
         for router, other in (
-            (self.ours, self.theirs),
-            (self.theirs, self.ours),
+            (self.router_a, self.router_b),
+            (self.router_b, self.router_a),
         ):
             note = RunNote('team', 'key', 'f', other.name)
             others = attrs.evolve(
                 router.parts.others,
-                sharing=_Told(router.name, note),
+                sharing=_FixedDirectory(router.name, note),
             )
             router.dispatcher.parts = attrs.evolve(
                 router.parts,
                 others=others,
             )
-        callers = await asyncio.gather(self.ours.call(), self.theirs.call())
+        callers = await asyncio.gather(
+            self.router_a.call(), self.router_b.call()
+        )
         for caller in callers:
-            self.check_whole(caller)
+            self.check_complete(caller)
         self.assertLess(self.clock.now(), 1010)
 
 
 @attrs.frozen
-class _Told:
+class _FixedDirectory:
     me: str
     note: RunNote
 
-    def tell(self, *_anything):
-        """Drop it."""
+    def publish_generation(self, *_anything):
+        """Discard the generation."""
 
     async def look_up(self, _req):
-        """Return what the home would say."""
-        return attrs.evolve(_ELSEWHERE, note=self.note)
+        """Return the fixed note."""
+        return attrs.evolve(_UNKNOWN_RUN, note=self.note)
 
 
-class DeadRouterTest(SeveralRouters):
-    """A router dies with its streams open, and callers retry elsewhere."""
+class DeadRouterTest(SeveralRoutersCase):
+    """A router dies with streams in progress; callers retry elsewhere."""
 
     @parameterized.expand(
         [(key, again) for key in _KEYS for again in (True, False)]
     )
-    async def test_generation_is_taken_up_without_a_second_run(
+    async def test_generation_is_resumed_without_a_second_run(
         self,
         key,
         idempotent,
     ):
-        """The caller's retry gets the whole answer of the first run.
+        """Guards against a second run of a stream after a router died.
 
-        Symptom: a quote is computed and billed twice, or lost.
-        Sequence: a router dies in a stream; the caller sends its request
-        again, to another router.
-        Cause: only the dead router knew the generation.
+        The retry goes to another router. If only the dead router knew the
+        generation, the quote would be computed and billed twice, or lost.
         """
         changes = {'key': key, 'idempotent': idempotent}
         self.pause_streams(3)
-        await self.start(self.ours, **changes)
+        await self.start(self.router_a, **changes)
         await self.fabric.settle()
-        self.kill(self.ours)
-        again = await self.theirs.call(**changes)
-        self.check_whole(again)
+        self.kill(self.router_a)
+        again = await self.router_b.call(**changes)
+        self.check_complete(again)
         self.assertEqual(self.targets.runs[key], 1)
         self.assertEqual(len(await self.all_bills()), 1)
 
-    async def test_single_run_of_a_dead_router_is_unknown(self):
-        """Nobody runs it again, and nobody says that it did not run.
+    async def test_non_idempotent_run_of_a_dead_router_is_unknown(self):
+        """Guards against a second run, or "not run", after a router died.
 
-        Symptom: a doubled certificate, or a guest booked twice.
-        Sequence: a router claims, dispatches and dies before the answer;
-        the caller retries elsewhere.
-        Cause: the claim's holder cannot be asked any more.
+        The router claims and sends the request and dies before the answer, so
+        the retry's router cannot ask the claim's holder. A wrong guess doubles
+        a certificate or a booking.
         """
         for name in ('desk-0', 'desk-1', 'desk-2'):
             self.targets.plan(name, fake_upstream.HANG)
-        self.ours.dispatcher.submit(self.ours.request(**_ONCE))
+        self.router_a.dispatcher.submit(
+            self.router_a.request(**_NON_IDEMPOTENT)
+        )
         await self.targets.began.wait()
-        self.kill(self.ours)
+        self.kill(self.router_a)
         self.targets.plans.clear()
-        again = await self.theirs.call(**_ONCE)
+        again = await self.router_b.call(**_NON_IDEMPOTENT)
         self.assertEqual(again.fault, faults.OUTCOME_UNKNOWN)
         self.assertEqual(again.fault.ran, faults.MAYBE_RUN)
         self.assertEqual(self.targets.runs['key'], 1)
@@ -256,13 +256,12 @@
         pause,
         runs,
     ):
-        """A late dispatch to a target that checks nothing is the only one.
+        """Guards against a second run if the claim's holder is paused.
 
-        Symptom: a doubled certificate.
-        Sequence: a router claims and is paused; the caller retries at
-        another one; the first one wakes up and dispatches.
-        Cause: whoever takes a claim over by time cannot know that its
-        holder will never wake up.
+        A router makes a claim and is paused; the caller retries at another
+        one; the first router resumes and sends the request. If a claim could
+        be taken over after some time, a certificate would be issued twice:
+        nobody can know that a holder will never resume.
         """
         paused = _PausedTable(self.platform.table)
         platform = attrs.evolve(self.platform, table=paused)
@@ -270,11 +269,11 @@
         holder = SmallRouter(
             'router-d', platform, self.targets, self.clock, net
         )
-        late = asyncio.ensure_future(holder.call(**_ONCE))
+        late = asyncio.ensure_future(holder.call(**_NON_IDEMPOTENT))
         await paused.claimed.wait()
         self.fabric.cut(['router-d'], _NAMES)
         self.clock.advance(pause)
-        again = await self.theirs.call(**_ONCE)
+        again = await self.router_b.call(**_NON_IDEMPOTENT)
         paused.wake.set()
         first = await late
         self.assertEqual(again.fault, faults.OUTCOME_UNKNOWN)
@@ -282,62 +281,59 @@
         self.assertEqual(self.targets.runs['key'], runs)
 
     async def test_refusal_after_a_dead_run_is_not_told_as_not_run(self):
-        """What "not run" means is the request, not this router.
+        """Guards against "not run" after a run at a router that died.
 
-        Symptom: a guest is told "not run", books by phone, and has two
+        At the next router all targets refuse. If it only considered its own
+        attempts, a guest would be told "not run", book by phone and have two
         lessons.
-        Sequence: a router dies in a run; at the next one all targets
-        refuse.
-        Cause: the second router looked only at what it did itself.
         """
         self.pause_streams(3)
-        await self.start(self.ours)
+        await self.start(self.router_a)
         await self.fabric.settle()
-        self.kill(self.ours)
+        self.kill(self.router_a)
         self.targets.dead.update(f'engine-{number}' for number in range(3))
-        again = await self.theirs.call()
+        again = await self.router_b.call()
         self.assertEqual(again.fault.ran, faults.MAYBE_RUN)
 
     async def test_refusal_of_a_new_request_is_told_as_not_run(self):
         self.targets.dead.update(f'engine-{number}' for number in range(3))
-        refused = await self.theirs.call()
+        refused = await self.router_b.call()
         self.assertEqual(refused.fault.ran, faults.NOT_RUN)
 
     @parameterized.expand([(key,) for key in _KEYS])
-    async def test_run_that_its_home_never_heard_of(self, key):
-        """Nobody is told "not run" of it, wherever the key's home is.
+    async def test_run_unknown_to_its_home(self, key):
+        """Guards against "not run" after a run that the home never heard of.
 
-        Symptom: a guest is told "not run", books by phone, and has two
-        lessons.
-        Sequence: a cut too short to be noticed keeps a router from the
-        others; it runs a request; the retry is refused elsewhere.
-        Cause: the home, which missed no heartbeat, is sure of all keys.
+        A connection loss too short to be noticed separates a router from the
+        others while it runs the request; the retry is refused elsewhere. The
+        home router missed no heartbeat, so it considers its notes complete.
+        The guest would book by phone and have two lessons.
         """
         self.fabric.interrupt('router-a', 'router-b')
         self.fabric.interrupt('router-a', 'router-c')
-        self.check_whole(await self.ours.call(key=key))
+        self.check_complete(await self.router_a.call(key=key))
         self.targets.dead.update(f'engine-{number}' for number in range(3))
         await self.fabric.settle()
-        again = await self.theirs.call(key=key)
+        again = await self.router_b.call(key=key)
         self.assertEqual(again.fault.ran, faults.MAYBE_RUN)
 
     @parameterized.expand([(key,) for key in _KEYS])
     async def test_run_before_its_home_started(self, key):
-        """A router that has just started is home of keys it knows nothing of.
+        """Guards against "not run" after a run before the home started.
 
-        Symptom and cause as above. Sequence: routers start a moment after
-        one that serves already, and none of them takes itself for late.
+        Routers start a moment after one that already serves, so none of them
+        counts as late. They become home of keys that they have no notes on.
         """
-        self.check_whole(await self.ours.call(key=key))
+        self.check_complete(await self.router_a.call(key=key))
         late = [self.fabric.join(f'late-{number}') for number in range(5)]
-        fresh = [
+        late_routers = [
             SmallRouter(
                 net.me.incarnation, self.platform, self.targets, self.clock, net
             )
             for net in late
         ]
         self.targets.dead.update(f'engine-{number}' for number in range(3))
-        again = await fresh[0].call(key=key)
+        again = await late_routers[0].call(key=key)
         copied = again.end.whole
         self.assertTrue(copied or again.fault.ran == faults.MAYBE_RUN)
 
@@ -346,97 +342,99 @@
         self,
         key,
     ):
-        """Symptom and cause as above.
+        """Guards against "not run" after a refused retry.
 
-        Sequence: a router runs a request and drops the answer for want of
-        memory; it refuses the retry, and another router the one after.
+        The router that ran the request drops the answer for lack of memory. It
+        refuses the retry, which must not delete the note of the first run, and
+        another router refuses the next retry.
         """
-        self.check_whole(await self.ours.call(key=key))
-        self.ours.parts.answers.grow(10**9)
+        self.check_complete(await self.router_a.call(key=key))
+        self.router_a.parts.answers.grow(10**9)
         self.targets.dead.update(f'engine-{number}' for number in range(3))
-        told = []
-        for router in (self.ours, self.theirs, self.ours):
+        outcomes = []
+        for router in (self.router_a, self.router_b, self.router_a):
             caller = await router.call(key=key)
-            told.append(caller.fault.ran)
+            outcomes.append(caller.fault.ran)
             await self.fabric.settle()
-        self.assertEqual(len(told), 3)
-        self.assertEqual(set(told), {faults.MAYBE_RUN})
+        self.assertEqual(len(outcomes), 3)
+        self.assertEqual(set(outcomes), {faults.MAYBE_RUN})
 
     async def test_refusal_after_all_routers_were_replaced(self):
-        """Symptom and cause as above.
+        """Guards against "not run" after all routers were restarted.
 
-        Sequence: all routers are killed and start anew at the same time.
+        All routers are killed and start again at the same time, so none of
+        them has notes on earlier runs.
         """
         for router in self.routers:
             router.parts.others.sharing.is_first = bool
         self.targets.dead.update(f'engine-{number}' for number in range(3))
-        told = [(await self.theirs.call()).fault.ran]
+        outcomes = [(await self.router_b.call()).fault.ran]
         self.clock.advance(601)
-        told.append((await self.theirs.call(key='new')).fault.ran)
-        self.assertEqual(told, [faults.MAYBE_RUN, faults.NOT_RUN])
+        outcomes.append((await self.router_b.call(key='new')).fault.ran)
+        self.assertEqual(outcomes, [faults.MAYBE_RUN, faults.NOT_RUN])
 
-    async def test_refusals_share_an_ask(self):
-        """A flood of refusals costs a message a round trip, not each."""
+    async def test_refusals_share_a_query(self):
+        """Many refusals share one query per round trip."""
         self.targets.dead.update(f'engine-{number}' for number in range(3))
         self.fabric.held.add(RunsAsk)
-        sharing = self.theirs.parts.others.sharing
+        sharing = self.router_b.parts.others.sharing
         sharing.cfg = attrs.evolve(sharing.cfg, ask_timeout=60)
         calls = [
-            asyncio.ensure_future(self.theirs.call(key=f'k{number}'))
+            asyncio.ensure_future(self.router_b.call(key=f'k{number}'))
             for number in range(50)
         ]
         for _ in range(200):
             await asyncio.sleep(0)
         self.fabric.release()
-        told = {caller.fault.ran for caller in await asyncio.gather(*calls)}
+        outcomes = {caller.fault.ran for caller in await asyncio.gather(*calls)}
         asks = [one for one in self.fabric.sent if isinstance(one, RunsAsk)]
-        self.assertEqual(told, {faults.NOT_RUN})
+        self.assertEqual(outcomes, {faults.NOT_RUN})
         self.assertLess(len(asks), 10)
-        metrics = self.theirs.parts.metrics
-        counted = metrics.counted(CONFIRMED, outcome='confirmed')
+        metrics = self.router_b.parts.metrics
+        counted = metrics.counted(CONFIRMATIONS, outcome='confirmed')
         self.assertEqual(counted, len(calls))
 
-    async def test_home_cut_off_costs_a_run_and_makes_refusals_unsure(self):
-        """A wrong or missing home costs work, never correctness.
+    async def test_unreachable_home_makes_refusals_unknown(self):
+        """Guards against wrong answers if a key's home is unreachable.
 
-        Symptom: requests hang, or "not run" is told of one that ran.
-        Sequence: the key's home is cut off.
-        Cause: nobody else knows whether the request ran.
+        Without the home nobody knows whether the request ran: requests run
+        anyway, maybe twice, must not hang, and refusals are reported as
+        unknown.
         """
         self.fabric.lost[RunAsk] = 100
         callers = await asyncio.gather(
             *(
                 router.call(key=key)
                 for key in _KEYS
-                for router in (self.ours, self.theirs)
+                for router in (self.router_a, self.router_b)
             ),
         )
         self.targets.dead.update(f'engine-{number}' for number in range(3))
-        refused = [await self.third.call(key=f'new-{key}') for key in _KEYS]
+        refused = [await self.router_c.call(key=f'new-{key}') for key in _KEYS]
         for answered in callers:
-            self.check_whole(answered)
-        told = {caller.fault.ran for caller in refused}
-        self.assertIn(faults.MAYBE_RUN, told)
+            self.check_complete(answered)
+        outcomes = {caller.fault.ran for caller in refused}
+        self.assertIn(faults.MAYBE_RUN, outcomes)
         bills = await self.all_bills()
         self.assertEqual(len(bills), len(_KEYS))
-        metrics = self.third.parts.metrics
+        metrics = self.router_c.parts.metrics
         self.assertGreater(metrics.counted(LOOKUPS, outcome='unreachable'), 0)
 
-    async def test_holder_cut_off_in_the_middle_of_an_answer(self):
-        """What came so far is checked against the run that goes on.
+    async def test_holder_lost_while_its_answer_is_copied(self):
+        """Guards against lost or repeated events if a copied stream breaks.
 
-        Symptom: the caller gets a part twice, or an end too early.
-        Sequence: a router follows another one's stream and loses it.
-        Cause: the rest must come from a run of its own.
+        A router copies another one's stream and loses the connection to it.
+        The rest must come from a run of its own, checked against what was
+        copied.
         """
         self.pause_streams(3)
-        first, answer = await self.start(self.ours)
-        again, followed = await self.start(self.theirs)
+        first, answer = await self.start(self.router_a)
+        again, followed = await self.start(self.router_b)
         self.fabric.cut(['router-a'], ['router-b', 'router-c'])
         self.targets.go_on.set()
         first.end = await answer.wait()
         again.end = await followed.wait()
-        self.check_whole(first)
-        self.check_whole(again)
+        self.check_complete(first)
+        self.check_complete(again)
         self.assertEqual(self.targets.runs['key'], 2)
         self.assertEqual(len(await self.all_bills()), 1)
