--- a/src/balsamreach/dispatch/answer_copier.py
+++ b/src/balsamreach/dispatch/answer_copier.py
@@ -11,7 +11,7 @@
 from balsamreach.dispatch.faults import DispatchFault
 from balsamreach.peers.base import PeerNet
 from balsamreach.requests.answers import Answer, Sink
-from balsamreach.requests.registry import JOINED, Answers
+from balsamreach.requests.registry import JOINED_REQUESTS, Answers
 from balsamreach.telemetry.metrics import Metrics
 from balsamreach.wire.answers import AnswerAsk, AnswerPart
 from balsamreach.wire.membership import Member
@@ -83,11 +83,11 @@
             None if the other router is gone or has no such answer; what was
             copied until then stays in the answer.
         """
-        answer.copied = True
+        answer.is_copying = True
         try:
             return await self._copy_parts(holder, call, answer)
         finally:
-            answer.copied = False
+            answer.is_copying = False
 
     async def _copy_parts(
         self,
@@ -101,7 +101,7 @@
                 return None
             _append_part(part, answer)
             if part.ended:
-                self.metrics.count(JOINED, where='peer')
+                self.metrics.count(JOINED_REQUESTS, where='peer')
                 return CopyResult(None if part.whole else _read_fault(part))
         return CopyResult(faults.DEADLINE.because('the answer took too long'))
 
@@ -131,7 +131,7 @@
             return AnswerPart(known=False)
         # Two routers that are each told that the other one runs a request
         # would otherwise wait for each other until the deadline.
-        if answer.copied:
+        if answer.is_copying:
             return AnswerPart(known=False)
         if answer.end is None and ask.offset >= answer.body.size:
             await self._wait_for_change(answer)
--- a/src/balsamreach/dispatch/elsewhere.py
+++ b/src/balsamreach/dispatch/elsewhere.py
@@ -126,15 +126,15 @@
             holder = note.incarnation
         if not holder or holder == self.others.sharing.me:
             return None
-        copied = await self.others.copier.copy(
+        is_copying = await self.others.copier.copy(
             holder,
             self.call,
             self.answer,
         )
-        if copied is None or copied.fault is None:
-            return copied
+        if is_copying is None or is_copying.fault is None:
+            return is_copying
         # An idempotent request that failed there may run here.
-        return None if self.can_run_here() else copied
+        return None if self.can_run_here() else is_copying
 
     @property
     def may_resume(self) -> bool:
--- a/src/balsamreach/dispatch/run.py
+++ b/src/balsamreach/dispatch/run.py
@@ -20,7 +20,7 @@
 from balsamreach.dispatch.tries import Tries, TryParts
 from balsamreach.requests import faults as request_faults
 from balsamreach.requests.answers import Answer, End
-from balsamreach.requests.claims import Claim, Claims, Held
+from balsamreach.requests.claims import Claim, Claims, HeldClaim
 from balsamreach.requests.faults import RequestFault
 from balsamreach.requests.registry import Answers
 from balsamreach.routing.slot import Slot
@@ -103,9 +103,9 @@
         key_fault = await self._remote.look_up()
         if key_fault is not None:
             return key_fault
-        copied = await self._remote.copy_answer()
-        if copied is not None:
-            return copied.fault
+        is_copying = await self._remote.copy_answer()
+        if is_copying is not None:
+            return is_copying.fault
         return await self._admit()
 
     async def _admit(self) -> DispatchFault | None:
@@ -161,15 +161,15 @@
         self.parts.placer.release(slot)
         if isinstance(claim, RequestFault):
             return translate_request_fault(claim)
-        copied = await self._remote.copy_answer(claim.holder)
-        if copied is not None:
-            return copied.fault
+        is_copying = await self._remote.copy_answer(claim.holder)
+        if is_copying is not None:
+            return is_copying.fault
         return faults.OUTCOME_UNKNOWN.because('it was dispatched before')
 
     async def _claim(
         self,
         slot: Slot,
-    ) -> Claim | Held | RequestFault | None:
+    ) -> Claim | HeldClaim | RequestFault | None:
         # No other router knows a key that this router minted, so none can run
         # the request and no durable claim is needed.
         if self.call.idempotent or self.call.req.minted:
@@ -218,7 +218,7 @@
         if tries.may_have_run:
             return _as_maybe_run(self.call, fault)
         if claim is not None:
-            self.parts.claims.give_up(claim)
+            self.parts.claims.schedule_release(claim)
         return fault
 
     def _is_buffered_answer(
--- a/src/balsamreach/requests/__init__.py
+++ b/src/balsamreach/requests/__init__.py
@@ -1,1 +1,1 @@
-"""A request's identity, its durable claim, and its answer in progress."""
+"""Identity, durable claim and current answer of requests."""
--- a/src/balsamreach/requests/answers.py
+++ b/src/balsamreach/requests/answers.py
@@ -1,4 +1,4 @@
-"""One request's answer in progress, which duplicates of it can join."""
+"""The answer of one request, which duplicates of it can join."""
 
 import abc
 import asyncio
@@ -7,48 +7,48 @@
 import attrs
 
 from balsamreach.requests.body import Body
-from balsamreach.requests.end_mark import EndMark
+from balsamreach.requests.end_marker import EndMarker
 from balsamreach.requests.identity import RequestId
 
 
 class Output(abc.ABC):
-    """Takes the checked answer of a target."""
+    """Receives the checked answer of a target."""
 
     status: int
 
     @property
     def backlog(self) -> int:
-        """Bytes that wait for the caller to take them."""
+        """Bytes waiting to be sent to the caller."""
         return 0
 
     @abc.abstractmethod
     def start(self, status: int, headers: dict[str, str]) -> None:
-        """Set the head; called once."""
+        """Set status and headers; called once."""
 
     @abc.abstractmethod
     def write(self, chunk: bytes) -> None:
-        """Add to the body."""
+        """Append to the body."""
 
 
 class Sink(abc.ABC):
-    """Where one caller's copy of an answer goes."""
+    """Receives one caller's copy of an answer."""
 
     @property
     def backlog(self) -> int:
-        """Bytes that wait for the caller to take them."""
+        """Bytes waiting to be sent to the caller."""
         return 0
 
     @abc.abstractmethod
     def start(self, status: int, headers: dict[str, str]) -> None:
-        """Take the head of the answer."""
+        """Receive the status and headers."""
 
     @abc.abstractmethod
     def write(self, chunk: bytes) -> None:
-        """Take the next bytes of the body."""
+        """Receive the next bytes of the body."""
 
     @abc.abstractmethod
     def cut(self) -> None:
-        """Break off, since the caller is too far behind."""
+        """Abort because the caller is too far behind."""
 
 
 @attrs.frozen
@@ -58,9 +58,9 @@
     Parameters
     ----------
     whole : bool
-        Whether every byte of the target's answer is in it.
+        Whether it contains the target's complete answer.
     fault : object
-        The dispatch fault where it is not whole.
+        The dispatch fault if it is incomplete.
     """
 
     whole: bool
@@ -69,22 +69,26 @@
 
 @attrs.define(eq=False)
 class Answer(Output):
-    """One request's answer while it is made and for a while after.
+    """A request's answer while it is produced and for some time after.
 
     Parameters
     ----------
     req : RequestId
-        The request it answers; no other caller is ever attached to it.
+        The request; callers of other requests are never attached.
     body : Body
-        What has come of it.
+        The body received so far.
     idempotent : bool
-        Whether the request may run again after it failed.
+        Whether the request may run again after a failure.
     billed : bool
         Whether this router has billed the request.
     status : int
-        HTTP status, 0 until the head has come.
-    copied : bool
-        Whether it is being fetched from another router.
+        HTTP status, 0 until the head has been received.
+    headers : dict of str to str
+        Headers passed on to callers.
+    ended_at : float
+        Monotonic time of the end in seconds.
+    is_copying : bool
+        Whether it is being copied from another router.
     on_start : callable or None
         Called with the headers of each head that a target sends.
     """
@@ -96,10 +100,10 @@
     status: int = 0
     headers: dict[str, str] = attrs.field(factory=dict)
     ended_at: float = 0
-    copied: bool = False
+    is_copying: bool = False
     on_start: Callable[[dict[str, str]], None] | None = None
     _sinks: list[Sink] = attrs.field(factory=list)
-    _mark: EndMark = attrs.field(factory=EndMark)
+    _end_marker: EndMarker = attrs.field(factory=EndMarker)
     _end: asyncio.Future = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -107,33 +111,33 @@
 
     @property
     def end(self) -> End | None:
-        """How it ended; None while it goes on."""
+        """How it ended; None while in progress."""
         return self._end.result() if self._end.done() else None
 
     @property
     def joinable(self) -> bool:
         """Whether a duplicate can still get all of it."""
-        return self.body.whole
+        return self.body.is_complete
 
     @property
     def listeners(self) -> int:
-        """How many callers are attached."""
+        """Number of attached callers."""
         return len(self._sinks)
 
     @property
     def backlog(self) -> int:
-        """Bytes that wait for the fastest of the callers attached."""
+        """Bytes waiting for the fastest of the attached callers."""
         return min((sink.backlog for sink in self._sinks), default=0)
 
     def attach(self, sink: Sink, *, from_now: bool = False) -> None:
-        """Send a caller what there is so far and then the rest.
+        """Send a caller the answer so far and then the rest.
 
         Parameters
         ----------
         sink : Sink
-            Where to send it.
+            Receives the caller's copy.
         from_now : bool
-            Whether to leave out what there is so far.
+            Whether to skip the answer so far.
         """
         if self.status and not from_now:
             sink.start(self.status, self.headers)
@@ -142,12 +146,12 @@
         self._sinks.append(sink)
 
     def detach(self, sink: Sink) -> None:
-        """Stop sending to a caller that went away."""
+        """Stop sending to a caller that disconnected."""
         if sink in self._sinks:
             self._sinks.remove(sink)
 
     def start(self, status: int, headers: dict[str, str]) -> None:
-        """Set the head; called once."""
+        """Set status and headers and send them to all callers."""
         self.status = status
         self.headers = headers
         if self.on_start is not None:
@@ -156,37 +160,36 @@
             sink.start(status, headers)
 
     def write(self, chunk: bytes) -> None:
-        """Add to the body; the end mark of a stream waits for the end."""
-        passed = self._mark.hold(chunk, self.headers)
-        if passed:
-            self._pass(passed)
+        """Append to the body; the end marker of a stream is held back."""
+        forwarded = self._end_marker.hold(chunk, self.headers)
+        if forwarded:
+            self._publish(forwarded)
 
     def finish(self, end: End, now: float) -> None:
         """End the answer; called once."""
-        if end.whole and self._mark.held:
-            self._pass(self._mark.held)
+        if end.whole and self._end_marker.held:
+            self._publish(self._end_marker.held)
         self.ended_at = now
         self._end.set_result(end)
 
     async def wait(self) -> End:
-        """Return how the answer ended, once it has."""
+        """Wait for the end and return how the answer ended."""
         return await asyncio.shield(self._end)
 
-    def _pass(self, chunk: bytes) -> None:
+    def _publish(self, chunk: bytes) -> None:
         self.body.write(chunk)
         for sink in self._sinks:
             sink.write(chunk)
-        if not self.body.whole:
-            self._cut_slow()
+        if not self.body.is_complete:
+            self._cut_slow_sinks()
             self.body.clear()
 
-    def _cut_slow(self) -> None:
-        # Reading from the target pauses only while all callers are behind.
-        # One that joined and reads slowly would otherwise have a long answer
-        # pile up for it. It would show as a router that grows while its load
-        # stands still.
-        most = self.body.room.each
+    def _cut_slow_sinks(self) -> None:
+        # Reading from the target pauses only while all callers are behind. A
+        # slow caller beside a faster one would have a long answer pile up in
+        # its buffer, so the router's memory would grow at constant load.
+        limit = self.body.memory.max_bytes_each
         for sink in tuple(self._sinks):
-            if sink.backlog > most:
+            if sink.backlog > limit:
                 self._sinks.remove(sink)
                 sink.cut()
--- a/src/balsamreach/requests/body.py
+++ b/src/balsamreach/requests/body.py
@@ -1,77 +1,77 @@
-"""The body of an answer in memory, and the bound on all such memory."""
+"""The buffered body of an answer, and the limit on such memory."""
 
 import abc
 
 import attrs
 
 
-class Room(abc.ABC):
-    """Bounds the memory that all answers of a router hold.
+class AnswerMemory(abc.ABC):
+    """Limits the memory of all answers of a router.
 
     Parameters
     ----------
-    each : int
-        Most bytes one answer may hold.
+    max_bytes_each : int
+        Maximum bytes of one answer.
     """
 
-    each: int
+    max_bytes_each: int
 
     @abc.abstractmethod
-    def grow(self, more: int) -> bool:
-        """Take in more bytes; False where there is no room for them."""
+    def allocate(self, size_bytes: int) -> bool:
+        """Count more bytes; return whether the limit is kept."""
 
     @abc.abstractmethod
-    def shrink(self, less: int) -> None:
-        """Give bytes back."""
+    def free(self, size_bytes: int) -> None:
+        """Subtract freed bytes."""
 
 
 @attrs.define
 class Body:
-    """What has come of a body, while all of it can be kept.
+    """Body received so far, held as long as it fits into the limit.
 
     Parameters
     ----------
-    room : Room
-        Bounds its memory.
+    memory : AnswerMemory
+        Limits its memory.
     size : int
-        Bytes that have come so far.
-    whole : bool
-        Whether all of them are still here.
+        Bytes received so far.
+    is_complete : bool
+        Whether all received bytes are still held.
     """
 
-    room: Room
+    memory: AnswerMemory
     size: int = 0
-    whole: bool = True
-    _held: int = 0
+    is_complete: bool = True
+    _held_bytes: int = 0
     _chunks: list[bytes] = attrs.field(factory=list)
 
     def write(self, chunk: bytes) -> None:
-        """Add to the body."""
+        """Append to the body."""
         self.size += len(chunk)
-        if not self.whole:
+        if not self.is_complete:
             return
         self._chunks.append(chunk)
-        self._held += len(chunk)
-        has_room = self.room.grow(len(chunk))
-        self.whole = has_room and self.size <= self.room.each
+        self._held_bytes += len(chunk)
+        fits = self.memory.allocate(len(chunk))
+        self.is_complete = fits and self.size <= self.memory.max_bytes_each
 
-    def read(self, offset: int, most: int = 0) -> bytes:
-        """Return a part of a body that is whole.
+    def read(self, offset: int, limit: int = 0) -> bytes:
+        """Return a part of the body, which must still be held completely.
 
         Parameters
         ----------
         offset : int
-            Where the part begins.
-        most : int
-            Length of the part at most; 0 for all there is.
+            Start of the part.
+        limit : int
+            Maximum length of the part; 0 for no limit.
         """
         joined = b''.join(self._chunks)
         self._chunks = [joined] if joined else []
-        return joined[offset : offset + most if most else None]
+        return joined[offset : offset + limit if limit else None]
 
     def clear(self) -> None:
-        """Give the memory back."""
-        self.whole = False
+        """Release the memory."""
+        self.is_complete = False
         self._chunks.clear()
-        self.room.shrink(self._held)
-        self._held = 0
+        self.memory.free(self._held_bytes)
+        self._held_bytes = 0
--- a/src/balsamreach/requests/claims.py
+++ b/src/balsamreach/requests/claims.py
@@ -1,8 +1,8 @@
 """Durable claims that let a non-idempotent request run at most once.
 
-A claim is inserted before the single dispatch and never lapses, so no pause
-of its holder and no clock can make a second one possible. Its end is the
-request's bill, which has the same team and key.
+A claim is inserted before the only dispatch and never expires, so neither a
+pause of its holder nor a wrong clock can cause a second one. It is closed by
+the request's bill, which has the same team and key.
 """
 
 from collections import OrderedDict
@@ -26,30 +26,30 @@
 
 CLAIM_PREFIX = 'claim/'
 CLAIMS = 'balsamreach_claims_total'
-_ATTEMPTS = 4
-#: Claims whose release is remembered until it took effect.
-_MOST_RELEASES = 10000
+_MAX_INSERTS = 4
+#: Maximum number of releases remembered until they take effect.
+_MAX_PENDING_RELEASES = 10000
 
 
 @attrs.frozen
 class Claim:
-    """The right to dispatch a request, once.
+    """The right to dispatch a request once.
 
     Parameters
     ----------
     req : RequestId
         The request.
-    attempt : str
-        Identity of the run that the claim is for.
+    run_id : str
+        Identifier of the run that holds the claim.
     """
 
     req: RequestId
-    attempt: str
+    run_id: str
 
 
 @attrs.frozen
-class Held:
-    """A claim that is another run's, so that this one may not dispatch.
+class HeldClaim:
+    """A claim of another run; this one must not dispatch the request.
 
     Parameters
     ----------
@@ -61,132 +61,134 @@
 
 
 def claim_key(req: RequestId) -> str:
-    """Return the table service's key of a request's claim."""
+    """Return the key of a request's claim in the table service."""
     return f'{CLAIM_PREFIX}{req.team}/{req.key}'
 
 
 @attrs.define
 class Claims:
-    """Makes claims in the table service for one incarnation.
+    """Makes and releases the claims of one router incarnation.
 
     Parameters
     ----------
     service : TableService
-        Where claims are kept.
+        Stores the claims.
     holder : str
         This incarnation.
     clock : Clock
-        Time of the claim, for people.
+        Clock of the claim's timestamp, which is only informational.
     metrics : Metrics
-        Counts claims by how they came out.
+        Counts claims by outcome.
     """
 
     service: TableService
     holder: str
     clock: Clock
     metrics: Metrics = attrs.field(factory=Metrics)
-    _given_up: OrderedDict[str, Claim] = attrs.field(factory=OrderedDict)
+    _pending_releases: OrderedDict[str, Claim] = attrs.field(
+        factory=OrderedDict
+    )
 
     async def claim(
         self,
         req: RequestId,
-        attempt: str,
-    ) -> Claim | Held | RequestFault:
-        """Claim a request before its single dispatch.
+        run_id: str,
+    ) -> Claim | HeldClaim | RequestFault:
+        """Claim a request before its only dispatch.
 
         Parameters
         ----------
         req : RequestId
             The request.
-        attempt : str
-            Identity of the run, never used before.
+        run_id : str
+            Identifier of the run, never used before.
 
         Returns
         -------
-        Claim, Held or RequestFault
-            Only with a Claim may the request be dispatched. NO_CLAIM means
-            that no claim of this run will be acted on; KEY_REUSED that the
-            key was claimed for another body.
+        Claim, HeldClaim or RequestFault
+            The request may only be dispatched with a Claim. NO_CLAIM means
+            that no claim of this run will be used; KEY_REUSED that the key was
+            claimed for another body.
         """
-        outcome = await self._claim(req, attempt)
-        self.metrics.count(CLAIMS, outcome=_label(outcome))
+        outcome = await self._claim(req, run_id)
+        self.metrics.count(CLAIMS, outcome=_outcome_label(outcome))
         if outcome == NO_CLAIM:
-            # An insert without an answer may have taken effect, or may yet.
-            self.give_up(Claim(req, attempt))
+            # An insert without an answer may have taken effect, or may later.
+            self.schedule_release(Claim(req, run_id))
         return outcome
 
-    def give_up(self, claim: Claim) -> None:
+    def schedule_release(self, claim: Claim) -> None:
         """Release a claim whose request was certainly not dispatched.
 
-        The caller has been or will be told that the request did not run,
-        and may send it again under its key. Only the run that made the claim
-        may call this, after its last attempt was closed to sending: from
-        then on nobody is left who could still dispatch under the claim.
+        The caller is told that the request did not run and may send it again
+        under its key. Only the run that made the claim may call this, after
+        its last attempt can no longer send: then nobody can dispatch under the
+        claim any more.
         """
-        self._given_up[claim.attempt] = claim
-        while len(self._given_up) > _MOST_RELEASES:
-            self._given_up.popitem(last=False)
+        self._pending_releases[claim.run_id] = claim
+        while len(self._pending_releases) > _MAX_PENDING_RELEASES:
+            self._pending_releases.popitem(last=False)
 
     async def release_all(self) -> None:
-        """Try once to release every claim that was given up."""
-        for claim in tuple(self._given_up.values()):
+        """Try once to release every claim scheduled for release."""
+        for claim in tuple(self._pending_releases.values()):
             outcome = await self._release(claim)
             if isinstance(outcome, PlatformFault):
                 return
-            self._given_up.pop(claim.attempt, None)
+            self._pending_releases.pop(claim.run_id, None)
             self.metrics.count(CLAIMS, outcome='released')
 
     async def _claim(
         self,
         req: RequestId,
-        attempt: str,
-    ) -> Claim | Held | RequestFault:
+        run_id: str,
+    ) -> Claim | HeldClaim | RequestFault:
         version = ABSENT
-        for _ in range(_ATTEMPTS):
-            outcome = await self._insert(req, attempt, version)
+        for _ in range(_MAX_INSERTS):
+            outcome = await self._insert(req, run_id, version)
             if not isinstance(outcome, PlatformFault):
-                return Claim(req, attempt)
+                return Claim(req, run_id)
             if outcome not in {CONFLICT, UNKNOWN}:
                 return NO_CLAIM.because(f'table service: {outcome.code}')
-            # After a lost answer only the row says who holds the claim. A
+            # After a lost answer only the row shows who holds the claim. A
             # second insert is safe: it has the same condition, and the row
-            # names the attempt, so both cannot be taken for two claims.
+            # names the run, so the two can't count as two claims.
             row = await self._read(req)
             if isinstance(row, PlatformFault):
                 return NO_CLAIM.because(f'table service: {row.code}')
-            found = self._judge(req, attempt, row)
+            found = self._check_row(req, run_id, row)
             if found is not None:
                 return found
             version = ABSENT if row.value is None else row.version
         return NO_CLAIM.because('the claim could not be confirmed')
 
-    def _judge(
+    def _check_row(
         self,
         req: RequestId,
-        attempt: str,
+        run_id: str,
         row: Row,
-    ) -> Claim | Held | RequestFault | None:
+    ) -> Claim | HeldClaim | RequestFault | None:
         stored = row.value
-        # A claim that this router gave up was never acted on: where its
-        # release has not taken effect yet, a new one takes its place.
-        if stored is None or stored['attempt'] in self._given_up:
+        # A claim scheduled for release was never used: if the release has not
+        # taken effect yet, a new claim replaces it.
+        if stored is None or stored['attempt'] in self._pending_releases:
             return None
-        if stored['attempt'] == attempt:
-            return Claim(req, attempt)
+        if stored['attempt'] == run_id:
+            return Claim(req, run_id)
         if stored['fingerprint'] != req.fingerprint:
             return KEY_REUSED.because('the key was claimed for another body')
-        return Held(stored['holder'])
+        return HeldClaim(stored['holder'])
 
     async def _insert(
         self,
         req: RequestId,
-        attempt: str,
+        run_id: str,
         version: int,
     ) -> int | PlatformFault:
         key = claim_key(req)
         return await self.service.commit(
             Commit(
-                (Write(key, self._encode(req, attempt)),),
+                (Write(key, self._make_value(req, run_id)),),
                 (Check(key, version),),
             ),
         )
@@ -199,25 +201,25 @@
         row = await self._read(claim.req)
         if isinstance(row, PlatformFault):
             return row
-        if row.value is None or row.value['attempt'] != claim.attempt:
+        if row.value is None or row.value['attempt'] != claim.run_id:
             return None
-        # The condition keeps a release that is late from taking away the
-        # claim of a later run.
+        # The condition keeps a late release from deleting the claim of a later
+        # run.
         outcome = await self.service.commit(
             Commit((Write(row.key, None),), (Check(row.key, row.version),)),
         )
         return outcome if isinstance(outcome, PlatformFault) else None
 
-    def _encode(self, req: RequestId, attempt: str) -> dict[str, Any]:
+    def _make_value(self, req: RequestId, run_id: str) -> dict[str, Any]:
         return {
             'holder': self.holder,
-            'attempt': attempt,
+            'attempt': run_id,
             'fingerprint': req.fingerprint,
             'at': self.clock.wall(),
         }
 
 
-def _label(outcome: Claim | Held | RequestFault) -> str:
+def _outcome_label(outcome: Claim | HeldClaim | RequestFault) -> str:
     if isinstance(outcome, RequestFault):
         return outcome.code
     return 'made' if isinstance(outcome, Claim) else 'held'
--- a/src/balsamreach/requests/registry.py
+++ b/src/balsamreach/requests/registry.py
@@ -1,4 +1,4 @@
-"""All answers at one router, in progress and kept."""
+"""All answers of one router, in progress and kept."""
 
 from collections import OrderedDict
 
@@ -7,7 +7,7 @@
 from balsamreach.clock import Clock
 from balsamreach.config.settings import RequestsSettings
 from balsamreach.requests.answers import Answer, End
-from balsamreach.requests.body import Body, Room
+from balsamreach.requests.body import AnswerMemory, Body
 from balsamreach.requests.faults import (
     ANSWER_NOT_KEPT,
     IN_PROGRESS,
@@ -17,17 +17,17 @@
 from balsamreach.requests.identity import RequestId
 from balsamreach.telemetry.metrics import Metrics
 
-JOINED = 'balsamreach_requests_joined_total'
-_BYTES = 'balsamreach_answers_held_bytes'
-_RUNNING = 'balsamreach_answers_in_progress'
-#: Memory that an answer takes besides its body.
-_OVERHEAD = 1024
+JOINED_REQUESTS = 'balsamreach_requests_joined_total'
+_HELD_BYTES_GAUGE = 'balsamreach_answers_held_bytes'
+_IN_PROGRESS_GAUGE = 'balsamreach_answers_in_progress'
+#: Estimated bytes of memory per answer besides its body.
+_OVERHEAD_BYTES = 1024
 
 _Key = tuple[str, str]
 
 
 @attrs.define(eq=False)
-class Answers(Room):
+class Answers(AnswerMemory):
     """Answers by request, of which duplicates get a copy.
 
     Parameters
@@ -35,26 +35,28 @@
     cfg : RequestsSettings
         How long and how much to keep.
     clock : Clock
-        Time for keeping.
+        Clock of the expiry.
     metrics : Metrics
         Counts joined duplicates and bytes held.
+    held : int
+        Bytes held by all answers.
     """
 
     cfg: RequestsSettings
     clock: Clock
     metrics: Metrics = attrs.field(factory=Metrics)
     held: int = 0
-    _running: dict[_Key, Answer] = attrs.field(factory=dict)
+    _in_progress: dict[_Key, Answer] = attrs.field(factory=dict)
     _kept: OrderedDict[_Key, Answer] = attrs.field(factory=OrderedDict)
 
     @property
-    def each(self) -> int:
-        """Most bytes one answer may hold."""
+    def max_bytes_each(self) -> int:
+        """Maximum bytes of one answer."""
         return self.cfg.answer_bytes
 
     def known(self, team: str, key: str) -> Answer | None:
         """Return a request's answer, in progress or kept."""
-        known = self._running.get((team, key))
+        known = self._in_progress.get((team, key))
         return known or self._kept.get((team, key))
 
     def find(self, req: RequestId) -> Answer | RequestFault | None:
@@ -69,7 +71,7 @@
         -------
         Answer, RequestFault or None
             The answer to join; KEY_REUSED, IN_PROGRESS or ANSWER_NOT_KEPT;
-            None if the request is to be run.
+            None if the request is to run.
         """
         self._expire()
         known = self.known(req.team, req.key)
@@ -78,80 +80,84 @@
         if known.req.fingerprint != req.fingerprint:
             return KEY_REUSED.because('the key was used with another body')
         if known.end is None and not known.joinable:
-            return IN_PROGRESS.because('its answer is too large to share')
+            return IN_PROGRESS.because(
+                'the answer in progress is too large to share'
+            )
         if known.end is not None and _must_run_again(known, known.end):
             return None
         if not known.joinable:
-            return ANSWER_NOT_KEPT.because('it ran; its answer is not kept')
-        self.metrics.count(JOINED, where='here')
+            return ANSWER_NOT_KEPT.because(
+                'the request ran, but its answer was not kept'
+            )
+        self.metrics.count(JOINED_REQUESTS, where='here')
         return known
 
     def open(self, req: RequestId, *, idempotent: bool = True) -> Answer:
-        """Make the answer of a request that is about to run.
+        """Create the answer of a request that is about to run.
 
-        One that ran before and failed keeps its mark of having been billed.
+        If the request ran before and failed, it stays marked as billed.
         """
         earlier = self._kept.pop((req.team, req.key), None)
         billed = earlier is not None and earlier.billed
         if earlier is not None:
-            self._release(earlier)
+            self._free(earlier)
         answer = Answer(req, Body(self), idempotent=idempotent, billed=billed)
-        self._running[req.team, req.key] = answer
-        self.grow(_OVERHEAD)
-        self._measure()
+        self._in_progress[req.team, req.key] = answer
+        self.allocate(_OVERHEAD_BYTES)
+        self._update_gauges()
         return answer
 
     def finish(self, answer: Answer, end: End) -> None:
-        """End an answer and keep it for duplicates that come late."""
+        """End an answer and keep it for later duplicates."""
         key = (answer.req.team, answer.req.key)
-        self._running.pop(key, None)
+        self._in_progress.pop(key, None)
         self._kept[key] = answer
         answer.finish(end, self.clock.now())
-        # Nobody can ask again under a key that only this router knows.
+        # A key that only this router knows can't be sent again.
         if answer.req.minted:
             self.drop(answer)
         self._expire()
-        self._measure()
+        self._update_gauges()
 
     def drop(self, answer: Answer) -> None:
-        """Forget an ended answer, so that the request can be sent again."""
+        """Remove an ended answer, so that the request can be sent again."""
         key = (answer.req.team, answer.req.key)
         if self._kept.pop(key, None) is not None:
-            self._release(answer)
+            self._free(answer)
 
-    def grow(self, more: int) -> bool:
-        """Take in more bytes, at the cost of the oldest kept answers."""
-        self.held += more
+    def allocate(self, size_bytes: int) -> bool:
+        """Count more bytes; drop the oldest kept answers to make room."""
+        self.held += size_bytes
         while self.held > self.cfg.keep_bytes and self._kept:
-            self._forget_oldest()
+            self._drop_oldest()
         return self.held <= self.cfg.keep_bytes
 
-    def shrink(self, less: int) -> None:
-        """Give bytes back."""
-        self.held -= less
+    def free(self, size_bytes: int) -> None:
+        """Subtract freed bytes."""
+        self.held -= size_bytes
 
     def _expire(self) -> None:
-        horizon = self.clock.now() - self.cfg.keep_answers
+        expired_before = self.clock.now() - self.cfg.keep_answers
         while self._kept:
             oldest = next(iter(self._kept.values()))
-            if oldest.ended_at > horizon:
+            if oldest.ended_at > expired_before:
                 return
-            self._forget_oldest()
+            self._drop_oldest()
 
-    def _forget_oldest(self) -> None:
+    def _drop_oldest(self) -> None:
         _key, answer = self._kept.popitem(last=False)
-        self._release(answer)
+        self._free(answer)
 
-    def _release(self, answer: Answer) -> None:
-        self.shrink(_OVERHEAD)
+    def _free(self, answer: Answer) -> None:
+        self.free(_OVERHEAD_BYTES)
         answer.body.clear()
 
-    def _measure(self) -> None:
-        self.metrics.gauge(_BYTES, self.held)
-        self.metrics.gauge(_RUNNING, len(self._running))
+    def _update_gauges(self) -> None:
+        self.metrics.gauge(_HELD_BYTES_GAUGE, self.held)
+        self.metrics.gauge(_IN_PROGRESS_GAUGE, len(self._in_progress))
 
 
 def _must_run_again(answer: Answer, end: End) -> bool:
-    # A broken answer must not stick to its key: every retry would get the
-    # same error until the key expires, though another target could answer.
+    # A broken answer must not stay under its key: every retry would get the
+    # same error until the key expires, although another target could answer.
     return answer.idempotent and not (end.whole and answer.joinable)
--- a/tests/test_dispatch_several_routers.py
+++ b/tests/test_dispatch_several_routers.py
@@ -349,7 +349,7 @@
         another router refuses the next retry.
         """
         self.check_complete(await self.router_a.call(key=key))
-        self.router_a.parts.answers.grow(10**9)
+        self.router_a.parts.answers.allocate(10**9)
         self.targets.dead.update(f'engine-{number}' for number in range(3))
         outcomes = []
         for router in (self.router_a, self.router_b, self.router_a):
--- a/tests/test_requests_answers.py
+++ b/tests/test_requests_answers.py
@@ -1,4 +1,4 @@
-"""Tests of answers in progress, kept ones and the memory they take."""
+"""Tests of answers in progress and kept, and of their memory limit."""
 
 import unittest
 
@@ -21,15 +21,15 @@
 from balsamreach.requests.registry import Answers
 from tests.support import FakeClock
 
-_EACH = 100
-_ALL = 5000
-_MARK = b'data: [DONE]\n\n'
-_WHOLE = End(whole=True)
+_ANSWER_BYTES = 100
+_TOTAL_BYTES = 5000
+_END_MARKER = b'data: [DONE]\n\n'
+_COMPLETE = End(whole=True)
 _BROKEN = End(whole=False, fault='broken')
 
 
 class Caller(Sink):
-    """A caller that reads only when the test says so."""
+    """A caller that reads everything or, if slow, nothing."""
 
     def __init__(self, *, slow=False):
         self.slow = slow
@@ -38,29 +38,29 @@
 
     @property
     def backlog(self):
-        """All of it, if slow."""
+        """All bytes, if slow."""
         return len(self.body) if self.slow else 0
 
     def start(self, status, headers):
-        """Take the head."""
+        """Receive the head."""
 
     def write(self, chunk):
-        """Take a part of the body."""
+        """Receive a part of the body."""
         self.body += chunk
 
     def cut(self):
-        """Note the cut."""
+        """Record the cut."""
         self.was_cut = True
 
 
 def settings(**changes):
-    """Return settings with small bounds."""
+    """Return settings with small limits."""
     cfg = RequestsSettings(
         keep_answers=600,
-        keep_bytes=_ALL,
+        keep_bytes=_TOTAL_BYTES,
         retry_window=600,
         default_deadline=60,
-        answer_bytes=_EACH,
+        answer_bytes=_ANSWER_BYTES,
         ask_timeout=1,
         stream_keep=30,
     )
@@ -73,7 +73,7 @@
 
 
 class AnswersTest(unittest.IsolatedAsyncioTestCase):
-    """Duplicates get whole answers, from bounded memory."""
+    """Duplicates get complete answers, within a memory limit."""
 
     def setUp(self):
         self.clock = FakeClock()
@@ -105,42 +105,40 @@
             ('non_idempotent', False, _BROKEN),
         ]
     )
-    async def test_broken_answer_sticks_only_to_what_may_run_once(
+    async def test_broken_answer_is_kept_only_if_not_idempotent(
         self,
         _name,
         idempotent,
         end,
     ):
-        """A failed run must not fail every retry of an idempotent request.
+        """Guards against a failed answer for every retry of its key.
 
-        Symptom: a retry gets the same error until the key expires.
-        Sequence: a target breaks off; the caller sends the same key again.
-        Cause: the broken answer was kept like a whole one.
+        If a broken answer were kept like a complete one, retries of an
+        idempotent request would get the same error until the key expires.
         """
         self._run(b'half', _BROKEN, idempotent=idempotent)
         found = self.answers.find(request())
         self.assertEqual(found and found.end, end)
 
-    async def test_mark_of_the_bill_outlives_a_failed_run(self):
+    async def test_billed_flag_survives_a_failed_run(self):
         answer = self._run(b'half', _BROKEN)
         answer.billed = True
         self.assertTrue(self.answers.open(request()).billed)
 
     async def test_large_answer_in_progress_is_not_joined(self):
         answer = self.answers.open(request())
-        answer.write(bytes(_EACH + 1))
+        answer.write(bytes(_ANSWER_BYTES + 1))
         self.assertEqual(self.answers.find(request()), IN_PROGRESS)
 
-    async def test_large_answer_of_a_single_run_is_known_to_have_run(self):
-        self._run(bytes(_EACH + 1), idempotent=False)
+    async def test_large_non_idempotent_answer_is_known_to_have_run(self):
+        self._run(bytes(_ANSWER_BYTES + 1), idempotent=False)
         self.assertEqual(self.answers.find(request()), ANSWER_NOT_KEPT)
 
-    async def test_slow_joiner_is_cut_and_others_read_on(self):
-        """A caller that stops reading must not fill the router's memory.
+    async def test_slow_caller_is_cut_off_and_others_continue(self):
+        """Guards against unlimited memory for a caller that stops reading.
 
-        Symptom: a router's memory grows while its load stands still.
-        Sequence: a long answer has two callers; one of them reads nothing.
-        Cause: the target is read as fast as the other one takes it.
+        A long answer has two callers, and the target is read as fast as the
+        faster one reads. The router's memory would grow at constant load.
         """
         answer = self.answers.open(request())
         slow = Caller(slow=True)
@@ -148,27 +146,33 @@
         answer.attach(slow)
         answer.attach(fast)
         for _ in range(10):
-            answer.write(bytes(_EACH))
+            answer.write(bytes(_ANSWER_BYTES))
         self.assertTrue(slow.was_cut)
-        self.assertEqual(len(fast.body), 10 * _EACH)
+        self.assertEqual(len(fast.body), 10 * _ANSWER_BYTES)
         self.assertLess(self.answers.held, 2000)
 
     @parameterized.expand(
         [
-            ('whole', 'text/event-stream', _WHOLE, b'data: a\n\n', _MARK),
+            (
+                'whole',
+                'text/event-stream',
+                _COMPLETE,
+                b'data: a\n\n',
+                _END_MARKER,
+            ),
             ('broken', 'text/event-stream', _BROKEN, b'data: a\n\n', b''),
-            ('twice', 'text/event-stream', _WHOLE, b'', _MARK),
+            ('twice', 'text/event-stream', _COMPLETE, b'', _END_MARKER),
             (
                 'in_text',
                 'text/event-stream',
-                _WHOLE,
+                _COMPLETE,
                 b'data: "data: [DONE]\n\n',
                 b'',
             ),
-            ('no_stream', 'text/plain', _WHOLE, _MARK, b''),
+            ('no_stream', 'text/plain', _COMPLETE, _END_MARKER, b''),
         ],
     )
-    async def test_end_mark_comes_with_the_end(
+    async def test_end_marker_is_sent_at_the_end(
         self,
         _name,
         kind,
@@ -176,10 +180,11 @@
         before,
         after,
     ):
-        """Symptom: a caller has a whole stream whose bill is lost.
+        """Guards against a complete stream whose bill is lost.
 
-        Sequence: the mark comes, maybe twice as a broken stream is resumed
-        behind it. Cause: a caller takes it for the end.
+        A caller takes the end marker for the end, so it must not be sent
+        before the answer ends. A marker can arrive twice if a stream that
+        broke after it is resumed.
         """
         answer = self.answers.open(request())
         caller = Caller()
@@ -189,14 +194,14 @@
         answer.write(after)
         self.assertEqual(caller.body, before)
         self.answers.finish(answer, end)
-        whole = before + after if end.whole else before
-        self.assertEqual(caller.body, whole)
-        self.assertEqual(answer.body.read(0), whole)
+        complete = before + after if end.whole else before
+        self.assertEqual(caller.body, complete)
+        self.assertEqual(answer.body.read(0), complete)
 
     async def test_memory_of_all_answers_is_bounded(self):
         for number in range(50):
-            self._run(bytes(_EACH), req=request(f'key-{number}'))
-        self.assertLessEqual(self.answers.held, _ALL)
+            self._run(bytes(_ANSWER_BYTES), req=request(f'key-{number}'))
+        self.assertLessEqual(self.answers.held, _TOTAL_BYTES)
         self.assertIsNone(self.answers.find(request('key-0')))
         self.assertIsNotNone(self.answers.find(request('key-49')))
 
@@ -210,7 +215,7 @@
         self._run(b'whole', req=request('~1', minted=True))
         self.assertEqual(self.answers.held, 0)
 
-    def _run(self, body, end=_WHOLE, *, idempotent=True, req=None):
+    def _run(self, body, end=_COMPLETE, *, idempotent=True, req=None):
         answer = self.answers.open(req or request(), idempotent=idempotent)
         answer.write(body)
         self.answers.finish(answer, end)
--- a/tests/test_requests_claims.py
+++ b/tests/test_requests_claims.py
@@ -1,10 +1,10 @@
-"""Tests that a claim is made once and released only if it was not used."""
+"""Tests that a claim is made once and only released if unused."""
 
 import unittest
 
 from parameterized import parameterized
 
-from balsamreach.requests.claims import Claim, Claims, Held, claim_key
+from balsamreach.requests.claims import Claim, Claims, HeldClaim, claim_key
 from balsamreach.requests.faults import KEY_REUSED, NO_CLAIM
 from balsamreach.requests.identity import RequestId
 from balsamreach.services.base import Write
@@ -18,114 +18,111 @@
 
 
 class ClaimsTest(unittest.IsolatedAsyncioTestCase):
-    """Two routers on one table service."""
+    """Two routers with one table service."""
 
     def setUp(self):
         self.clock = FakeClock()
         self.platform = MemoryPlatform.start(self.clock)
-        self.ours = self._claims('router-a')
-        self.theirs = self._claims('router-b')
+        self.claims_a = self._claims('router-a')
+        self.claims_b = self._claims('router-b')
 
     async def test_only_the_first_of_two_routers_may_dispatch(self):
-        first = await self.ours.claim(request(), 'run-1')
-        second = await self.theirs.claim(request(), 'run-2')
+        first = await self.claims_a.claim(request(), 'run-1')
+        second = await self.claims_b.claim(request(), 'run-2')
         self.assertEqual(first, Claim(request(), 'run-1'))
-        self.assertEqual(second, Held('router-a'))
+        self.assertEqual(second, HeldClaim('router-a'))
 
     async def test_lost_answer_to_the_insert_is_read_back(self):
-        """The write took effect although its answer was lost.
+        """Guards against an unknown holder after a lost answer.
 
-        Symptom: a claimed request is refused for good, or dispatched twice.
-        Sequence: the insert takes effect, its answer is lost.
-        Cause: without reading back nobody knows who holds the claim.
+        The insert takes effect but its answer is lost. Without reading the row
+        back, the request would be refused forever or dispatched twice.
         """
         self.platform.weather.lose_answers = 1
-        first = await self.ours.claim(request(), 'run-1')
-        second = await self.theirs.claim(request(), 'run-2')
+        first = await self.claims_a.claim(request(), 'run-1')
+        second = await self.claims_b.claim(request(), 'run-2')
         self.assertEqual(first, Claim(request(), 'run-1'))
-        self.assertEqual(second, Held('router-a'))
+        self.assertEqual(second, HeldClaim('router-a'))
 
     async def test_claim_of_a_dead_router_is_never_taken_over(self):
-        """Whatever time passes, nobody may run the request again.
+        """Guards against a second run after the claim's holder died.
 
-        Symptom: a certificate is sent twice.
-        Sequence: a router claims, dispatches and dies; the caller retries
-        a day later.
-        Cause: a claim that lapses cannot tell a dead holder from a paused
-        one.
+        A router claims and dispatches a request and dies; the caller retries a
+        day later. A claim that expired could not tell a dead holder from a
+        paused one, and a certificate would be sent twice.
         """
-        await self.ours.claim(request(), 'run-1')
+        await self.claims_a.claim(request(), 'run-1')
         self.clock.advance(86400)
-        again = await self.theirs.claim(request(), 'run-2')
-        self.assertEqual(again, Held('router-a'))
+        again = await self.claims_b.claim(request(), 'run-2')
+        self.assertEqual(again, HeldClaim('router-a'))
 
     async def test_key_claimed_for_another_body_is_refused(self):
-        await self.ours.claim(request(), 'run-1')
-        other = await self.theirs.claim(request('other'), 'run-2')
+        await self.claims_a.claim(request(), 'run-1')
+        other = await self.claims_b.claim(request('other'), 'run-2')
         self.assertEqual(other, KEY_REUSED)
 
-    async def test_platform_away_refuses(self):
+    async def test_unavailable_platform_refuses(self):
         self.platform.weather.down = True
-        outcome = await self.ours.claim(request(), 'run-1')
+        outcome = await self.claims_a.claim(request(), 'run-1')
         self.assertEqual(outcome, NO_CLAIM)
 
-    @parameterized.expand([('same_router', 'ours'), ('another', 'theirs')])
+    @parameterized.expand(
+        [('same_router', 'claims_a'), ('another', 'claims_b')]
+    )
     async def test_request_that_was_not_sent_can_be_claimed_again(
         self,
         _name,
         router,
     ):
-        """A caller that was told "not run" must be able to ask again.
+        """Guards against an unused claim that blocks a retry.
 
-        Symptom: the retry of a request that did not run gets "unknown".
-        Sequence: claim, no target takes the request, caller retries.
-        Cause: the claim stood although it was never used.
+        No target takes the request after the claim was made. If the claim
+        stayed, the caller's retry would be told "unknown".
         """
-        claim = await self.ours.claim(request(), 'run-1')
-        self.ours.give_up(claim)
-        await self.ours.release_all()
+        claim = await self.claims_a.claim(request(), 'run-1')
+        self.claims_a.schedule_release(claim)
+        await self.claims_a.release_all()
         again = await getattr(self, router).claim(request(), 'run-2')
         self.assertEqual(again, Claim(request(), 'run-2'))
 
     async def test_retry_before_the_release_takes_effect(self):
-        """The release waits for the platform; the caller does not."""
-        claim = await self.ours.claim(request(), 'run-1')
-        self.ours.give_up(claim)
-        again = await self.ours.claim(request(), 'run-2')
-        await self.ours.release_all()
-        other = await self.theirs.claim(request(), 'run-3')
+        """The caller's retry doesn't wait for the release."""
+        claim = await self.claims_a.claim(request(), 'run-1')
+        self.claims_a.schedule_release(claim)
+        again = await self.claims_a.claim(request(), 'run-2')
+        await self.claims_a.release_all()
+        other = await self.claims_b.claim(request(), 'run-3')
         self.assertEqual(again, Claim(request(), 'run-2'))
-        self.assertEqual(other, Held('router-a'))
+        self.assertEqual(other, HeldClaim('router-a'))
 
-    async def test_insert_that_lands_after_it_was_given_up(self):
-        """A claim told as not made must not stay behind.
+    async def test_claim_given_up_after_a_lost_answer_is_released(self):
+        """Guards against a claim left behind by an insert without an answer.
 
-        Symptom: a request told "not run" is "unknown" to its retry.
-        Sequence: the insert's answer is lost, the platform goes away, the
-        caller is refused; the platform comes back.
-        Cause: the insert had taken effect.
+        The insert takes effect, its answer is lost and the platform becomes
+        unavailable, so the caller is refused. Its retry would be told
+        "unknown".
         """
-        self.ours.service = _GoneAfterCommit(self.platform)
-        refused = await self.ours.claim(request(), 'run-1')
+        self.claims_a.service = _UnavailableAfterCommit(self.platform)
+        refused = await self.claims_a.claim(request(), 'run-1')
         self.platform.weather.down = False
-        self.ours.service = self.platform.table
-        await self.ours.release_all()
-        again = await self.theirs.claim(request(), 'run-2')
+        self.claims_a.service = self.platform.table
+        await self.claims_a.release_all()
+        again = await self.claims_b.claim(request(), 'run-2')
         self.assertEqual(refused, NO_CLAIM)
         self.assertEqual(again, Claim(request(), 'run-2'))
 
     async def test_release_is_tried_again_after_an_outage(self):
-        claim = await self.ours.claim(request(), 'run-1')
-        self.ours.give_up(claim)
+        claim = await self.claims_a.claim(request(), 'run-1')
+        self.claims_a.schedule_release(claim)
         self.platform.weather.down = True
-        await self.ours.release_all()
+        await self.claims_a.release_all()
         self.platform.weather.down = False
-        await self.ours.release_all()
+        await self.claims_a.release_all()
         rows = await self.platform.table.read((claim_key(request()),))
         self.assertIsNone(rows[0].value)
 
     async def test_row_tells_auditors_who_claimed_and_when(self):
-        await self.ours.claim(request(), 'run-1')
+        await self.claims_a.claim(request(), 'run-1')
         rows = await self.platform.table.read((claim_key(request()),))
         expected = {
             'holder': 'router-a',
@@ -142,19 +139,19 @@
         return Claims(self.platform.table, holder, self.clock)
 
 
-class _GoneAfterCommit:
-    """A table service that goes away as soon as it has committed."""
+class _UnavailableAfterCommit:
+    """A table service that becomes unavailable after a commit."""
 
     def __init__(self, platform):
         self.platform = platform
 
     async def commit(self, change):
-        """Apply, lose the answer and go away."""
+        """Commit, lose the answer and become unavailable."""
         self.platform.weather.lose_answers = 1
         outcome = await self.platform.table.commit(change)
         self.platform.weather.down = True
         return outcome
 
     async def read(self, keys):
-        """Be away."""
+        """Read from the unavailable service."""
         return await self.platform.table.read(keys)
