--- a/src/balsamreach/catalogue/catalogue.py
+++ b/src/balsamreach/catalogue/catalogue.py
@@ -19,7 +19,8 @@
     routes : tuple of Route
         All routes.
     by_host : mapping of str to tuple of Route
-        Those of each host; of two with the same prefix the earlier goes first.
+        The routes of each host; of two with the same prefix the earlier one
+        comes first.
     """
 
     routes: tuple[Route, ...] = ()
@@ -27,20 +28,20 @@
 
     @classmethod
     def of(cls, routes: tuple[Route, ...]) -> Self:
-        """Return the index of routes."""
-        return cls(routes, _group(routes))
+        """Build the index of some routes."""
+        return cls(routes, _group_by_host(routes))
 
     def changed_to(self, routes: tuple[Route, ...]) -> Self:
-        """Return the index of other routes.
+        """Return the index of a changed tuple of routes.
 
-        Hosts whose routes are the same objects in the same order are taken
-        over. Thousands of routes sorted anew for each change would keep a
-        small router from its requests.
+        Hosts whose routes are the same objects in the same order are reused:
+        sorting thousands of routes for each change would keep a small router
+        from serving requests.
         """
         if routes is self.routes:
             return self
         hosts = self._changed_hosts(routes)
-        fresh = _group(route for route in routes if route.host in hosts)
+        fresh = _group_by_host(route for route in routes if route.host in hosts)
         by_host = {**self.by_host, **fresh}
         for host in hosts.difference(fresh):
             by_host.pop(host)
@@ -48,35 +49,35 @@
 
     def _changed_hosts(self, routes: tuple[Route, ...]) -> set[str]:
         """Return the hosts of all routes between the first and last change."""
-        start = _count_shared(self.routes, routes)
+        start = _count_same_at_start(self.routes, routes)
         before, after = self.routes[start:], routes[start:]
-        end = _count_shared(reversed(before), reversed(after))
-        gone = before[: len(before) - end]
-        put = after[: len(after) - end]
-        return {route.host for route in (*gone, *put)}
+        end = _count_same_at_start(reversed(before), reversed(after))
+        removed = before[: len(before) - end]
+        added = after[: len(after) - end]
+        return {route.host for route in (*removed, *added)}
 
 
 @attrs.define(eq=False)
 class Catalogue:
-    """A whole configuration; nothing in it changes once it is made.
+    """A complete, immutable configuration.
 
     Parameters
     ----------
     version : int
-        Raised by every change.
+        Increased by every change.
     routes : tuple of Route
         All routes.
     services : mapping of str to Service
         Services by name.
     teams : mapping of str to Team
-        Teams by name; empty where requests need no key.
+        Teams by name; empty if requests need no key.
     limits : CallerLimits
-        What a caller may send.
+        Limits on callers' requests and connections.
     write : callable
-        Returns the text that other routers get. Few ask for it, and it takes
-        milliseconds to write.
+        Returns the document sent to other routers. Created on demand: few
+        routers ask for it and writing it takes milliseconds.
     index : RouteIndex
-        Finds the routes of a host.
+        Routes by host.
     """
 
     version: int
@@ -91,22 +92,27 @@
             takes_self=True,
         ),
     )
-    _by_key: dict[str, Team] = attrs.field(factory=dict, init=False)
+    _team_by_key: dict[str, Team] = attrs.field(factory=dict, init=False)
 
     def __attrs_post_init__(self) -> None:
         """Index teams by key."""
         for team in self.teams.values():
-            self._by_key.update(dict.fromkeys(team.keys, team))
+            self._team_by_key.update(dict.fromkeys(team.keys, team))
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins a path.
+        """Return the route with the longest matching path prefix.
 
         Parameters
         ----------
         host : str
-            Host that the caller asked for; a port is left aside.
+            Requested host; a port is ignored.
         path : str
             Path without its query.
+
+        Returns
+        -------
+        Route or None
+            None if no route matches.
         """
         name = host.partition(':')[0].lower()
         for route in self.index.by_host.get(name, ()):
@@ -115,16 +121,16 @@
         return None
 
     def find_team(self, key: str) -> Team | None:
-        """Return the team that holds a key."""
-        return self._by_key.get(key)
+        """Return the team with a key, None if there is none."""
+        return self._team_by_key.get(key)
 
 
-def _count_shared(one: Iterable[Route], other: Iterable[Route]) -> int:
+def _count_same_at_start(one: Iterable[Route], other: Iterable[Route]) -> int:
     """Return how many routes at the start are the same objects."""
     return sum(takewhile(bool, map(is_, one, other)))
 
 
-def _group(routes: Iterable[Route]) -> dict[str, tuple[Route, ...]]:
+def _group_by_host(routes: Iterable[Route]) -> dict[str, tuple[Route, ...]]:
     by_host: dict[str, list[Route]] = {}
     for route in routes:
         by_host.setdefault(route.host, []).append(route)
--- a/src/balsamreach/catalogue/currency.py
+++ b/src/balsamreach/catalogue/currency.py
@@ -1,8 +1,8 @@
-"""Tells whether the configuration in force is known to be the newest one.
+"""Checks whether the configuration in force is the newest one.
 
-A router that is cut off can't know of a newer configuration. What only a
-newer one allows must not be denied for good by an older one: callers don't
-come back after such an answer.
+A disconnected router can't know of a newer configuration. What only a newer
+one allows must not be denied permanently by an older one, because callers
+don't retry after such a response.
 """
 
 import abc
@@ -13,85 +13,88 @@
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.clock import Clock
 
-#: Seconds for which an answer of the source is relied on. Edits are in force
-#: within two seconds; a call that waits for news takes 0.6 s, and another one
-#: may be under way.
-_FRESH_S = 1.5
-#: Seconds that a caller is kept waiting for the source; a slow one answers in
-#: 0.35 s.
-_ASK_S = 0.5
+#: Seconds for which an answer of the source counts. Edits are in force within
+#: 2 seconds; a long poll takes 0.6 s, and another one may already be in
+#: progress.
+_MAX_AGE_S = 1.5
+#: Seconds to keep a caller waiting for the source. A slow one answers in 0.35
+#: s.
+_CHECK_TIMEOUT_S = 0.5
 
 
 class ConfigurationSource(abc.ABC):
-    """Where newer configurations come from."""
+    """Source of newer configurations."""
 
     @abc.abstractmethod
     def is_away(self) -> bool:
-        """Return whether it does not answer this router."""
+        """Return whether the source is unavailable to this router."""
 
     @abc.abstractmethod
     def confirmed_at(self) -> float:
-        """Return when the last call was sent that it answered."""
+        """Return the monotonic time in seconds of the last answered call.
+
+        This is when the call was sent.
+        """
 
     @abc.abstractmethod
     async def check(self) -> None:
-        """Ask it now, and bring what is newer into force."""
+        """Query the source now and put a newer configuration into force."""
 
 
-class NoSource(ConfigurationSource):
-    """What stands here until there is a source."""
+class NullSource(ConfigurationSource):
+    """Placeholder until a source is set."""
 
     def is_away(self) -> bool:
-        """Return that it is away."""
+        """Return True."""
         return True
 
     def confirmed_at(self) -> float:
-        """Return that it never answered."""
+        """Return a time before all others."""
         return float('-inf')
 
     async def check(self) -> None:
-        """Ask nobody."""
+        """Do nothing."""
 
 
 @attrs.define(eq=False)
 class Currency:
-    """Confirms the configuration in force, by its source.
+    """Checks the configuration in force against its source.
 
     Parameters
     ----------
     view : CatalogueView
         The configuration in force.
     clock : Clock
-        Time.
+        Clock of the age.
     source : ConfigurationSource
-        Where newer ones come from.
+        Source of newer configurations.
     """
 
     view: CatalogueView
     clock: Clock
-    source: ConfigurationSource = attrs.field(factory=NoSource)
-    _asking: asyncio.Future | None = None
+    source: ConfigurationSource = attrs.field(factory=NullSource)
+    _check_task: asyncio.Future | None = None
 
     async def confirm(self) -> bool:
-        """Return whether what is in force was the newest a moment ago.
+        """Return whether the configuration was the newest a moment ago.
 
-        The source is asked where its last answer is too old; what it brings
-        is in force then. One call answers all who wait.
+        If the last answer of the source is too old, it is queried, and a newer
+        configuration is put into force. Concurrent callers share one query.
         """
         if self.view.is_behind or self.source.is_away():
             return False
         if not self._is_fresh():
-            await self._ask()
+            await self._check_source()
         return self._is_fresh() and not self.view.is_behind
 
     def age(self) -> float:
-        """Return the seconds since the source was asked and answered."""
+        """Return the seconds since the last answered call to the source."""
         return self.clock.now() - self.source.confirmed_at()
 
-    async def _ask(self) -> None:
-        if self._asking is None or self._asking.done():
-            self._asking = asyncio.ensure_future(self.source.check())
-        await asyncio.wait({self._asking}, timeout=_ASK_S)
+    async def _check_source(self) -> None:
+        if self._check_task is None or self._check_task.done():
+            self._check_task = asyncio.ensure_future(self.source.check())
+        await asyncio.wait({self._check_task}, timeout=_CHECK_TIMEOUT_S)
 
     def _is_fresh(self) -> bool:
-        return self.age() <= _FRESH_S
+        return self.age() <= _MAX_AGE_S
--- a/src/balsamreach/catalogue/entries.py
+++ b/src/balsamreach/catalogue/entries.py
@@ -1,18 +1,18 @@
-"""Entries of the operators' configuration, each frozen."""
+"""Immutable entries of the operators' configuration."""
 
 import attrs
 
 
 @attrs.frozen
 class Split:
-    """One share of a route's requests.
+    """One service's share of a route's requests.
 
     Parameters
     ----------
     service : str
-        Name of the service that gets them.
+        Name of the service.
     weight : float
-        Part of the sum of all weights of the route.
+        Weight relative to the sum of the route's weights.
     """
 
     service: str
@@ -21,14 +21,14 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """Where requests of one host and path prefix may go, and how.
+    """Services and rules for requests of one host and path prefix.
 
     Parameters
     ----------
     name : str
         Name for logs.
     host : str
-        Host name that callers ask for, in lower case.
+        Host name that callers request, in lower case.
     prefix : str
         Leading part of the path, with a slash at both ends.
     splits : tuple of Split
@@ -38,20 +38,20 @@
     idempotent : bool
         Whether a request may run more than once from its beginning.
     resumable : bool
-        Whether a broken stream may be resumed at another target after the
-        last event that came.
+        Whether a broken stream may be resumed at another target after the last
+        received event.
     timeout : float
         Seconds after which a request gets its final answer in any case.
     aim : float
-        Seconds within which an answer (the first event of a stream) is on
-        time.
+        Seconds within which an answer (the first event of a stream) counts as
+        on time.
     event_gap : float
-        Seconds between two events of a stream that are still on time; 0
-        where nothing is said.
+        Maximum seconds between two events of a stream that still count as on
+        time; 0 if not specified.
     priority : int
-        Rank among requests, 0 before all others.
+        Rank among requests, 0 is highest.
     most_targets : int
-        Targets that one request may be sent to.
+        Maximum number of targets that one request may be sent to.
     public : bool
         Whether requests need no key.
     """
@@ -72,22 +72,22 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may go on at another target after it ran."""
+        """Whether a request may continue at another target after it ran."""
         return self.idempotent or self.resumable
 
 
 @attrs.frozen(kw_only=True)
 class EngineTraits:
-    """What is known of the model engines behind a service.
+    """Properties of the model engines behind a service.
 
     Parameters
     ----------
     slots : int
-        Requests that one engine runs at once.
+        Requests that one engine runs concurrently.
     cache_tokens : int
         Tokens that fit into an engine's memory.
     tokens_per_event : int
-        Most tokens that one event of a stream holds.
+        Maximum tokens in one event of a stream.
     """
 
     slots: int
@@ -97,21 +97,21 @@
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """A set of targets that are copies of each other.
+    """A set of interchangeable targets.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the service.
     most_connections : int
-        Connections that one target takes from all callers together.
+        Connections that one target accepts from all callers together.
     engine : EngineTraits or None
         None for a plain service.
     cold_rate : float
-        Requests a second of all routers together that a target bears while
-        it is cold; 0 where nothing is said.
+        Requests per second, from all routers together, that a cold target can
+        take; 0 if not specified.
     cold_time : float
-        Seconds for which a target is cold after it became so.
+        Seconds for which a target stays cold.
     """
 
     name: str
@@ -123,14 +123,14 @@
 
 @attrs.frozen(kw_only=True)
 class CallerLimits:
-    """What a caller may send.
+    """Limits on callers' requests and connections.
 
     Parameters
     ----------
     header_bytes, body_bytes : int
-        Sizes.
+        Maximum sizes.
     header_time, idle_time : float
-        Seconds that a header may take, and a connection may stay idle.
+        Maximum seconds to receive a header and for an idle connection.
     """
 
     header_bytes: int = 65536
@@ -141,18 +141,18 @@
 
 @attrs.frozen(kw_only=True)
 class Team:
-    """A team that pays in advance.
+    """A team with prepaid tokens.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the team.
     keys : tuple of str
-        Keys that its callers show.
+        API keys of its callers.
     priority : int or None
-        Rank of its requests, which goes before that of the route.
+        Rank of its requests, overriding that of the route.
     prepaid : int or None
-        Tokens paid for; None where nothing is metered.
+        Prepaid tokens; None if the team is not metered.
     """
 
     name: str
--- a/src/balsamreach/catalogue/exchange.py
+++ b/src/balsamreach/catalogue/exchange.py
@@ -1,7 +1,7 @@
-"""What routers tell each other of what the store says.
+"""Exchange of configuration, targets and evacuations between routers.
 
-The platform's store turns single routers away at times, and cuts leave some
-without it. Whatever one router learnt there, the others learn from it.
+The platform's store sometimes refuses single routers, and others are
+disconnected from it. They learn from their peers what those read from it.
 """
 
 import asyncio
@@ -17,60 +17,61 @@
 from balsamreach.wire.membership import Heartbeat, Member
 from balsamreach.wire.tables import TableAsk, TableRow, TableRows
 
-#: Seconds that a router waits for the store to bring what a peer has. Most
-#: routers see each change there within milliseconds of each other; asked at
-#: once, each peer would send the whole configuration for nothing.
-_STORE_FIRST_S = 0.3
+#: Seconds to wait for the store to deliver a version that a peer has. Most
+#: routers get each change from the store within milliseconds of each other; if
+#: asked at once, each peer would send the complete configuration needlessly.
+_STORE_HEAD_START_S = 0.3
 
 
 @attrs.define(eq=False)
 class CatalogueExchange:
-    """Gives and takes configuration, targets and evacuations.
+    """Sends and receives configuration, targets and evacuations.
 
     Parameters
     ----------
     net : PeerNet
         The other routers.
     known : Known
-        What is known here.
+        What this router knows.
     clock : Clock
-        Time.
+        Clock of the wait for the store.
     """
 
     net: PeerNet
     known: Known
     clock: Clock
-    _asking: asyncio.Task | None = None
+    _catch_up_task: asyncio.Task | None = None
     _neighbours: frozenset[str] = frozenset()
 
     def start(self) -> None:
-        """Take the messages of peers from now on."""
-        self.net.on(Heartbeat, self._compare)
-        self.net.on(TableAsk, self._answer)
-        self.net.on(TableRows, self._take)
+        """Register the message handlers."""
+        self.net.on(Heartbeat, self._on_heartbeat)
+        self.net.on(TableAsk, self._on_table_ask)
+        self.net.on(TableRows, self._on_table_rows)
 
     def tell_target(self, entry: TargetEntry) -> None:
-        """Tell all peers of a target that is new or leaves."""
-        self._tell(serialization.target_row(entry))
+        """Send a target that is new or is leaving to all peers."""
+        self._spread(serialization.target_row(entry))
 
     def tell_gone(self, target_id: str, version: int) -> None:
-        """Tell all peers of a target that a change of the list took away."""
-        self._tell(serialization.gone_row(target_id, version))
+        """Send the removal of a target from the list to all peers."""
+        self._spread(serialization.removed_target_row(target_id, version))
 
-    def tell_evacuation(self, order: Evacuation) -> None:
-        """Tell all peers of an evacuation, or of the end of one."""
-        self._tell(serialization.order_row(order))
+    def tell_evacuation(self, evacuation: Evacuation) -> None:
+        """Send an evacuation, or the end of one, to all peers."""
+        self._spread(serialization.evacuation_row(evacuation))
 
     def catch_up(self) -> None:
-        """Tell new neighbours of the targets that leave.
+        """Send the leaving targets to new neighbours.
 
-        A target may say so to one router only, while the store is away and
-        others are cut off from that router.
+        A target may report that it is leaving to one router only, while the
+        store is unavailable and other routers are disconnected from that
+        router.
         """
         members = self.net.neighbours()
-        now = frozenset(member.incarnation for member in members)
-        new = now - self._neighbours
-        self._neighbours = now
+        current = frozenset(member.incarnation for member in members)
+        new = current - self._neighbours
+        self._neighbours = current
         if not new:
             return
         rows = self.known.leaving_rows()
@@ -79,41 +80,42 @@
         for incarnation in new:
             self.net.tell(incarnation, TableRows(0, 0, rows))
 
-    def _tell(self, row: TableRow, besides: str = '') -> None:
+    def _spread(self, row: TableRow, besides: str = '') -> None:
         self.net.spread(TableRows(0, 0, (row,)), besides)
 
-    async def _compare(self, member: Member, beat: Heartbeat) -> None:
+    async def _on_heartbeat(self, member: Member, beat: Heartbeat) -> None:
         self.known.view.hear(beat.table_version)
-        # One ask at a time: all neighbours have the new version at the same
-        # moment, and as many whole configurations would fill a small host's
-        # link for seconds, in which heartbeats are late and links are lost.
-        if self._asking is None and self.known.lacks(beat):
-            work = self._catch_up(member.incarnation, beat)
-            self._asking = asyncio.ensure_future(work)
-
-    async def _catch_up(self, incarnation: str, beat: Heartbeat) -> None:
+        # One query at a time: all neighbours get a new version at the same
+        # moment, and as many complete configurations would saturate a small
+        # host's link for seconds, so that heartbeats are late and links are
+        # lost.
+        if self._catch_up_task is None and self.known.needs_update(beat):
+            work = self._run_catch_up(member.incarnation, beat)
+            self._catch_up_task = asyncio.ensure_future(work)
+
+    async def _run_catch_up(self, incarnation: str, beat: Heartbeat) -> None:
         try:
-            await self._ask_if_behind(incarnation, beat)
+            await self._fetch_if_behind(incarnation, beat)
         finally:
-            self._asking = None
+            self._catch_up_task = None
 
-    async def _ask_if_behind(self, incarnation: str, beat: Heartbeat) -> None:
+    async def _fetch_if_behind(self, incarnation: str, beat: Heartbeat) -> None:
         if self.known.view.version:
-            await self.clock.sleep(_STORE_FIRST_S)
-        if not self.known.lacks(beat):
+            await self.clock.sleep(_STORE_HEAD_START_S)
+        if not self.known.needs_update(beat):
             return
         ask = TableAsk(self.known.view.version)
         answer = await self.net.ask(incarnation, ask, FETCH_GAPS)
         if isinstance(answer, TableRows):
-            self._bring_in(incarnation, answer)
+            self._apply_rows(incarnation, answer)
 
-    async def _answer(self, _member: Member, ask: TableAsk) -> TableRows:
+    async def _on_table_ask(self, _member: Member, ask: TableAsk) -> TableRows:
         version = self.known.view.version
         return TableRows(0, version, self.known.rows(ask.since))
 
-    async def _take(self, member: Member, message: TableRows) -> None:
-        self._bring_in(member.incarnation, message)
+    async def _on_table_rows(self, member: Member, message: TableRows) -> None:
+        self._apply_rows(member.incarnation, message)
 
-    def _bring_in(self, source: str, message: TableRows) -> None:
-        for row in self.known.take(source, message.rows):
-            self._tell(row, besides=source)
+    def _apply_rows(self, source: str, message: TableRows) -> None:
+        for row in self.known.apply_rows(source, message.rows):
+            self._spread(row, besides=source)
--- a/src/balsamreach/catalogue/known.py
+++ b/src/balsamreach/catalogue/known.py
@@ -1,4 +1,4 @@
-"""What this router knows of what the store says, given and taken as rows."""
+"""Configuration, targets and evacuations of a router as table rows."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -19,26 +19,26 @@
 
 _logger = logging.getLogger(__name__)
 
-#: Reads a configuration's document; None if it is none.
+#: Parses a configuration document; returns None if it is invalid.
 Decode = Callable[[str], Catalogue | None]
 
 
 @attrs.define(eq=False)
 class Known:
-    """Configuration, targets and evacuations.
+    """Configuration, targets and evacuations known to this router.
 
     Parameters
     ----------
     view : CatalogueView
-        The configuration in force here.
+        The configuration in force.
     places : Places
         The targets.
     evacuations : Evacuations
         The zones that get no new work.
     decode : callable
-        Reads a configuration's document.
+        Parses a configuration document.
     metrics : Metrics
-        Counts what came from peers.
+        Counts what was learnt from peers.
     """
 
     view: CatalogueView
@@ -46,83 +46,86 @@
     evacuations: Evacuations
     decode: Decode
     metrics: Metrics
-    _packed: TableRow | None = None
+    _packed_row: TableRow | None = None
 
-    def lacks(self, beat: Heartbeat) -> bool:
-        """Return whether the sender of a heartbeat knows more than this."""
+    def needs_update(self, beat: Heartbeat) -> bool:
+        """Return whether the sender of a heartbeat has something newer."""
         if beat.table_version > self.view.version:
             return True
         return beat.orders not in {0, self.evacuations.digest()}
 
     def rows(self, since: int) -> tuple[TableRow, ...]:
-        """Return all that is known; the configuration if it is newer."""
+        """Return all rows; the configuration only if newer than a version."""
         rows = [serialization.target_row(place.entry) for place in self.places]
-        rows.extend(map(serialization.order_row, self.evacuations))
+        rows.extend(map(serialization.evacuation_row, self.evacuations))
         catalogue = self.view.current
         if catalogue is not None and catalogue.version > since:
-            rows.append(self._pack(catalogue))
+            rows.append(self._pack_configuration(catalogue))
         return tuple(rows)
 
-    def take(
+    def apply_rows(
         self,
         source: str,
         rows: Iterable[TableRow],
     ) -> tuple[TableRow, ...]:
-        """Take in the rows of another router.
+        """Apply the rows of another router.
 
         Parameters
         ----------
         source : str
-            Its incarnation, for the log.
+            The router's incarnation, for the log.
         rows : iterable of TableRow
-            What it sent.
+            The rows.
 
         Returns
         -------
         tuple of TableRow
-            Evacuations and leaving targets that were news, to be passed on.
+            Evacuations and leaving targets that were new, to be passed on.
         """
-        news = []
+        new_rows = []
         for row in rows:
-            if row.key == serialization.CONFIGURATION:
-                self._take_configuration(source, row)
-            elif row.key.startswith(serialization.TARGET):
-                news.extend(self._take_target(source, row))
-            elif row.key.startswith(serialization.EVACUATION):
-                news.extend(self._take_order(source, row))
-        return tuple(news)
+            if row.key == serialization.CONFIGURATION_KEY:
+                self._apply_configuration(source, row)
+            elif row.key.startswith(serialization.TARGET_PREFIX):
+                new_rows.extend(self._apply_target(source, row))
+            elif row.key.startswith(serialization.EVACUATION_PREFIX):
+                new_rows.extend(self._apply_evacuation(source, row))
+        return tuple(new_rows)
 
     def leaving_rows(self) -> tuple[TableRow, ...]:
-        """Return the rows of all targets that leave."""
+        """Return the rows of all leaving targets."""
         entries = (place.entry for place in self.places)
         return tuple(
             map(serialization.target_row, filter(_is_leaving, entries))
         )
 
-    def _pack(self, catalogue: Catalogue) -> TableRow:
-        # Peers that were cut off ask all at once, and each packing of a large
-        # configuration holds up requests for milliseconds.
-        if self._packed is None or self._packed.version != catalogue.version:
-            self._packed = serialization.configuration_row(catalogue)
-        return self._packed
-
-    def _take_configuration(self, source: str, row: TableRow) -> None:
+    def _pack_configuration(self, catalogue: Catalogue) -> TableRow:
+        # The packed row is cached: reconnected peers all ask at once, and
+        # packing a large configuration blocks requests for milliseconds.
+        if (
+            self._packed_row is None
+            or self._packed_row.version != catalogue.version
+        ):
+            self._packed_row = serialization.configuration_row(catalogue)
+        return self._packed_row
+
+    def _apply_configuration(self, source: str, row: TableRow) -> None:
         if row.version <= self.view.version:
             return
         catalogue = self.decode(serialization.read_document(row))
         if catalogue is not None and self.view.offer(catalogue, source):
             self.metrics.count(LEARNT, what='configuration')
 
-    def _take_order(self, source: str, row: TableRow) -> list[TableRow]:
-        order = serialization.read_order(row)
-        if not self.evacuations.put(order, source):
+    def _apply_evacuation(self, source: str, row: TableRow) -> list[TableRow]:
+        evacuation = serialization.read_evacuation(row)
+        if not self.evacuations.put(evacuation, source):
             return []
         self.metrics.count(LEARNT, what='evacuation')
         return [row]
 
-    def _take_target(self, source: str, row: TableRow) -> list[TableRow]:
+    def _apply_target(self, source: str, row: TableRow) -> list[TableRow]:
         if not row.body:
-            target_id = row.key.removeprefix(serialization.TARGET)
+            target_id = row.key.removeprefix(serialization.TARGET_PREFIX)
             self.places.remove(target_id, row.version)
             return []
         entry = serialization.read_target_row(row)
--- a/src/balsamreach/catalogue/serialization.py
+++ b/src/balsamreach/catalogue/serialization.py
@@ -11,46 +11,52 @@
 from balsamreach.wire.tables import TableRow
 
 #: Key of the configuration's row.
-CONFIGURATION = 'configuration'
-#: How the keys of targets, and of evacuations, begin.
-TARGET = 'target/'
-EVACUATION = 'evacuation/'
+CONFIGURATION_KEY = 'configuration'
+#: Prefixes of the keys of targets and evacuations.
+TARGET_PREFIX = 'target/'
+EVACUATION_PREFIX = 'evacuation/'
 
 _IN_FORCE = 'in force'
-#: Configurations shrink to a fifth already at the least effort.
-_EFFORT = 1
-#: Bytes that a packed configuration may grow to; more is none of ours.
-_MOST_UNPACKED = 16 * 1024 * 1024
+#: The lowest compression level already shrinks configurations to a fifth.
+_COMPRESSION_LEVEL = 1
+#: Maximum bytes of an unpacked configuration; a larger one can't be from a
+#: router.
+_MAX_UNPACKED_BYTES = 16 * 1024 * 1024
 
 
 def configuration_row(catalogue: Catalogue) -> TableRow:
     """Return the row of a configuration."""
-    packed = zlib.compress(catalogue.write().encode(), _EFFORT)
-    return TableRow(CONFIGURATION, catalogue.version, packed=packed)
+    packed = zlib.compress(catalogue.write().encode(), _COMPRESSION_LEVEL)
+    return TableRow(CONFIGURATION_KEY, catalogue.version, packed=packed)
 
 
 def read_document(row: TableRow) -> str:
-    """Return a configuration's document, empty where there is none."""
+    """Return a configuration's document, empty if it can't be unpacked."""
     if not row.packed:
         return row.body
     try:
-        document = zlib.decompressobj().decompress(row.packed, _MOST_UNPACKED)
+        document = zlib.decompressobj().decompress(
+            row.packed, _MAX_UNPACKED_BYTES
+        )
         return document.decode()
     except (zlib.error, UnicodeDecodeError):
-        # Empty text is no configuration, which is logged where it is read.
+        # An empty document is no valid configuration, which is logged where it
+        # is parsed.
         return ''
 
 
-def order_row(order: Evacuation) -> TableRow:
+def evacuation_row(evacuation: Evacuation) -> TableRow:
     """Return the row of an evacuation, or of its end."""
-    body = _IN_FORCE if order.in_force else ''
-    return TableRow(f'{EVACUATION}{order.zone}', order.version, body)
+    body = _IN_FORCE if evacuation.in_force else ''
+    return TableRow(
+        f'{EVACUATION_PREFIX}{evacuation.zone}', evacuation.version, body
+    )
 
 
-def read_order(row: TableRow) -> Evacuation:
-    """Return the evacuation that a row tells of."""
+def read_evacuation(row: TableRow) -> Evacuation:
+    """Parse the row of an evacuation."""
     return Evacuation(
-        zone=row.key.removeprefix(EVACUATION),
+        zone=row.key.removeprefix(EVACUATION_PREFIX),
         version=row.version,
         in_force=bool(row.body),
     )
@@ -59,17 +65,17 @@
 def target_row(entry: TargetEntry) -> TableRow:
     """Return the row of a target."""
     body = json.dumps(attrs.asdict(entry))
-    return TableRow(f'{TARGET}{entry.target_id}', entry.version, body)
+    return TableRow(f'{TARGET_PREFIX}{entry.target_id}', entry.version, body)
 
 
-def gone_row(target_id: str, version: int) -> TableRow:
-    """Return the row of a target that a change of the list took away."""
-    return TableRow(f'{TARGET}{target_id}', version)
+def removed_target_row(target_id: str, version: int) -> TableRow:
+    """Return the row of a target that was removed from the list."""
+    return TableRow(f'{TARGET_PREFIX}{target_id}', version)
 
 
 def read_target_row(row: TableRow) -> TargetEntry | None:
-    """Return the target that a row tells of, None if it can't be read."""
-    # A router of another version may tell of fields that this one lacks.
+    """Parse the row of a target, None if it can't be read."""
+    # A router of another version may send fields that this one lacks.
     try:
         return TargetEntry(**json.loads(row.body))
     except (TypeError, ValueError):
--- a/src/balsamreach/catalogue/view.py
+++ b/src/balsamreach/catalogue/view.py
@@ -12,12 +12,12 @@
 
 @attrs.define
 class CatalogueView:
-    """Holds the newest configuration that has come, by any way.
+    """Holds the newest configuration received from any source.
 
     Parameters
     ----------
     current : Catalogue or None
-        None until the first one came.
+        None until the first one is received.
     heard : int
         Newest version that any router is known to have.
     """
@@ -32,44 +32,44 @@
 
     @property
     def is_behind(self) -> bool:
-        """Whether another router has a newer one than this."""
+        """Whether another router has a newer configuration."""
         return self.version < self.heard
 
     def hear(self, version: int) -> None:
-        """Take note of the version that another router has."""
+        """Record the version that another router has."""
         self.heard = max(self.heard, version)
 
     def prepaid(self, team: str) -> int | None:
-        """Return a team's prepaid tokens, None where it is not metered."""
+        """Return a team's prepaid tokens, None if it is not metered."""
         if self.current is None or team not in self.current.teams:
             return None
         return self.current.teams[team].prepaid
 
     def metered(self) -> tuple[str, ...]:
-        """Return the teams whose tokens are prepaid."""
+        """Return the names of the metered teams."""
         if self.current is None:
             return ()
         teams = self.current.teams.items()
         return tuple(name for name, team in teams if team.prepaid is not None)
 
     def offer(self, catalogue: Catalogue, source: str) -> bool:
-        """Take a configuration if it is newer than what is in force.
+        """Put a configuration into force if it is newer.
 
-        The ways by which one comes overtake each other. Were an older one
-        taken, a removed key would be let in again; it would show as a
-        version that goes back.
+        Configurations from several sources can arrive out of order. If an
+        older one were put into force, a removed key would be accepted again
+        and the version would decrease.
 
         Parameters
         ----------
         catalogue : Catalogue
-            What came.
+            The received configuration.
         source : str
-            The way it came, for the log.
+            Where it came from, for the log.
 
         Returns
         -------
         bool
-            Whether it is in force now.
+            Whether it is now in force.
         """
         if catalogue.version <= self.version:
             return False
--- a/tests/test_catalogue_currency.py
+++ b/tests/test_catalogue_currency.py
@@ -1,4 +1,4 @@
-"""Tests of how a configuration is confirmed."""
+"""Tests of confirming that a configuration is the newest one."""
 
 import asyncio
 import unittest
@@ -14,13 +14,13 @@
 
 @attrs.define(eq=False)
 class _Source(ConfigurationSource):
-    """A source that answers when it is let."""
+    """A source that answers if `answers` is set."""
 
     clock: FakeClock
     away: bool = False
     answered_at: float = float('-inf')
     answers: bool = True
-    asked: int = 0
+    query_count: int = 0
 
     def is_away(self):
         return self.away
@@ -29,14 +29,14 @@
         return self.answered_at
 
     async def check(self):
-        self.asked += 1
+        self.query_count += 1
         await asyncio.sleep(0)
         if self.answers:
             self.answered_at = self.clock.now()
 
 
 class CurrencyTest(unittest.IsolatedAsyncioTestCase):
-    """When a router may deny what its configuration lacks."""
+    """Confirming the configuration before denying what it lacks."""
 
     def setUp(self):
         self.clock = FakeClock()
@@ -59,19 +59,21 @@
             ),
         ]
     )
-    async def test_source(self, _, state, confirmed, asked):
+    async def test_confirm_by_state_of_the_source(
+        self, _, state, confirmed, query_count
+    ):
         for name, value in state.items():
             setattr(self.source, name, value)
         self.assertEqual(await self.currency.confirm(), confirmed)
-        self.assertEqual(self.source.asked, asked)
+        self.assertEqual(self.source.query_count, query_count)
 
-    async def test_a_newer_version_that_a_peer_has(self):
+    async def test_not_confirmed_if_a_peer_has_a_newer_version(self):
         self.source.answered_at = self.clock.now()
         self.view.hear(CATALOGUE.version + 1)
         self.assertFalse(await self.currency.confirm())
 
-    async def test_many_ask_by_one_call(self):
-        """A flood of unknown keys became a flood of calls to the store."""
+    async def test_concurrent_confirmations_share_a_query(self):
+        """Guards against a call to the store for each unknown key."""
         asks = (self.currency.confirm() for _ in range(50))
         self.assertEqual(set(await asyncio.gather(*asks)), {True})
-        self.assertEqual(self.source.asked, 1)
+        self.assertEqual(self.source.query_count, 1)
--- a/tests/test_catalogue_exchange.py
+++ b/tests/test_catalogue_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of what routers tell each other of configuration and targets."""
+"""Tests of the exchange of configuration and targets between routers."""
 
 import asyncio
 import random
@@ -21,13 +21,13 @@
 from tests.peers_rig import Rig
 from tests.relay_samples import CATALOGUE, entry
 
-#: Gap timeouts that a late answer takes.
+#: Gap timeouts until a late answer arrives.
 _LATE_GAPS = 3
 
 
 @attrs.define(eq=False)
 class Router:
-    """One router's part of the exchange."""
+    """One router with its part of the exchange."""
 
     net: object
     clock: VirtualClock
@@ -37,7 +37,7 @@
     exchange: CatalogueExchange = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Begin to take messages."""
+        """Register the message handlers."""
         self.evacuations = Evacuations(self.clock)
         known = Known(
             self.view,
@@ -55,7 +55,7 @@
     return attrs.evolve(CATALOGUE, version=number, write=write)
 
 
-def _note_and_write(written):
+def _record_and_write(written):
     written.append(6)
     return '6'
 
@@ -65,7 +65,7 @@
 
 
 class CatalogueExchangeTest(unittest.IsolatedAsyncioTestCase):
-    """What one router learnt, the others learn from it."""
+    """Routers learn from each other what the store doesn't tell them."""
 
     def setUp(self):
         self.fabric = FakeNet()
@@ -74,32 +74,35 @@
         self.two = Router(self.fabric.join('two'), self.clock)
 
     async def beat(self, source, target):
-        """Let one router's heartbeat reach another, and what follows."""
+        """Deliver one router's heartbeat to another and let it catch up."""
         beat = Heartbeat(source.view.version, source.evacuations.digest())
         source.net.tell(target.net.me.incarnation, beat)
         await self.fabric.settle()
         await self.catch_up(target)
 
     async def catch_up(self, router):
-        """Let a router ask for what it lacks, if it does."""
-        if router.exchange._asking is not None:
-            await self.clock.drive(router.exchange._asking)
+        """Wait until a router has fetched what it lacks, if anything."""
+        if router.exchange._catch_up_task is not None:
+            await self.clock.drive(router.exchange._catch_up_task)
 
-    async def test_a_router_that_the_store_turns_away(self):
-        """Symptom: a removed key is let in for seconds at one router.
+    async def test_router_refused_by_the_store_learns_from_a_peer(self):
+        """Guards against a missed version if the store refuses one router.
 
-        Sequence: the store refuses that router only; a version comes.
-        Cause: it had no other way to learn of it.
+        Without another way to learn of the version, that router would accept a
+        removed key for seconds.
         """
         self.two.view.offer(_version(5), 'store')
         self.one.view.offer(_version(6), 'store')
         await self.beat(self.one, self.two)
         self.assertEqual(self.two.view.version, 6)
 
-    async def test_many_that_ask_are_told_by_one_packing(self):
-        """A router's requests stood still while its peers caught up."""
+    async def test_configuration_is_packed_once_for_several_peers(self):
+        """Guards against blocked requests while peers catch up.
+
+        Packing a large configuration for each of them would take too long.
+        """
         written = []
-        write = partial(_note_and_write, written)
+        write = partial(_record_and_write, written)
         self.one.view.offer(attrs.evolve(_version(6), write=write), 'store')
         for name in ('three', 'four'):
             late = Router(self.fabric.join(name), self.clock)
@@ -107,8 +110,8 @@
             self.assertEqual(late.view.version, 6)
         self.assertEqual(len(written), 1)
 
-    async def test_the_store_comes_first(self):
-        """A version that the store brings meanwhile is not fetched."""
+    async def test_version_from_the_store_is_not_fetched(self):
+        """A version that the store delivers meanwhile is not fetched."""
         self.two.view.offer(_version(5), 'store')
         self.one.view.offer(_version(6), 'store')
         self.one.net.tell('two', Heartbeat(6))
@@ -118,24 +121,24 @@
         asked = [one for one in self.fabric.sent if isinstance(one, TableAsk)]
         self.assertEqual(asked, [])
 
-    async def test_an_older_version_never_comes_into_force(self):
+    async def test_older_version_is_not_put_into_force(self):
         self.one.view.offer(_version(6), 'store')
         self.two.view.offer(_version(7), 'store')
         await self.beat(self.one, self.two)
         self.assertEqual(self.two.view.version, 7)
 
-    async def test_a_router_that_starts_without_the_store(self):
+    async def test_router_starts_without_the_store(self):
         self.one.view.offer(_version(6), 'store')
         self.one.places.put(entry('target', 'desk', version=3))
         await self.beat(self.one, self.two)
         self.assertEqual(self.two.view.version, 6)
         self.assertIsNotNone(self.two.places.find('target'))
 
-    async def test_leaving_and_gone_targets(self):
-        """Symptom: a leaving target gets work from a router in a cut.
+    async def test_leaving_and_removed_targets_reach_peers(self):
+        """Guards against work for a leaving target.
 
-        Sequence: the store is cut off from that router; a target leaves.
-        Cause: it had no other way to learn of it.
+        The target leaves while the store is disconnected from a router, which
+        must learn it from its peers.
         """
         for router in (self.one, self.two):
             router.places.put(entry('leaves', 'desk', version=3))
@@ -148,46 +151,51 @@
         self.assertTrue(self.two.places.find('leaves').entry.leaving)
         self.assertIsNone(self.two.places.find('goes'))
 
-    def leave(self, router, **fields):
-        """Let a router hear a target say that it leaves."""
-        told_leaving = entry('leaves', 'desk', leaving=True, **fields)
-        router.places.put(told_leaving)
-        router.exchange.tell_target(told_leaving)
+    def report_leaving(self, router, **fields):
+        """Let a router learn from a target that it is leaving."""
+        leaving_entry = entry('leaves', 'desk', leaving=True, **fields)
+        router.places.put(leaving_entry)
+        router.exchange.tell_target(leaving_entry)
 
-    def leaves(self, router):
+    def is_leaving(self, router):
         return router.places.find('leaves').entry.leaving
 
-    async def test_target_that_leaves_by_its_own_word(self):
-        """A leaving target got requests from routers two steps away.
+    async def test_leaving_target_that_reports_itself_reaches_all_routers(self):
+        """Guards against work for a leaving target from distant routers.
 
-        The word came in an answer to one of them: the list has no change.
+        The target reports it in an answer to one router, without a change of
+        the list; it must also reach routers two steps away.
         """
         three = Router(self.fabric.join('three'), self.clock)
         self.fabric.cut(['one'], ['three'])
         for router in (self.one, self.two, three):
             router.places.put(entry('leaves', 'desk', version=3))
-        self.leave(self.one, version=3)
+        self.report_leaving(self.one, version=3)
         await self.fabric.settle()
-        self.assertTrue(self.leaves(three))
+        self.assertTrue(self.is_leaving(three))
         sent = len(self.fabric.sent)
-        self.leave(self.one, version=3)
+        self.report_leaving(self.one, version=3)
         await self.fabric.settle()
         self.assertEqual(len(self.fabric.sent), sent + 1)
 
-    async def test_target_that_leaves_in_a_cut(self):
-        """A leaving target got requests from routers that had been cut off."""
+    async def test_leaving_target_reaches_reconnected_routers(self):
+        """Guards against work for a leaving target after a disconnection.
+
+        Routers that were disconnected when the target left must learn it on
+        reconnecting.
+        """
         for router in (self.one, self.two):
             router.places.put(entry('leaves', 'desk', version=3))
             router.exchange.catch_up()
         self.fabric.cut(['one'], ['two'])
-        self.leave(self.one, version=3)
+        self.report_leaving(self.one, version=3)
         self.one.exchange.catch_up()
         await self.fabric.settle()
-        self.assertFalse(self.leaves(self.two))
+        self.assertFalse(self.is_leaving(self.two))
         self.fabric.heal()
         self.one.exchange.catch_up()
         await self.fabric.settle()
-        self.assertTrue(self.leaves(self.two))
+        self.assertTrue(self.is_leaving(self.two))
         sent = len(self.fabric.sent)
         self.one.exchange.catch_up()
         await self.fabric.settle()
@@ -198,12 +206,11 @@
         router.evacuations.put(order, 'store')
         router.exchange.tell_evacuation(order)
 
-    async def test_an_evacuation_reaches_those_without_the_store(self):
-        """Symptom: an evacuated zone gets work from a router in a cut.
+    async def test_evacuation_reaches_routers_without_the_store(self):
+        """Guards against work for an evacuated zone.
 
-        Sequence: the store turns that router away; a zone is evacuated, and
-        restored.
-        Cause: it had no other way to learn of it.
+        The store refuses a router while a zone is evacuated and restored; the
+        router must learn both from its peers.
         """
         self.evacuate(self.one, 7)
         await self.fabric.settle()
@@ -212,11 +219,11 @@
         await self.fabric.settle()
         self.assertFalse(self.two.evacuations.covers('zone-a'))
 
-    async def test_an_evacuation_goes_on_beyond_neighbours(self):
-        """Symptom: a router two steps away from the store never hears it.
+    async def test_evacuation_reaches_routers_beyond_neighbours(self):
+        """Guards against an evacuation that reaches neighbours only.
 
-        Sequence: it has no connection to the router that heard it there.
-        Cause: who heard it from a peer told nobody.
+        A router without a connection to the one that learnt it from the store
+        must hear it from a peer that passes it on.
         """
         three = Router(self.fabric.join('three'), self.clock)
         self.fabric.cut(['one'], ['three'])
@@ -224,11 +231,12 @@
         await self.fabric.settle()
         self.assertTrue(three.evacuations.covers('zone-a'))
 
-    async def test_an_evacuation_that_was_not_heard(self):
-        """Symptom: a router goes on sending to an evacuated zone.
+    async def test_missed_evacuation_is_fetched(self):
+        """Guards against work for an evacuated zone after a missed message.
 
-        Sequence: it stands still while the order is told; its store is away.
-        Cause: the order was told once, and no later word showed it.
+        A router is disconnected from its peers and the store when the
+        evacuation is announced, once. Heartbeats must show that it lacks
+        something.
         """
         for router in (self.one, self.two):
             router.view.offer(_version(5), 'store')
@@ -242,12 +250,12 @@
         await self.beat(self.one, self.two)
         self.assertEqual(len(self.fabric.sent), asked + 1)
 
-    async def test_one_ask_at_a_time(self):
-        """Symptom: a small host is seconds behind, and loses its peers.
+    async def test_one_query_at_a_time(self):
+        """Guards against a saturated link after a configuration change.
 
-        Sequence: a large configuration changes; all neighbours have it, and
-        tell so in their heartbeats.
-        Cause: each was asked for the whole of it.
+        All neighbours report the new version in their heartbeats. If each were
+        asked for the complete configuration, a small host would be seconds
+        behind and lose its peers.
         """
         self.two.view.offer(_version(5), 'store')
         names = ('three', 'four')
@@ -262,20 +270,20 @@
         self.assertEqual(len(asked), 1)
         self.assertEqual(self.two.view.version, 6)
 
-    async def test_what_is_known_is_not_sent(self):
-        """Who lacks an evacuation alone doesn't get the configuration."""
+    async def test_known_configuration_is_not_sent(self):
+        """A router that lacks only an evacuation gets no configuration."""
         for router in (self.one, self.two):
             router.view.offer(_version(5), 'store')
-        answer = await self.one.exchange._answer(None, TableAsk(5))
+        answer = await self.one.exchange._on_table_ask(None, TableAsk(5))
         self.assertEqual(answer.rows, ())
-        answer = await self.one.exchange._answer(None, TableAsk(4))
+        answer = await self.one.exchange._on_table_ask(None, TableAsk(4))
         self.assertEqual(len(answer.rows), 1)
 
-    async def test_a_version_that_is_known_to_be_missing(self):
-        """Symptom: callers of a new route are told that there is none.
+    async def test_version_known_to_be_missing(self):
+        """Guards against denying a new route that other routers already have.
 
-        Sequence: the version that has it is in force at others already.
-        Cause: a router that knew so took its own for the last word.
+        A router that knows of a newer version must not treat its own as the
+        newest.
         """
         self.two.view.offer(_version(5), 'store')
         self.assertFalse(self.two.view.is_behind)
@@ -286,7 +294,7 @@
         self.assertFalse(self.two.view.is_behind)
         await self.catch_up(self.two)
 
-    async def test_a_document_that_can_not_be_read(self):
+    async def test_unreadable_document_is_ignored(self):
         broken = attrs.evolve(CATALOGUE, version=9, write=lambda: 'rubbish')
         self.one.view.offer(broken, 'store')
         await self.beat(self.one, self.two)
@@ -295,7 +303,7 @@
 
 
 class LateAnswerTest(unittest.IsolatedAsyncioTestCase):
-    """Two routers over a real socket, their clock moved by hand."""
+    """Two routers over a real socket, with a manually advanced clock."""
 
     async def asyncSetUp(self):
         self.rig = Rig()
@@ -307,8 +315,8 @@
         await self.rig.clock.sleep(_LATE_GAPS * self.two.cfg.peers.gap_timeout)
         return TableRows(0, 6, (serialization.configuration_row(_version(6)),))
 
-    async def test_a_configuration_that_is_long_on_its_way(self):
-        """Guards against asking anew for what is on its way already."""
+    async def test_slow_configuration_is_asked_for_once(self):
+        """Guards against asking again for an answer that is on its way."""
         one = await self.rig.start('one')
         seed = f'peers.seeds={one.me.address}'
         self.two = await self.rig.start('two', seed)
