--- a/src/balsamreach/catalogue/exchange.py
+++ b/src/balsamreach/catalogue/exchange.py
@@ -80,8 +80,8 @@
         for incarnation in new:
             self.net.tell(incarnation, TableRows(0, 0, rows))
 
-    def _spread(self, row: TableRow, besides: str = '') -> None:
-        self.net.spread(TableRows(0, 0, (row,)), besides)
+    def _spread(self, row: TableRow, exclude: str = '') -> None:
+        self.net.spread(TableRows(0, 0, (row,)), exclude)
 
     async def _on_heartbeat(self, member: Member, beat: Heartbeat) -> None:
         self.known.view.hear(beat.table_version)
@@ -118,4 +118,4 @@
 
     def _apply_rows(self, source: str, message: TableRows) -> None:
         for row in self.known.apply_rows(source, message.rows):
-            self._spread(row, besides=source)
+            self._spread(row, exclude=source)
--- a/src/balsamreach/dispatch/dispatcher.py
+++ b/src/balsamreach/dispatch/dispatcher.py
@@ -70,7 +70,7 @@
         """Run periodic maintenance, once a second, until cancelled."""
         while True:
             await self.parts.claims.clock.sleep(_MAINTENANCE_INTERVAL_S)
-            self.parts.others.sharing.watch()
+            self.parts.others.sharing.update_members()
             await self.parts.claims.release_all()
 
     async def drain(self) -> None:
--- a/src/balsamreach/dispatch/elsewhere.py
+++ b/src/balsamreach/dispatch/elsewhere.py
@@ -81,7 +81,7 @@
 
     Parameters
     ----------
-    others : RemoteRunParts
+    parts : RemoteRunParts
         Shared components.
     call : Call
         The request.
@@ -89,7 +89,7 @@
         Receives an answer found at another router.
     """
 
-    others: RemoteRunParts
+    parts: RemoteRunParts
     call: Call
     answer: Answer
     _lookup: RunLookup = _NO_OTHER_RUN
@@ -101,7 +101,7 @@
         if self.call.req.minted:
             return None
         self._not_run_is_certain = False
-        self._lookup = await self.others.sharing.look_up(self.call.req)
+        self._lookup = await self.parts.sharing.look_up(self.call.req)
         note = self._lookup.note
         if note is None or note.fingerprint == self.call.req.fingerprint:
             return None
@@ -124,17 +124,17 @@
         note = self._lookup.note
         if not holder and note is not None:
             holder = note.incarnation
-        if not holder or holder == self.others.sharing.me:
+        if not holder or holder == self.parts.sharing.me:
             return None
-        is_copying = await self.others.copier.copy(
+        copied = await self.parts.copier.copy(
             holder,
             self.call,
             self.answer,
         )
-        if is_copying is None or is_copying.fault is None:
-            return is_copying
+        if copied is None or copied.fault is None:
+            return copied
         # An idempotent request that failed there may run here.
-        return None if self.can_run_here() else is_copying
+        return None if self.can_run_here() else copied
 
     @property
     def may_resume(self) -> bool:
@@ -147,13 +147,13 @@
         note = self._lookup.note
         if not self.may_resume or not self.call.stream:
             return None
-        target = self.others.targets.by_name.get(note.target)
+        target = self.parts.targets.by_name.get(note.target)
         if target is None:
             return None
         output = Replay(self.answer) if self.answer.status else self.answer
         attempt = Attempt(uuid.uuid4().hex, self.call, target)
         reply = make_reply(self.call, output, attempt.attempt_id)
-        return await self.others.resumer.resume(
+        return await self.parts.resumer.resume(
             attempt,
             reply,
             note.generation,
@@ -189,7 +189,7 @@
         ):
             return fault
         if self._lookup.home_complete:
-            confirmer = self.others.confirmer
+            confirmer = self.parts.confirmer
             if await confirmer.confirm_not_run(self.call.req):
                 return fault
         return attrs.evolve(fault, ran=faults.MAYBE_RUN)
@@ -200,13 +200,13 @@
         # run, even one of this router. Without the note the next refusal would
         # wrongly be reported as certain.
         if self._lookup.registered and not self.call.req.minted:
-            self.others.sharing.retract(self.call.req)
+            self.parts.sharing.retract(self.call.req)
 
     def publish_generation(self, tries: Tries, headers: dict[str, str]) -> None:
         """Send the generation that answers the request to the home router."""
         generation = headers.get(GENERATION_HEADER, '')
         if self.call.stream and generation:
-            self.others.sharing.publish_generation(
+            self.parts.sharing.publish_generation(
                 self.call.req,
                 tries.target,
                 generation,
--- a/src/balsamreach/dispatch/not_run_confirmer.py
+++ b/src/balsamreach/dispatch/not_run_confirmer.py
@@ -18,7 +18,7 @@
 _MAX_MESSAGE_RUNS = 500
 #: Further refusals are reported as unknown instead of waiting for
 #: confirmation.
-_MAX_PENDING = 2 * _MAX_MESSAGE_RUNS
+_MAX_WAITING = 2 * _MAX_MESSAGE_RUNS
 
 
 @attrs.define(eq=False)
@@ -48,7 +48,7 @@
     sharing: RunDirectory
     answers: Answers
     metrics: Metrics
-    _pending: dict[asyncio.Future, RunAsk] = attrs.field(factory=dict)
+    _waiting: dict[asyncio.Future, RunAsk] = attrs.field(factory=dict)
     _query_task: asyncio.Task | None = None
 
     def __attrs_post_init__(self) -> None:
@@ -67,14 +67,14 @@
         -----
         Takes at most as long as two queries.
         """
-        confirmed = len(self._pending) < _MAX_PENDING and await self._query(req)
+        confirmed = len(self._waiting) < _MAX_WAITING and await self._query(req)
         outcome = 'confirmed' if confirmed else 'unknown'
         self.metrics.count(CONFIRMATIONS, outcome=outcome)
         return confirmed
 
     async def _query(self, req: RequestId) -> bool:
         fut = asyncio.get_running_loop().create_future()
-        self._pending[fut] = RunAsk(req.team, req.key, req.fingerprint)
+        self._waiting[fut] = RunAsk(req.team, req.key, req.fingerprint)
         if self._query_task is None:
             # A query serves several requests, so it belongs to no request's
             # trace.
@@ -86,14 +86,14 @@
 
     async def _query_pending(self) -> None:
         try:
-            while self._pending:
+            while self._waiting:
                 await self._query_batch()
         finally:
             self._query_task = None
 
     async def _query_batch(self) -> None:
-        batch = tuple(self._pending)[:_MAX_MESSAGE_RUNS]
-        runs = tuple(self._pending.pop(one) for one in batch)
+        batch = tuple(self._waiting)[:_MAX_MESSAGE_RUNS]
+        runs = tuple(self._waiting.pop(one) for one in batch)
         unconfirmed = await self._find_unconfirmed(runs)
         for fut, run in zip(batch, runs, strict=True):
             if not fut.done():
@@ -106,7 +106,7 @@
         members = self.sharing.home_routers.members()
         me = self.sharing.me
         others = [one for one in members if one.incarnation != me]
-        asks = (self._query_member(one, RunsAsk(runs)) for one in others)
+        asks = (self._ask(one, RunsAsk(runs)) for one in others)
         answers = await asyncio.gather(*asks)
         # Checked after the queries, to include notes that arrived meanwhile.
         noted = self._noted_runs(me, runs)
@@ -124,9 +124,7 @@
             known.update(answer.runs)
         return frozenset(known)
 
-    async def _query_member(
-        self, member: Member, ask: RunsAsk
-    ) -> RunsKnown | None:
+    async def _ask(self, member: Member, ask: RunsAsk) -> RunsKnown | None:
         try:
             async with asyncio.timeout(self.sharing.cfg.ask_timeout):
                 answer = await self.net.ask(member.incarnation, ask)
--- a/src/balsamreach/dispatch/resuming.py
+++ b/src/balsamreach/dispatch/resuming.py
@@ -16,8 +16,8 @@
 from balsamreach.requests.answers import Output
 from balsamreach.telemetry.metrics import Metrics
 
-RESUMED = 'balsamreach_streams_resumed_total'
-CANCELLED = 'balsamreach_generations_cancelled_total'
+RESUMED_STREAMS = 'balsamreach_streams_resumed_total'
+CANCELLED_GENERATIONS = 'balsamreach_generations_cancelled_total'
 _MAX_RESUMES = 3
 _PAUSE_S = 0.05
 _CANCEL_TIMEOUT_S = 5
@@ -96,7 +96,7 @@
                 break
             await self.clock.sleep(_PAUSE_S)
         outcome = 'lost' if resumed is None else _outcome_label(resumed.fault)
-        self.metrics.count(RESUMED, outcome=outcome)
+        self.metrics.count(RESUMED_STREAMS, outcome=outcome)
         return resumed
 
     def cancel(self, attempt: Attempt, reply: Reply) -> None:
@@ -116,7 +116,7 @@
             stream=False,
             deadline=self.clock.now() + _CANCEL_TIMEOUT_S,
         )
-        self.metrics.count(CANCELLED)
+        self.metrics.count(CANCELLED_GENERATIONS)
         sending = asyncio.create_task(self._send_cancel(attempt, call))
         self._cancels.add(sending)
         sending.add_done_callback(self._cancels.discard)
--- a/src/balsamreach/dispatch/run.py
+++ b/src/balsamreach/dispatch/run.py
@@ -103,9 +103,9 @@
         key_fault = await self._remote.look_up()
         if key_fault is not None:
             return key_fault
-        is_copying = await self._remote.copy_answer()
-        if is_copying is not None:
-            return is_copying.fault
+        copied = await self._remote.copy_answer()
+        if copied is not None:
+            return copied.fault
         return await self._admit()
 
     async def _admit(self) -> DispatchFault | None:
@@ -161,9 +161,9 @@
         self.parts.placer.release(slot)
         if isinstance(claim, RequestFault):
             return translate_request_fault(claim)
-        is_copying = await self._remote.copy_answer(claim.holder)
-        if is_copying is not None:
-            return is_copying.fault
+        copied = await self._remote.copy_answer(claim.holder)
+        if copied is not None:
+            return copied.fault
         return faults.OUTCOME_UNKNOWN.because('it was dispatched before')
 
     async def _claim(
--- a/src/balsamreach/dispatch/run_directory.py
+++ b/src/balsamreach/dispatch/run_directory.py
@@ -115,7 +115,7 @@
             return RunLookup(note)
         return RunLookup(home_complete=note.sure, registered=True)
 
-    def watch(self) -> None:
+    def update_members(self) -> None:
         """Update the live and reachable routers; called about once a second."""
         members = self.home_routers.members()
         reached = self.net.neighbours()
@@ -128,7 +128,7 @@
 
     def is_complete(self) -> bool:
         """Return whether no note on a run can have been lost here."""
-        self.watch()
+        self.update_members()
         # A killed router loses its notes, and its successor may be the only
         # one to know that there were any. If all routers were restarted
         # together, the others would otherwise be certain about runs they never
@@ -200,7 +200,7 @@
         return Done()
 
     def _register(self, asker: str, ask: RunAsk) -> RunNote:
-        self.watch()
+        self.update_members()
         return self.notes.register(asker, ask)
 
     def _store_note(self, sender: str, note: RunNote) -> None:
--- a/src/balsamreach/requests/identity.py
+++ b/src/balsamreach/requests/identity.py
@@ -8,7 +8,7 @@
 from balsamreach.requests.faults import BAD_KEY, RequestFault
 
 #: Prefix of keys that routers mint; callers may not use it.
-MINTED_MARK = '~'
+MINTED_KEY_PREFIX = '~'
 _MAX_KEY_LENGTH = 255
 
 
@@ -44,7 +44,7 @@
 
 def mint_key() -> str:
     """Return a new key for a request without one."""
-    return MINTED_MARK + uuid.uuid4().hex
+    return MINTED_KEY_PREFIX + uuid.uuid4().hex
 
 
 def check_key(key: str) -> RequestFault | None:
@@ -52,9 +52,9 @@
     # Only the router that minted a key knows whether its request ran: it makes
     # no claim for it. If the key were sent to another router, a non-idempotent
     # request would run a second time there.
-    if key.startswith(MINTED_MARK):
+    if key.startswith(MINTED_KEY_PREFIX):
         return BAD_KEY.because(
-            f'keys that begin with {MINTED_MARK} are reserved'
+            f'keys that begin with {MINTED_KEY_PREFIX} are reserved'
         )
     if 0 < len(key) <= _MAX_KEY_LENGTH and key.isascii() and key.isprintable():
         return None
--- a/tests/test_dispatch_histories.py
+++ b/tests/test_dispatch_histories.py
@@ -242,7 +242,7 @@
         """Update the members of all routers, as they do every second."""
         for router in self.routers:
             sharing = router.parts.others.sharing
-            sharing.watch()
+            sharing.update_members()
 
     async def _call(self, router, key):
         caller = Caller()
--- a/tests/test_requests_answers.py
+++ b/tests/test_requests_answers.py
@@ -234,7 +234,7 @@
             ('minted_elsewhere', mint_key(), False),
         ]
     )
-    def test_key(self, _name, key, accepted):
+    def test_key_is_checked(self, _name, key, accepted):
         self.assertEqual(check_key(key) is None, accepted)
 
     @parameterized.expand(
