--- a/src/balsamreach/budget/account.py
+++ b/src/balsamreach/budget/account.py
@@ -1,8 +1,8 @@
-"""The durable records of a budget: accounts, allotments and bills.
+"""The stored records of a budget: accounts, allotments and bills.
 
-A team's account counts what was handed out to routers, and each router's
-allotment counts what it settled or lent out of that. Recorded spend cannot
-pass the prepaid tokens as long as ``taken <= prepaid`` and
+A team's account counts the tokens given to routers; the allotment of each
+router counts the tokens that it settled or lent out of its share. Recorded
+spend can't exceed the prepaid tokens as long as ``taken <= prepaid`` and
 ``settled + lent <= granted`` hold in every commit.
 """
 
@@ -25,10 +25,10 @@
     prepaid : int
         Tokens paid for, over all time.
     taken : int
-        Tokens handed to allotments less those handed back, over all time;
-        settled ones stay counted.
+        Tokens moved to allotments less those returned, over all time;
+        settled tokens stay included.
     folded : int
-        Tokens settled by allotments that are closed.
+        Tokens settled by allotments that have been closed.
     """
 
     prepaid: int = 0
@@ -37,34 +37,34 @@
 
     @property
     def free(self) -> int:
-        """Tokens that can still be handed out."""
+        """Tokens that can still be moved to allotments."""
         return self.prepaid - self.taken
 
 
 @attrs.frozen
 class Allotment:
-    """What one router incarnation holds of one account.
+    """The share of one account that one router incarnation holds.
 
     Parameters
     ----------
     granted : int
-        Tokens drawn or borrowed less those handed back, over all time.
+        Tokens drawn or borrowed less those returned, over all time.
     settled : int
         Tokens of recorded bills.
     seq : int
-        Number of the holder's last draw or return; after a lost answer the
-        holder sees by it which of its attempts took effect.
+        Sequence number of the holder's last draw or return. After a lost
+        response the holder uses it to tell which attempt was applied.
     lent : int
         Tokens of loans that borrowers have recorded, over all time.
     lendable : int
-        Most tokens the holder may lend over all time. What is not recorded
-        as lent yet may be in a borrower's hands, so a successor that closes
-        the allotment leaves that part in place.
+        Maximum of tokens the holder may lend over all time. A borrower may
+        hold the part that is not recorded as lent yet, so a successor that
+        closes the allotment leaves that part in place.
     closed : bool
-        Whether a successor closed it; only the part that may be in
-        borrowers' hands is left then.
+        Whether a successor closed it; it then holds only the tokens that
+        borrowers may have.
     at : float
-        Wall time of the holder's last draw or return.
+        Unix time of the holder's last draw or return, in seconds.
     """
 
     granted: int = 0
@@ -77,7 +77,7 @@
 
     @property
     def held(self) -> int:
-        """Tokens that count as taken from the account by this row."""
+        """Tokens of this row that are included in the account's ``taken``."""
         return self.granted - self.lent
 
     @property
@@ -87,13 +87,13 @@
 
     @property
     def maybe_lent(self) -> int:
-        """Outstanding tokens that a borrower may hold unrecorded."""
+        """Outstanding tokens that may have been lent without a record."""
         return max(0, min(self.lendable - self.lent, self.outstanding))
 
 
 @attrs.frozen
 class Bill:
-    """One request's bill, recorded once under (team, key).
+    """The bill of one request, recorded once under (team, key).
 
     Parameters
     ----------
@@ -104,10 +104,11 @@
     tokens : int
         Tokens billed.
     flags : tuple of str
-        What was odd about the target's usage figures.
+        Problems with the usage figures that the target reported.
     ordinal : int
-        Number among the bills of its maker; it tells a bill whose answer
-        was lost from a second bill for the same request.
+        Number among the bills of the incarnation that made it. It
+        distinguishes a retry after a lost response from a second bill for
+        the same request.
     """
 
     team: str
@@ -124,11 +125,11 @@
     Parameters
     ----------
     loan_id : str
-        Chosen by the borrower.
+        Id chosen by the borrower.
     lender : str
-        Incarnation whose allotment they come from.
+        Incarnation whose allotment the tokens come from.
     tokens : int
-        How many.
+        Number of tokens lent.
     """
 
     loan_id: str
@@ -137,12 +138,15 @@
 
 
 def account_key(team: str) -> str:
-    """Return the table service's key of a team's account."""
+    """Return the key of a team's account in the table service."""
     return ACCOUNT_PREFIX + team
 
 
 def allotment_key(incarnation: str, team: str) -> str:
-    """Return the key of an allotment; an incarnation's stand together."""
+    """Return the key of an allotment.
+
+    All allotments of an incarnation share a prefix, so one scan reads them.
+    """
     return f'{ALLOTMENT_PREFIX}{incarnation}/{team}'
 
 
@@ -152,15 +156,15 @@
 
 
 def encode(record: Account | Allotment | Bill) -> dict[str, Any]:
-    """Return a record as its JSON object."""
+    """Return a record as a dict that can be stored as JSON."""
     return attrs.asdict(record)
 
 
 def decode_account(fields: Mapping[str, Any] | None) -> Account:
-    """Read an account; an absent row is an empty account."""
+    """Decode an account; None, an absent row, gives an empty account."""
     return Account(**(fields or {}))
 
 
 def decode_allotment(fields: Mapping[str, Any] | None) -> Allotment:
-    """Read an allotment; an absent row is an empty allotment."""
+    """Decode an allotment; None, an absent row, gives an empty one."""
     return Allotment(**(fields or {}))
--- a/src/balsamreach/budget/audit.py
+++ b/src/balsamreach/budget/audit.py
@@ -1,4 +1,4 @@
-"""What an audit of the durable records reports."""
+"""The report of an audit of stored budget records."""
 
 import attrs
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class Breach:
-    """An invariant that does not hold."""
+    """An invariant that is violated for a team."""
 
     invariant: str
     team: str
@@ -22,20 +22,21 @@
 
 
 @attrs.frozen
-class Stranded:
-    """Tokens that nobody can spend until someone returns them.
+class StrandedTokens:
+    """Tokens that can't be spent until they are returned to the account.
 
     Parameters
     ----------
     team, incarnation : str
-        Whose tokens, and who held them last.
+        Team that owns the tokens, and the incarnation that held them last.
     tokens : int
-        How many.
+        Number of tokens.
     closed : bool
-        Whether the allotment was closed and this part may be lent; else its
-        holder serves no address any more and nobody has closed it.
+        True if the allotment was closed and these tokens may be lent; False
+        if its holder no longer serves any address and the allotment was
+        never closed.
     since : float
-        Wall time of the holder's last draw.
+        Unix time of the holder's last draw or return, in seconds.
     """
 
     team: str
@@ -47,16 +48,16 @@
 
 @attrs.frozen
 class OpenClaim:
-    """A claimed request without a bill: not ended, or how is not known.
+    """A claimed request without a bill: running, or of unknown outcome.
 
     Parameters
     ----------
     team, key : str
-        The request.
+        Team and key of the request.
     holder : str
-        Incarnation that claimed it.
+        Incarnation that claimed the request.
     commits : int
-        Commits of the table service since the claim.
+        Number of commits of the table service since the claim.
     """
 
     team: str
@@ -67,14 +68,14 @@
 
 @attrs.define
 class TeamSums:
-    """What the rows of one team add up to.
+    """Sums over the stored rows of one team.
 
     Parameters
     ----------
     account : Account or None
-        None if there is no such row.
+        The team's account, None if there is no such row.
     allotments : dict of str to Allotment
-        By incarnation.
+        Allotments by incarnation.
     billed : int
         Tokens of all bills.
     bills : int
@@ -88,45 +89,45 @@
 
     @property
     def held(self) -> int:
-        """Tokens that allotments account for."""
+        """Tokens of all allotments, except those lent to other routers."""
         return sum(one.held for one in self.allotments.values())
 
     @property
     def recorded(self) -> int:
-        """Recorded spend."""
+        """Recorded spend, in tokens."""
         folded = 0 if self.account is None else self.account.folded
         return folded + sum(one.settled for one in self.allotments.values())
 
 
 @attrs.define
 class Report:
-    """What an audit found.
+    """The result of an audit.
 
     Parameters
     ----------
     teams : dict of str to TeamSums
         Sums by team.
     breaches : list of Breach
-        Invariants that do not hold.
+        Violated invariants.
     unjudged : list of str
-        Teams whose records changed while they were read, so that their
-        bills could not be compared; audit again when they rest.
-    stranded : list of Stranded
-        Tokens out of use.
+        Teams whose records changed during the audit, so that their bills
+        could not be compared; repeat the audit when they are idle.
+    stranded : list of StrandedTokens
+        Tokens that can't be spent.
     open_claims : list of OpenClaim
-        Claims without a bill, as many as are listed.
+        Claims without a bill, up to a maximum.
     claims, claims_open : int
-        Number of claims, and of those without a bill.
+        Number of all claims, and of those without a bill.
     """
 
     teams: dict[str, TeamSums] = attrs.field(factory=dict)
     breaches: list[Breach] = attrs.field(factory=list)
     unjudged: list[str] = attrs.field(factory=list)
-    stranded: list[Stranded] = attrs.field(factory=list)
+    stranded: list[StrandedTokens] = attrs.field(factory=list)
     open_claims: list[OpenClaim] = attrs.field(factory=list)
     claims: int = 0
     claims_open: int = 0
 
-    def breach(self, invariant: str, team: str, detail: str) -> None:
-        """Add a broken invariant."""
+    def add_breach(self, invariant: str, team: str, detail: str) -> None:
+        """Add a violated invariant."""
         self.breaches.append(Breach(invariant, team, detail))
--- a/src/balsamreach/budget/auditor.py
+++ b/src/balsamreach/budget/auditor.py
@@ -1,4 +1,4 @@
-"""Reads the durable records page by page and checks what must hold."""
+"""Reads stored budget records page by page and checks invariants."""
 
 from collections.abc import AsyncIterator, Mapping
 
@@ -14,7 +14,7 @@
     decode_account,
     decode_allotment,
 )
-from balsamreach.budget.audit import OpenClaim, Report, Stranded, TeamSums
+from balsamreach.budget.audit import OpenClaim, Report, StrandedTokens, TeamSums
 from balsamreach.budget.faults import NO_ALLOTMENT, BudgetFault
 from balsamreach.budget.incarnations import ROUTER_PREFIX
 from balsamreach.services.base import Row, Scan, TableService
@@ -23,37 +23,38 @@
 CLAIM_PREFIX = 'claim/'
 CLAIMED = 'claimed'
 
-_MOST_LISTED = 1000
+_MAX_OPEN_CLAIMS = 1000
 
 
 @attrs.define
 class Auditor:
-    """Audits all budgets in memory bounded by teams and routers.
+    """Audits all budgets; memory grows with teams and routers, not bills.
 
     Parameters
     ----------
     service : TableService
-        What holds the records.
+        Service that stores the records.
     """
 
     service: TableService
     report: Report = attrs.field(factory=Report)
     _serving: set[str] = attrs.field(factory=set)
     _fault: PlatformFault | None = None
-    _newest: int = 0
+    _latest_version: int = 0
 
     async def audit(self) -> Report | BudgetFault:
-        """Read everything and return what was found.
+        """Read all records and check them.
 
         Returns
         -------
         Report or BudgetFault
-            NO_ALLOTMENT if the table service could not be read.
+            The report, or NO_ALLOTMENT if a read from the table service
+            failed.
         """
-        async for seat in self._rows(ROUTER_PREFIX):
-            self._serving.add(seat.value['incarnation'])
-        await self._sum_accounts()
-        await self._join_bills()
+        async for router_row in self._rows(ROUTER_PREFIX):
+            self._serving.add(router_row.value['incarnation'])
+        await self._read_allotments()
+        await self._match_bills()
         for team in sorted(self.report.teams):
             await self._check_team(team)
         if self._fault is not None:
@@ -67,59 +68,61 @@
             if isinstance(page, PlatformFault):
                 self._fault = page
                 return
-            self._newest = max(self._newest, page.version)
+            self._latest_version = max(self._latest_version, page.version)
             for row in page.rows:
                 yield row
             if not page.more:
                 return
             scan = Scan(prefix, after=page.rows[-1].key)
 
-    async def _sum_accounts(self) -> None:
+    async def _read_allotments(self) -> None:
         async for row in self._rows(ACCOUNT_PREFIX):
             team = row.key.removeprefix(ACCOUNT_PREFIX)
-            self._sums(team).account = decode_account(row.value)
-        async for held in self._rows(ALLOTMENT_PREFIX):
-            _, incarnation, team = held.key.split('/', 2)
-            allotment = decode_allotment(held.value)
-            self._sums(team).allotments[incarnation] = allotment
+            self._team_sums(team).account = decode_account(row.value)
+        async for allotment_row in self._rows(ALLOTMENT_PREFIX):
+            _, incarnation, team = allotment_row.key.split('/', 2)
+            allotment = decode_allotment(allotment_row.value)
+            self._team_sums(team).allotments[incarnation] = allotment
 
-    def _sums(self, team: str) -> TeamSums:
+    def _team_sums(self, team: str) -> TeamSums:
         return self.report.teams.setdefault(team, TeamSums())
 
-    async def _join_bills(self) -> None:
-        # Bills and claims come in the order of (team, key), so the two lists
-        # are merged as they are read; neither is ever held as a whole.
+    async def _match_bills(self) -> None:
+        # Bills and claims are both sorted by (team, key), so the two scans
+        # are merged while they are read and neither is kept in memory whole.
         claims = self._rows(CLAIM_PREFIX)
         claim = await anext(claims, None)
         async for bill in self._rows(BILL_PREFIX):
             name = bill.key.removeprefix(BILL_PREFIX)
-            while claim is not None and _name(claim) < name:
-                self._take_open(claim)
+            while claim is not None and _request_name(claim) < name:
+                self._add_open_claim(claim)
                 claim = await anext(claims, None)
-            claimed = claim is not None and _name(claim) == name
-            self._take_bill(bill.value, claimed=claimed)
+            claimed = claim is not None and _request_name(claim) == name
+            self._add_bill(bill.value, claimed=claimed)
             if claimed:
                 self.report.claims += 1
                 claim = await anext(claims, None)
         while claim is not None:
-            self._take_open(claim)
+            self._add_open_claim(claim)
             claim = await anext(claims, None)
 
-    def _take_bill(self, bill: Mapping[str, object], *, claimed: bool) -> None:
-        sums = self._sums(bill['team'])
+    def _add_bill(self, bill: Mapping[str, object], *, claimed: bool) -> None:
+        sums = self._team_sums(bill['team'])
         sums.billed += bill['tokens']
         sums.bills += 1
         if CLAIMED in bill['flags'] and not claimed:
-            self.report.breach(audit.UNCLAIMED, bill['team'], bill['key'])
+            self.report.add_breach(audit.UNCLAIMED, bill['team'], bill['key'])
 
-    def _take_open(self, claim: Row) -> None:
+    def _add_open_claim(self, claim: Row) -> None:
         self.report.claims += 1
         self.report.claims_open += 1
-        if len(self.report.open_claims) < _MOST_LISTED:
-            team, key = _name(claim).split('/', 1)
+        if len(self.report.open_claims) < _MAX_OPEN_CLAIMS:
+            team, key = _request_name(claim).split('/', 1)
             holder = claim.value['holder']
             self.report.open_claims.append(
-                OpenClaim(team, key, holder, self._newest - claim.version),
+                OpenClaim(
+                    team, key, holder, self._latest_version - claim.version
+                ),
             )
 
     async def _check_team(self, team: str) -> None:
@@ -132,23 +135,24 @@
         if isinstance(rows, PlatformFault):
             self._fault = rows
             return
-        sums = _read_again(before, rows)
-        moved = sums != before
+        sums = _refresh(before, rows)
+        changed = sums != before
         self.report.teams[team] = sums
-        self._strand(team, sums)
-        for invariant, detail in _breaches(sums, moved=moved):
-            self.report.breach(invariant, team, detail)
-        if moved:
+        self._add_stranded(team, sums)
+        for invariant, detail in _find_breaches(sums, changed=changed):
+            self.report.add_breach(invariant, team, detail)
+        if changed:
             self.report.unjudged.append(team)
 
-    def _strand(self, team: str, sums: TeamSums) -> None:
+    def _add_stranded(self, team: str, sums: TeamSums) -> None:
         for name, allotment in sums.allotments.items():
-            # A router that serves no address was never entered, as in a
-            # test fleet on changing ports; nothing tells that it is gone.
+            # Routers without a fixed address have no router row, as in a
+            # test fleet on changing ports. If there are no such rows at all,
+            # nothing shows which routers are gone, so all count as serving.
             serving = name in self._serving or not self._serving
             if allotment.outstanding and (allotment.closed or not serving):
                 self.report.stranded.append(
-                    Stranded(
+                    StrandedTokens(
                         team,
                         name,
                         allotment.outstanding,
@@ -158,11 +162,11 @@
                 )
 
 
-def _name(claim: Row) -> str:
+def _request_name(claim: Row) -> str:
     return claim.key.removeprefix(CLAIM_PREFIX)
 
 
-def _read_again(before: TeamSums, rows: tuple[Row, ...]) -> TeamSums:
+def _refresh(before: TeamSums, rows: tuple[Row, ...]) -> TeamSums:
     account = rows[0].value
     allotments = {
         name: decode_allotment(row.value)
@@ -176,7 +180,7 @@
     )
 
 
-def _breaches(sums: TeamSums, *, moved: bool) -> list[tuple[str, str]]:
+def _find_breaches(sums: TeamSums, *, changed: bool) -> list[tuple[str, str]]:
     account = sums.account
     if account is None:
         return [(audit.ORPHANED, f'{sums.bills} bills')]
@@ -187,13 +191,13 @@
     for name, allotment in sums.allotments.items():
         if allotment.outstanding < 0:
             found.append((audit.ALLOTMENT_OVER, name))
-    # The rows of one team are read again at one instant, so they balance
-    # even under load, unless a router has drawn for the first time since.
+    # The rows of one team are read again in one consistent read, so they
+    # balance even under load, unless a router drew for the first time since.
     held = sums.held + account.folded
-    if account.taken != held and not moved:
+    if account.taken != held and not changed:
         detail = f'taken {account.taken}, held and folded {held}'
         found.append((audit.UNBALANCED, detail))
-    if sums.billed != sums.recorded and not moved:
+    if sums.billed != sums.recorded and not changed:
         detail = f'bills {sums.billed}, recorded {sums.recorded}'
         found.append((audit.BILLS_OFF, detail))
     return found
--- a/src/balsamreach/budget/budgets.py
+++ b/src/balsamreach/budget/budgets.py
@@ -6,7 +6,7 @@
 
 from balsamreach.budget.account import Bill
 from balsamreach.budget.book import Book
-from balsamreach.budget.closing import Closer
+from balsamreach.budget.closing import AllotmentCloser
 from balsamreach.budget.drawing import Drawing
 from balsamreach.budget.draws import Drawer
 from balsamreach.budget.faults import BudgetFault
@@ -16,7 +16,7 @@
 from balsamreach.budget.leftovers import Leftovers
 from balsamreach.budget.obtaining import Obtainer
 from balsamreach.budget.peer_parts import make_peer_parts
-from balsamreach.budget.recorder import Recorder
+from balsamreach.budget.recorder import BillRecorder
 from balsamreach.budget.settling import Settler
 from balsamreach.budget.sizing import Sizing
 from balsamreach.budget.takeover import Takeover
@@ -66,7 +66,7 @@
     rng: random.Random = attrs.field(factory=random.Random, kw_only=True)
     metrics: Metrics = attrs.field(factory=Metrics, kw_only=True)
     book: Book = attrs.field(init=False)
-    recorder: Recorder = attrs.field(init=False)
+    recorder: BillRecorder = attrs.field(init=False)
     upkeep: Upkeep = attrs.field(init=False)
     _obtainer: Obtainer = attrs.field(init=False)
     _wakeup: Wakeup = attrs.field(init=False)
@@ -89,8 +89,8 @@
             spends_loans=lenient,
         )
         sizing = Sizing(self.cfg, self.clock)
-        closer = Closer(self.service)
-        self.recorder = Recorder(
+        closer = AllotmentCloser(self.service)
+        self.recorder = BillRecorder(
             self.book,
             Settler(self.service, self.incarnation),
             closer,
@@ -187,7 +187,7 @@
         if refused is not None:
             return _refuse(self.metrics, refused)
         ledger = self.book.ledger(team)
-        reservation = self.recorder.take(ledger, tokens)
+        reservation = self.recorder.reserve(ledger, tokens)
         if reservation is not None:
             return reservation
         obtained = await self._obtainer.obtain(ledger, tokens)
--- a/src/balsamreach/budget/closing.py
+++ b/src/balsamreach/budget/closing.py
@@ -1,4 +1,4 @@
-"""Closes the allotments of incarnations that are gone."""
+"""Closes the allotments of incarnations that have stopped."""
 
 from itertools import chain, islice
 
@@ -10,26 +10,33 @@
     allotment_key,
     decode_allotment,
 )
-from balsamreach.budget.closing_plan import Closed, Closing, Work, work_out
+from balsamreach.budget.classifying import unique_bill_keys
+from balsamreach.budget.closing_plan import (
+    ClosingPlan,
+    ClosingResult,
+    ClosingSpec,
+    plan_closing,
+)
 from balsamreach.budget.faults import NO_ALLOTMENT, BudgetFault
-from balsamreach.budget.sorting import bill_keys
 from balsamreach.services.base import Commit, TableService
 from balsamreach.services.faults import CONFLICT, UNKNOWN, PlatformFault
 from balsamreach.services.scanning import scan_all
 
 _ATTEMPTS = 8
-#: Most bills that one commit of a closing
-MOST_BILLS = 400
+#: Maximum number of bills in one commit that closes allotments.
+MAX_COMMIT_BILLS = 400
 
 
 @attrs.define
-class Closer:
-    """Closes allotments on evidence that others have established."""
+class AllotmentCloser:
+    """Closes allotments; callers make sure that the holder has stopped."""
 
     service: TableService
 
-    async def teams(self, incarnation: str) -> tuple[str, ...] | BudgetFault:
-        """Return the teams of which an incarnation holds open allotments."""
+    async def open_teams(
+        self, incarnation: str
+    ) -> tuple[str, ...] | BudgetFault:
+        """Return the teams for which an incarnation has open allotments."""
         prefix = allotment_key(incarnation, '')
         rows = await scan_all(self.service, prefix)
         if isinstance(rows, PlatformFault):
@@ -40,75 +47,76 @@
             if not decode_allotment(row.value).closed
         )
 
-    async def close(self, closing: Closing) -> Closed | BudgetFault:
-        """Record the bills and give the rest back, in one commit.
+    async def close(self, closing: ClosingSpec) -> ClosingResult | BudgetFault:
+        """Record bills and return the remaining tokens, in one commit.
 
         Parameters
         ----------
-        closing : Closing
-            What to close. Closing it a second time changes nothing; bills
-            are recorded once however often they come.
+        closing : ClosingSpec
+            The allotment to close. The call is idempotent: closing it again
+            changes nothing, and each bill is recorded only once.
 
         Returns
         -------
-        Closed or BudgetFault
-            NO_ALLOTMENT if the table service is away.
+        ClosingResult or BudgetFault
+            NO_ALLOTMENT if the table service is unavailable.
         """
         outcome = await self.close_many((closing,))
         return outcome if isinstance(outcome, BudgetFault) else outcome[0]
 
     async def close_many(
         self,
-        closings: tuple[Closing, ...],
-    ) -> tuple[Closed, ...] | BudgetFault:
+        closings: tuple[ClosingSpec, ...],
+    ) -> tuple[ClosingResult, ...] | BudgetFault:
         """Close allotments of different teams, all in one commit.
 
         Parameters
         ----------
-        closings : tuple of Closing
-            What to close; the caller bounds how much.
+        closings : tuple of ClosingSpec
+            The allotments to close; the caller limits their number and that
+            of their bills.
 
         Returns
         -------
-        tuple of Closed or BudgetFault
-            As from ``close``, in the order of the closings.
+        tuple of ClosingResult or BudgetFault
+            Results as from ``close``, in the order of ``closings``.
         """
         for _ in range(_ATTEMPTS):
-            works = await self._work_out(closings)
-            if isinstance(works, PlatformFault):
-                return NO_ALLOTMENT.because(f'table service: {works.code}')
-            change = _join(works)
-            if change is None:
-                return tuple(work.closed for work in works)
-            outcome = await self.service.commit(change)
+            plans = await self._plan(closings)
+            if isinstance(plans, PlatformFault):
+                return NO_ALLOTMENT.because(f'table service: {plans.code}')
+            commit = _merge_commits(plans)
+            if commit is None:
+                return tuple(plan.result for plan in plans)
+            outcome = await self.service.commit(commit)
             if not isinstance(outcome, PlatformFault):
-                return tuple(work.closed for work in works)
+                return tuple(plan.result for plan in plans)
             if outcome not in {CONFLICT, UNKNOWN}:
                 return NO_ALLOTMENT.because(f'table service: {outcome.code}')
-        return NO_ALLOTMENT.because('the account is contended')
+        return NO_ALLOTMENT.because('too many commit conflicts on the account')
 
     async def close_all(
         self,
-        closing: Closing,
+        closing: ClosingSpec,
         bills: tuple[Bill, ...],
-    ) -> Closed | BudgetFault:
-        """Close an allotment with any number of bills, in bounded commits.
+    ) -> ClosingResult | BudgetFault:
+        """Close an allotment with any number of bills, over several commits.
 
         Parameters
         ----------
-        closing : Closing
-            What to close; its bills are replaced.
+        closing : ClosingSpec
+            The allotment to close; its ``bills`` are ignored.
         bills : tuple of Bill
-            Bills of that allotment.
+            Bills to record for that allotment.
         """
         unpaid: list[Bill] = []
-        while len(bills) > MOST_BILLS:
+        while len(bills) > MAX_COMMIT_BILLS:
             part = attrs.evolve(
                 closing,
-                bills=bills[:MOST_BILLS],
+                bills=bills[:MAX_COMMIT_BILLS],
                 final=False,
             )
-            bills = bills[MOST_BILLS:]
+            bills = bills[MAX_COMMIT_BILLS:]
             outcome = await self.close(part)
             if isinstance(outcome, BudgetFault):
                 return outcome
@@ -118,34 +126,34 @@
             return outcome
         return attrs.evolve(outcome, unpaid=(*unpaid, *outcome.unpaid))
 
-    async def _work_out(
+    async def _plan(
         self,
-        closings: tuple[Closing, ...],
-    ) -> tuple[Work, ...] | PlatformFault:
+        closings: tuple[ClosingSpec, ...],
+    ) -> tuple[ClosingPlan, ...] | PlatformFault:
         keys = tuple(_keys(closing) for closing in closings)
         read = await self.service.read(tuple(chain.from_iterable(keys)))
         if isinstance(read, PlatformFault):
             return read
         rows = iter(read)
         return tuple(
-            work_out(closing, tuple(islice(rows, len(its_keys))))
-            for closing, its_keys in zip(closings, keys, strict=True)
+            plan_closing(closing, tuple(islice(rows, len(plan_keys))))
+            for closing, plan_keys in zip(closings, keys, strict=True)
         )
 
 
-def _keys(closing: Closing) -> tuple[str, ...]:
+def _keys(closing: ClosingSpec) -> tuple[str, ...]:
     return (
         account_key(closing.team),
         allotment_key(closing.incarnation, closing.team),
-        *bill_keys(closing.bills),
+        *unique_bill_keys(closing.bills),
     )
 
 
-def _join(works: tuple[Work, ...]) -> Commit | None:
-    changes = [work.change for work in works if work.change is not None]
-    if not changes:
+def _merge_commits(plans: tuple[ClosingPlan, ...]) -> Commit | None:
+    commits = [plan.commit for plan in plans if plan.commit is not None]
+    if not commits:
         return None
     return Commit(
-        tuple(chain.from_iterable(change.writes for change in changes)),
-        tuple(chain.from_iterable(change.checks for change in changes)),
+        tuple(chain.from_iterable(commit.writes for commit in commits)),
+        tuple(chain.from_iterable(commit.checks for commit in commits)),
     )
--- a/src/balsamreach/budget/closing_plan.py
+++ b/src/balsamreach/budget/closing_plan.py
@@ -1,4 +1,4 @@
-"""Works out the writes that close an allotment."""
+"""Plans the commit that closes an allotment."""
 
 import attrs
 
@@ -10,30 +10,30 @@
     decode_allotment,
     encode,
 )
-from balsamreach.budget.sorting import insert_bills, sort_bills
+from balsamreach.budget.classifying import classify_bills, insert_bills
 from balsamreach.services.base import ABSENT, Check, Commit, Row, Write
 
 
 @attrs.frozen
-class Closing:
-    """One team's allotment of a dead incarnation.
+class ClosingSpec:
+    """One team's allotment of a stopped incarnation, to be closed.
 
     Parameters
     ----------
     incarnation : str
-        Whose allotment.
+        Incarnation that holds the allotment.
     team : str
-        Team it is for.
+        Team that the allotment belongs to.
     bills : tuple of Bill
-        Bills of that incarnation to record on the way.
+        Bills of that incarnation to record in the same commit.
     lent : int or None
-        Tokens it is known to have lent over all time; None if only the row
-        tells how much it may have lent.
+        Tokens it is known to have lent over all time; None if only the
+        stored row bounds how many it may have lent.
     final : bool
-        Whether the allotment is closed; else only the bills are recorded.
+        Whether to close the allotment; if False, only bills are recorded.
     used : int or None
-        Tokens that it may have used or lent over all time, where that is
-        known from its reports; the rest goes back.
+        Maximum of tokens that it may have used or lent over all time, if
+        known from its reports; the rest is returned.
     """
 
     incarnation: str
@@ -45,17 +45,17 @@
 
 
 @attrs.frozen
-class Closed:
-    """What a closing did.
+class ClosingResult:
+    """The result of closing an allotment.
 
     Parameters
     ----------
     returned : int
-        Tokens that went back to the account.
+        Tokens returned to the account.
     kept : int
         Tokens left in the row because borrowers may hold them.
     unpaid : tuple of Bill
-        Bills that neither the allotment nor the account covers.
+        Bills covered by neither the allotment nor the account.
     """
 
     returned: int = 0
@@ -63,142 +63,154 @@
     unpaid: tuple[Bill, ...] = ()
 
 
-_EMPTY = Allotment(closed=True)
+_ABSENT_ALLOTMENT = Allotment(closed=True)
 
 
 @attrs.frozen
-class Work:
-    """A closing's commit, None if nothing is left to do."""
+class ClosingPlan:
+    """The result of a closing and its commit, None if nothing is to do."""
 
-    closed: Closed
-    change: Commit | None = None
+    result: ClosingResult
+    commit: Commit | None = None
 
 
 @attrs.define
-class _Closing:
-    """A closing while its commit is worked out."""
+class _Planner:
+    """Account and allotment while a closing is applied to them."""
 
-    closing: Closing
+    closing: ClosingSpec
     account: Account
-    own: Allotment
-    closed: Closed = Closed()
+    allotment: Allotment
+    result: ClosingResult = ClosingResult()
 
     @property
     def is_open(self) -> bool:
-        """Whether there is an allotment that is not closed yet."""
-        return not self.own.closed
+        """Whether the allotment exists and is not closed yet."""
+        return not self.allotment.closed
 
-    def record(
+    def apply(
         self,
         stored: tuple[Row, ...],
     ) -> tuple[tuple[Bill, ...], tuple[Bill, ...]]:
-        """Do everything; return the bills to record and those unpaid."""
-        fresh = sort_bills(
+        """Apply the closing; return the bills to record and those unpaid."""
+        unrecorded = classify_bills(
             self.closing.bills,
             stored,
             self.closing.incarnation,
-        ).fresh
-        covered = self._cover(fresh)
+        ).unrecorded
+        covered = self._settle(unrecorded)
         if self.is_open and self.closing.final:
-            self._give_back()
-        beyond = tuple(bill for bill in fresh if bill not in covered)
-        recorded = (*covered, *self._pay(beyond))
-        unpaid = tuple(bill for bill in fresh if bill not in recorded)
+            self._return_tokens()
+        uncovered = tuple(bill for bill in unrecorded if bill not in covered)
+        recorded = (*covered, *self._charge_account(uncovered))
+        unpaid = tuple(bill for bill in unrecorded if bill not in recorded)
         return recorded, unpaid
 
-    def _cover(self, bills: tuple[Bill, ...]) -> tuple[Bill, ...]:
+    def _settle(self, bills: tuple[Bill, ...]) -> tuple[Bill, ...]:
         if not self.is_open:
             return ()
-        covered = _fit(bills, self.own.outstanding)
-        settled = self.own.settled + _sum(covered)
-        self.own = attrs.evolve(self.own, settled=settled)
+        covered = _select_covered(bills, self.allotment.outstanding)
+        settled = self.allotment.settled + _total_tokens(covered)
+        self.allotment = attrs.evolve(self.allotment, settled=settled)
         return covered
 
-    def _give_back(self) -> None:
-        kept = self._kept()
-        returned = self.own.outstanding - kept
+    def _return_tokens(self) -> None:
+        kept = self._tokens_to_keep()
+        returned = self.allotment.outstanding - kept
         self.account = attrs.evolve(
             self.account,
             taken=self.account.taken - returned,
-            folded=self.account.folded + self.own.settled,
+            folded=self.account.folded + self.allotment.settled,
         )
-        self.closed = Closed(returned, kept)
-        self.own = Allotment(
+        self.result = ClosingResult(returned, kept)
+        self.allotment = Allotment(
             granted=kept,
-            seq=self.own.seq,
+            seq=self.allotment.seq,
             lendable=kept,
             closed=True,
-            at=self.own.at,
+            at=self.allotment.at,
         )
 
-    def _kept(self) -> int:
+    def _tokens_to_keep(self) -> int:
         if self.closing.used is not None:
-            known = self.own.settled + self.own.lent
-            unknown = max(0, self.closing.used - known)
-            return min(unknown, self.own.outstanding)
-        kept = self.own.maybe_lent
+            accounted = self.allotment.settled + self.allotment.lent
+            unaccounted = max(0, self.closing.used - accounted)
+            return min(unaccounted, self.allotment.outstanding)
+        kept = self.allotment.maybe_lent
         if self.closing.lent is not None:
-            kept = min(kept, max(0, self.closing.lent - self.own.lent))
+            kept = min(kept, max(0, self.closing.lent - self.allotment.lent))
         return kept
 
-    def _pay(self, bills: tuple[Bill, ...]) -> tuple[Bill, ...]:
-        # A bill that its maker's allotment no longer covers is paid as if
-        # drawn and settled at once. With nothing free it is not recorded:
-        # recorded spend never passes what was prepaid.
-        paid = _fit(bills, self.account.free)
+    def _charge_account(self, bills: tuple[Bill, ...]) -> tuple[Bill, ...]:
+        # A bill that the allotment no longer covers is charged to the account
+        # as if its tokens were drawn and settled at once. If the account has
+        # too few free tokens, the bill is not recorded, so recorded spend
+        # never exceeds the prepaid tokens.
+        paid = _select_covered(bills, self.account.free)
         self.account = attrs.evolve(
             self.account,
-            taken=self.account.taken + _sum(paid),
-            folded=self.account.folded + _sum(paid),
+            taken=self.account.taken + _total_tokens(paid),
+            folded=self.account.folded + _total_tokens(paid),
         )
         return paid
 
 
-def work_out(closing: Closing, rows: tuple[Row, ...]) -> Work:
-    """Work out what closing an allotment comes to.
+def plan_closing(closing: ClosingSpec, rows: tuple[Row, ...]) -> ClosingPlan:
+    """Plan the commit that closes an allotment.
 
     Parameters
     ----------
-    closing : Closing
-        What to close.
+    closing : ClosingSpec
+        The allotment to close.
     rows : tuple of Row
-        The account, the allotment and the rows of the bills.
+        The rows of the account, the allotment and the bills, in this order.
     """
-    account, own = rows[:2]
-    # A row that is absent holds nothing, as one that was closed.
-    before = _EMPTY if own.value is None else decode_allotment(own.value)
-    work = _Closing(closing, decode_account(account.value), before)
-    recorded, unpaid = work.record(rows[2:])
-    closed = attrs.evolve(work.closed, unpaid=unpaid)
-    if not recorded and work.own == before:
-        return Work(closed)
+    account_row, allotment_row = rows[:2]
+    # An absent row holds no tokens, like a closed allotment.
+    before = (
+        _ABSENT_ALLOTMENT
+        if allotment_row.value is None
+        else decode_allotment(allotment_row.value)
+    )
+    planner = _Planner(closing, decode_account(account_row.value), before)
+    recorded, unpaid = planner.apply(rows[2:])
+    result = attrs.evolve(planner.result, unpaid=unpaid)
+    if not recorded and planner.allotment == before:
+        return ClosingPlan(result)
     writes, checks = insert_bills(recorded, closing.incarnation)
-    kept = [Write(account.key, encode(work.account))]
-    if before is not _EMPTY:
-        kept.append(Write(own.key, _stored(work.own)))
-    return Work(
-        closed,
-        Commit((*writes, *kept), (*checks, _check(account), _check(own))),
+    row_writes = [Write(account_row.key, encode(planner.account))]
+    if before is not _ABSENT_ALLOTMENT:
+        row_writes.append(
+            Write(allotment_row.key, _encode_row(planner.allotment)),
+        )
+    return ClosingPlan(
+        result,
+        Commit(
+            (*writes, *row_writes),
+            (*checks, _check(account_row), _check(allotment_row)),
+        ),
     )
 
 
-def _stored(own: Allotment) -> dict[str, object] | None:
-    emptied = own.closed and not own.outstanding
-    return None if emptied else encode(own)
+def _encode_row(allotment: Allotment) -> dict[str, object] | None:
+    is_empty = allotment.closed and not allotment.outstanding
+    return None if is_empty else encode(allotment)
 
 
 def _check(row: Row) -> Check:
     return Check(row.key, ABSENT if row.value is None else row.version)
 
 
-def _fit(bills: tuple[Bill, ...], room: int) -> tuple[Bill, ...]:
+def _select_covered(
+    bills: tuple[Bill, ...], available: int
+) -> tuple[Bill, ...]:
     covered = []
     for bill in bills:
-        if bill.tokens <= room:
-            room -= bill.tokens
+        if bill.tokens <= available:
+            available -= bill.tokens
             covered.append(bill)
     return tuple(covered)
 
 
-def _sum(bills: tuple[Bill, ...]) -> int:
+def _total_tokens(bills: tuple[Bill, ...]) -> int:
     return sum(bill.tokens for bill in bills)
--- a/src/balsamreach/budget/copies.py
+++ b/src/balsamreach/budget/copies.py
@@ -5,8 +5,8 @@
 import attrs
 
 from balsamreach.budget.account import Bill
-from balsamreach.budget.closing import Closer
-from balsamreach.budget.closing_plan import Closing
+from balsamreach.budget.closing import AllotmentCloser
+from balsamreach.budget.closing_plan import ClosingSpec
 from balsamreach.budget.faults import BudgetFault
 from balsamreach.budget.incarnations import Incarnations
 from balsamreach.budget.leftovers import Leftovers
@@ -190,7 +190,7 @@
     ----------
     net : PeerNet
         The other routers.
-    closer : Closer
+    closer : AllotmentCloser
         Settles and closes.
     incarnations : Incarnations
         Tells who is gone.
@@ -203,7 +203,7 @@
     """
 
     net: PeerNet
-    closer: Closer
+    closer: AllotmentCloser
     incarnations: Incarnations
     leftovers: Leftovers
     metrics: Metrics
@@ -280,7 +280,7 @@
         )
         if gone is not True:
             return
-        teams = await self.closer.teams(maker)
+        teams = await self.closer.open_teams(maker)
         if isinstance(teams, BudgetFault):
             return
         billed = {copy.team for copy in self.copies[maker].values()}
@@ -303,7 +303,7 @@
             for copy in kept.values()
             if copy.team == team
         )
-        closing = Closing(maker, team)
+        closing = ClosingSpec(maker, team)
         outcome = await self.closer.close_all(closing, bills)
         if isinstance(outcome, BudgetFault):
             return
--- a/src/balsamreach/budget/copying.py
+++ b/src/balsamreach/budget/copying.py
@@ -7,7 +7,7 @@
 
 from balsamreach.budget.account import Bill
 from balsamreach.budget.copies import Keeper, Sender
-from balsamreach.budget.recorder import Recorder
+from balsamreach.budget.recorder import BillRecorder
 from balsamreach.clock import Clock
 
 SECURED = 'balsamreach_budget_bills_secured_total'
@@ -29,7 +29,7 @@
 
     Parameters
     ----------
-    recorder : Recorder
+    recorder : BillRecorder
         Knows the bills.
     sender : Sender
         Sends copies of them.
@@ -39,7 +39,7 @@
         Time between messages.
     """
 
-    recorder: Recorder
+    recorder: BillRecorder
     sender: Sender
     keeper: Keeper
     clock: Clock
@@ -52,7 +52,7 @@
 
     def copy_new(self) -> None:
         """Send the bills that were made since the last copy."""
-        fresh = self.recorder.unsent.take()
+        fresh = self.recorder.uncopied.take()
         task = asyncio.create_task(self._deliver(fresh))
         self._under_way.add(task)
         task.add_done_callback(self._under_way.discard)
@@ -64,7 +64,7 @@
         router. Without a buddy that answers in time there is no such bill;
         the caller is not kept waiting for it.
         """
-        if self.recorder.unsent.any:
+        if self.recorder.uncopied.any:
             self.copy_new()
         # A buddy that is silent costs one answer this wait, not each.
         if self._is_silent or not self._under_way:
@@ -86,7 +86,7 @@
 
     async def _copy(self) -> None:
         while True:
-            await self.recorder.unsent.wait()
+            await self.recorder.uncopied.wait()
             self.copy_new()
 
     async def _look(self) -> None:
--- a/src/balsamreach/budget/ending.py
+++ b/src/balsamreach/budget/ending.py
@@ -10,6 +10,7 @@
     encode,
 )
 from balsamreach.budget.auditor import CLAIM_PREFIX, CLAIMED
+from balsamreach.budget.classifying import insert_bills
 from balsamreach.budget.faults import (
     EXHAUSTED,
     NO_ACCOUNT,
@@ -18,7 +19,6 @@
     BudgetFault,
 )
 from balsamreach.budget.incarnations import live_check
-from balsamreach.budget.sorting import insert_bills
 from balsamreach.services.base import Commit, Row, TableService, Write
 from balsamreach.services.faults import CONFLICT, UNKNOWN, PlatformFault
 
--- a/src/balsamreach/budget/leaving.py
+++ b/src/balsamreach/budget/leaving.py
@@ -6,14 +6,14 @@
 
 from balsamreach.budget.account import Bill
 from balsamreach.budget.book import Book
-from balsamreach.budget.closing import MOST_BILLS
-from balsamreach.budget.closing_plan import Closed, Closing
+from balsamreach.budget.closing import MAX_COMMIT_BILLS
+from balsamreach.budget.closing_plan import ClosingResult, ClosingSpec
 from balsamreach.budget.copies import Keeper, Sender
 from balsamreach.budget.faults import LEFT, TAKEN_OVER, BudgetFault
 from balsamreach.budget.ledger import Ledger
 from balsamreach.budget.moves import Move
-from balsamreach.budget.recorder import Recorder
-from balsamreach.budget.settling import Settled
+from balsamreach.budget.recorder import BillRecorder
+from balsamreach.budget.settling import SettlementResult
 from balsamreach.budget.sizing import Sizing
 from balsamreach.budget.takeover import Takeover
 from balsamreach.telemetry.logs import log_event
@@ -40,7 +40,7 @@
 
     book: Book
     sizing: Sizing
-    recorder: Recorder
+    recorder: BillRecorder
     takeover: Takeover
     sender: Sender | None
     keeper: Keeper | None
@@ -122,16 +122,16 @@
             self._enter(bills, ended)
         return None
 
-    def _closing(self, ledger: Ledger) -> Closing:
-        return Closing(
+    def _closing(self, ledger: Ledger) -> ClosingSpec:
+        return ClosingSpec(
             self._incarnation,
             ledger.team,
             lent=ledger.lent,
         )
 
-    def _enter(self, bills: tuple[Bill, ...], closed: Closed) -> None:
+    def _enter(self, bills: tuple[Bill, ...], closed: ClosingResult) -> None:
         done = tuple(bill for bill in bills if bill not in closed.unpaid)
-        self.recorder.enter(Settled(done))
+        self.recorder.apply(SettlementResult(done))
 
     async def _hand_over(self, fault: BudgetFault) -> bool:
         waiting = self.recorder.bills()
@@ -154,7 +154,7 @@
     bills = 0
     for ledger in ledgers:
         bills += len(ledger.waiting)
-        if batch and (bills > MOST_BILLS or len(batch) == MOST_TEAMS):
+        if batch and (bills > MAX_COMMIT_BILLS or len(batch) == MOST_TEAMS):
             batches.append(tuple(batch))
             batch.clear()
             bills = len(ledger.waiting)
--- a/src/balsamreach/budget/peer_parts.py
+++ b/src/balsamreach/budget/peer_parts.py
@@ -8,7 +8,7 @@
 from balsamreach.budget.copying import Copying
 from balsamreach.budget.loans import Loans
 from balsamreach.budget.reclaiming import Reclaimer
-from balsamreach.budget.recorder import Recorder
+from balsamreach.budget.recorder import BillRecorder
 from balsamreach.budget.sizing import Sizing
 from balsamreach.budget.takeover import Takeover
 from balsamreach.peers.base import PeerNet
@@ -27,7 +27,7 @@
 
 def make_peer_parts(
     net: PeerNet,
-    recorder: Recorder,
+    recorder: BillRecorder,
     sizing: Sizing,
     takeover: Takeover,
     rng: random.Random,
--- a/src/balsamreach/budget/recorder.py
+++ b/src/balsamreach/budget/recorder.py
@@ -1,4 +1,4 @@
-"""Takes the bills of requests and records them a batch at a time."""
+"""Collects the bills of requests and records them in batches."""
 
 from collections.abc import Container, Iterable
 
@@ -6,12 +6,12 @@
 
 from balsamreach.budget.account import Bill
 from balsamreach.budget.book import Book
-from balsamreach.budget.closing import Closer
-from balsamreach.budget.closing_plan import Closing
+from balsamreach.budget.closing import AllotmentCloser
+from balsamreach.budget.closing_plan import ClosingSpec
 from balsamreach.budget.faults import BILLS_FULL, NO_ALLOTMENT, BudgetFault
 from balsamreach.budget.ledger import Ledger, Reservation
-from balsamreach.budget.settling import Settled, Settler
-from balsamreach.budget.unsent import Unsent
+from balsamreach.budget.settling import SettlementResult, Settler
+from balsamreach.budget.uncopied import UncopiedBills
 from balsamreach.telemetry.metrics import Metrics
 
 RECORDED = 'balsamreach_budget_bills_recorded_total'
@@ -19,67 +19,69 @@
 WAITING = 'balsamreach_budget_bills_waiting'
 OLDEST = 'balsamreach_budget_bills_oldest_age_seconds'
 
-#: Most bills of one commit.
-COMMIT_BILLS = 500
-_MOST_COMMITS = 20
+#: Maximum number of bills in one commit.
+_MAX_BATCH_BILLS = 500
+_MAX_COMMITS = 20
 
 
 @attrs.define
-class Recorder:
+class BillRecorder:
     """Records one router's bills.
 
     Parameters
     ----------
     book : Book
-        The ledgers that the bills wait in.
+        Ledgers, which hold the bills until they are recorded.
     settler : Settler
-        Records them against this router's allotments.
-    closer : Closer
-        Records them if the allotments were taken over.
+        Records bills against this router's allotments.
+    closer : AllotmentCloser
+        Records bills after a successor closed the allotments.
     metrics : Metrics
-        Counts bills.
+        Counts recorded and repeated bills.
     """
 
     book: Book
     settler: Settler
-    closer: Closer
+    closer: AllotmentCloser
     metrics: Metrics
     repeated: int = 0
-    unsent: Unsent = attrs.field(factory=Unsent)
-    _made: int = 0
-    _made_at: dict[int, float] = attrs.field(factory=dict)
+    uncopied: UncopiedBills = attrs.field(factory=UncopiedBills)
+    _last_ordinal: int = 0
+    _created_at: dict[int, float] = attrs.field(factory=dict)
 
     @property
     def waiting(self) -> int:
         """Number of bills that are not recorded yet."""
-        return len(self._made_at)
+        return len(self._created_at)
 
     @property
     def oldest_age(self) -> float:
-        """Seconds for which the oldest bill has been waiting."""
-        if not self._made_at:
+        """Age of the oldest waiting bill in seconds."""
+        if not self._created_at:
             return 0
-        first = next(iter(self._made_at))
-        return self.book.clock.now() - self._made_at[first]
+        oldest = next(iter(self._created_at))
+        return self.book.clock.now() - self._created_at[oldest]
 
     def refusal(self, limit: int) -> BudgetFault | None:
-        """Return why no request may begin now, if so.
+        """Return why no request may start now, None if one may.
 
         Parameters
         ----------
         limit : int
-            Most bills that may wait.
+            Maximum number of waiting bills.
         """
         if self.book.closed is not None:
             return self.book.closed
-        # Requests that ran must be billed, so when no more bills can wait
-        # nothing new is run, rather than run and not billed.
+        # A request that ran must be billed. When no more bills may wait, new
+        # requests are refused, so that none runs without being billed.
         if self.waiting >= limit:
-            return BILLS_FULL.because('bills wait for the table service')
+            return BILLS_FULL.because(
+                'too many bills wait for the table service'
+            )
         return None
 
-    def take(self, ledger: Ledger, tokens: int) -> Reservation | None:
-        """Reserve tokens of a ledger, None where too few are available."""
+    def reserve(self, ledger: Ledger, tokens: int) -> Reservation | None:
+        """Reserve tokens of a ledger; None if too few are available."""
         reservation = ledger.reserve(tokens)
         if reservation is not None:
             ledger.rate.add(tokens, self.book.clock.now())
@@ -97,13 +99,13 @@
         if not reservation.open:
             return
         ledger = self.book.ledgers[reservation.team]
-        self._made += 1
+        self._last_ordinal += 1
         now = self.book.clock.now()
-        self._made_at[self._made] = now
+        self._created_at[self._last_ordinal] = now
         ledger.rate.add(bill.tokens - reservation.tokens, now)
-        numbered = attrs.evolve(bill, ordinal=self._made)
+        numbered = attrs.evolve(bill, ordinal=self._last_ordinal)
         ledger.bill(reservation, numbered)
-        self.unsent.add(numbered)
+        self.uncopied.add(numbered)
 
     def bills(self) -> tuple[Bill, ...]:
         """Return all bills that are not recorded yet."""
@@ -114,78 +116,86 @@
         )
 
     async def flush(self) -> BudgetFault | None:
-        """Record the bills that wait now, unless the service is away."""
-        # Bills that come in while a commit is under way are left to the next
-        # flush. Were they recorded at once, a busy router would end each
-        # flush with many commits of one or two bills; it would show as more
-        # writes of the table service than the bills need.
-        latest = self._made
-        for _ in range(_MOST_COMMITS):
-            if next(iter(self._made_at), latest + 1) > latest:
+        """Record the bills that wait now.
+
+        Returns
+        -------
+        BudgetFault or None
+            Why recording failed, such as NO_ALLOTMENT if the table service
+            is unavailable; None if it did not. Bills may still wait after
+            the maximum number of commits.
+        """
+        # Bills added during a commit are left to the next flush. Otherwise a
+        # busy router would end each flush with many commits of one or two
+        # bills and make more writes to the table service than necessary.
+        latest = self._last_ordinal
+        for _ in range(_MAX_COMMITS):
+            if next(iter(self._created_at), latest + 1) > latest:
                 return None
-            fault = await self._flush_part()
+            fault = await self._flush_batch()
             if fault is not None:
                 return fault
         return None
 
-    def enter(self, settled: Settled) -> None:
-        """Drop bills that need not wait any more."""
-        settled = attrs.evolve(
-            settled,
-            recorded=_among(self._made_at, settled.recorded),
-            repeated=_among(self._made_at, settled.repeated),
+    def apply(self, settlement: SettlementResult) -> None:
+        """Remove bills from the ledgers after they were recorded."""
+        settlement = attrs.evolve(
+            settlement,
+            recorded=_still_waiting(self._created_at, settlement.recorded),
+            repeated=_still_waiting(self._created_at, settlement.repeated),
         )
-        entered = (*settled.recorded, *settled.repeated)
-        done = {bill.ordinal for bill in entered}
-        teams = {bill.team for bill in entered}
+        finished = (*settlement.recorded, *settlement.repeated)
+        ordinals = {bill.ordinal for bill in finished}
+        teams = {bill.team for bill in finished}
         for team in teams:
             ledger = self.book.ledgers[team]
             ledger.waiting = [
-                bill for bill in ledger.waiting if bill.ordinal not in done
+                bill for bill in ledger.waiting if bill.ordinal not in ordinals
             ]
-        for ordinal in done:
-            self._made_at.pop(ordinal, None)
-        # A request that was billed already is not billed again; the tokens
-        # it used here return to the allotment.
-        for bill in settled.repeated:
+        for ordinal in ordinals:
+            self._created_at.pop(ordinal, None)
+        # A request that already has a bill is not billed again; the tokens of
+        # the second bill become available again.
+        for bill in settlement.repeated:
             ledger = self.book.ledgers[bill.team]
             ledger.billed -= bill.tokens
             ledger.hand_out()
-        self.repeated += len(settled.repeated)
-        self.metrics.count(RECORDED, len(settled.recorded))
-        self.metrics.count(REPEATED, len(settled.repeated))
+        self.repeated += len(settlement.repeated)
+        self.metrics.count(RECORDED, len(settlement.recorded))
+        self.metrics.count(REPEATED, len(settlement.repeated))
 
-    async def _flush_part(self) -> BudgetFault | None:
+    async def _flush_batch(self) -> BudgetFault | None:
         if self.book.closed is not None:
-            return await self._flush_closed()
+            return await self._flush_to_accounts()
         lent = {team: ledger.lent for team, ledger in self.book.ledgers.items()}
         outcome = await self.settler.settle(self._batch(), lent)
         if isinstance(outcome, BudgetFault):
             self.book.note(outcome)
             return outcome
-        self.enter(outcome)
+        self.apply(outcome)
         if outcome.recorded or outcome.repeated:
             return None
         return NO_ALLOTMENT.because('bills wait for a loan to be recorded')
 
-    async def _flush_closed(self) -> BudgetFault | None:
-        # A successor has closed the allotments while this process was
-        # paused. What it served must still be billed; the account pays.
+    async def _flush_to_accounts(self) -> BudgetFault | None:
+        # A successor closed the allotments, for example while this process
+        # was paused. Requests that it served must still be billed, so their
+        # bills are charged to the accounts.
         fault = None
         for ledger in tuple(self.book.ledgers.values()):
             if ledger.waiting:
-                fault = await self._pay(ledger) or fault
+                fault = await self._charge_account(ledger) or fault
         return fault
 
-    async def _pay(self, ledger: Ledger) -> BudgetFault | None:
+    async def _charge_account(self, ledger: Ledger) -> BudgetFault | None:
         bills = tuple(ledger.waiting)
-        closing = Closing(self.settler.incarnation, ledger.team)
+        closing = ClosingSpec(self.settler.incarnation, ledger.team)
         outcome = await self.closer.close_all(closing, bills)
         if isinstance(outcome, BudgetFault):
             return outcome
         unpaid = {bill.ordinal for bill in outcome.unpaid}
-        self.enter(
-            Settled(
+        self.apply(
+            SettlementResult(
                 tuple(bill for bill in bills if bill.ordinal not in unpaid),
             ),
         )
@@ -196,14 +206,16 @@
     def _batch(self) -> tuple[Bill, ...]:
         bills: list[Bill] = []
         for ledger in self.book.ledgers.values():
-            room = COMMIT_BILLS - len(bills)
-            bills.extend(ledger.waiting[:room])
+            remaining = _MAX_BATCH_BILLS - len(bills)
+            bills.extend(ledger.waiting[:remaining])
         return tuple(bills)
 
 
-def _among(waiting: Container[int], bills: Iterable[Bill]) -> tuple[Bill, ...]:
-    # Two flushes can run at once, such as the last one of a router that
-    # leaves and that of a round, and settle the same bills. Entered twice,
-    # they would bring the number of waiting bills below zero: the router
-    # would wait for none to be left until its tries end.
+def _still_waiting(
+    waiting: Container[int], bills: Iterable[Bill]
+) -> tuple[Bill, ...]:
+    # Two flushes can run concurrently, such as the final one of a router that
+    # shuts down and a periodic one, and settle the same bills. Applying a
+    # bill twice would make the number of waiting bills negative, and the
+    # router would wait for it to reach zero until its attempts are used up.
     return tuple(bill for bill in bills if bill.ordinal in waiting)
--- a/src/balsamreach/budget/recording.py
+++ b/src/balsamreach/budget/recording.py
@@ -1,4 +1,4 @@
-"""Works out the writes that record loans against their lenders."""
+"""Plans the writes that record loans in their lenders' allotments."""
 
 import attrs
 
@@ -7,17 +7,17 @@
 
 
 @attrs.frozen
-class Recorded:
-    """What recording loans comes to.
+class LoanRecording:
+    """The plan for recording loans.
 
     Parameters
     ----------
     tokens : int
         Tokens of the loans that can be recorded.
     recorded, dropped : tuple of str
-        Ids of those loans, and of those that never can be.
+        Ids of the loans that can be recorded, and of those that never can.
     writes : tuple of Write
-        The lenders' allotments.
+        Writes of the lenders' allotments.
     """
 
     tokens: int
@@ -29,38 +29,43 @@
 def record_loans(
     loans: tuple[Loan, ...],
     lenders: tuple[Row, ...],
-) -> Recorded:
-    """Work out what recording loans writes to their lenders' rows.
+) -> LoanRecording:
+    """Plan the writes that record loans in their lenders' allotments.
+
+    A loan for which its lender's allotment has too few tokens is dropped.
 
     Parameters
     ----------
     loans : tuple of Loan
-        Loans taken and not recorded.
+        Loans received and not recorded yet.
     lenders : tuple of Row
         The lenders' allotments as read.
     """
-    by_key = {row.key.split('/')[1]: row for row in lenders}
+    lender_rows = {row.key.split('/')[1]: row for row in lenders}
     recorded: list[str] = []
     dropped: list[str] = []
-    lent: dict[str, int] = {}
+    lent_tokens: dict[str, int] = {}
     for loan in loans:
-        stored = decode_allotment(by_key[loan.lender].value)
-        so_far = lent.get(loan.lender, 0)
-        if loan.tokens + so_far > stored.outstanding:
+        allotment = decode_allotment(lender_rows[loan.lender].value)
+        already_lent = lent_tokens.get(loan.lender, 0)
+        if loan.tokens + already_lent > allotment.outstanding:
             dropped.append(loan.loan_id)
             continue
         recorded.append(loan.loan_id)
-        lent[loan.lender] = so_far + loan.tokens
-    writes = [_lend(by_key[lender], tokens) for lender, tokens in lent.items()]
-    return Recorded(
-        sum(lent.values()),
+        lent_tokens[loan.lender] = already_lent + loan.tokens
+    writes = [
+        _lend_write(lender_rows[lender], tokens)
+        for lender, tokens in lent_tokens.items()
+    ]
+    return LoanRecording(
+        sum(lent_tokens.values()),
         tuple(recorded),
         tuple(dropped),
         tuple(writes),
     )
 
 
-def _lend(row: Row, tokens: int) -> Write:
+def _lend_write(row: Row, tokens: int) -> Write:
     allotment = decode_allotment(row.value)
     allotment = attrs.evolve(allotment, lent=allotment.lent + tokens)
     if allotment.closed and not allotment.outstanding:
--- a/src/balsamreach/budget/releasing.py
+++ b/src/balsamreach/budget/releasing.py
@@ -2,8 +2,8 @@
 
 import attrs
 
-from balsamreach.budget.closing import Closer
-from balsamreach.budget.closing_plan import Closing
+from balsamreach.budget.closing import AllotmentCloser
+from balsamreach.budget.closing_plan import ClosingSpec
 from balsamreach.budget.faults import (
     NO_ALLOTMENT,
     STILL_LISTED,
@@ -143,14 +143,14 @@
         return None
 
     async def _close(self, incarnation: str) -> Released | BudgetFault:
-        closer = Closer(self.service)
-        teams = await closer.teams(incarnation)
+        closer = AllotmentCloser(self.service)
+        teams = await closer.open_teams(incarnation)
         if isinstance(teams, BudgetFault):
             return teams
         returned: dict[str, int] = {}
         kept = 0
         for team in teams:
-            closed = await closer.close(Closing(incarnation, team))
+            closed = await closer.close(ClosingSpec(incarnation, team))
             if isinstance(closed, BudgetFault):
                 return closed
             returned[team] = closed.returned
--- a/src/balsamreach/budget/settling.py
+++ b/src/balsamreach/budget/settling.py
@@ -1,4 +1,4 @@
-"""Records waiting bills in the table service, each exactly once."""
+"""Records bills in the table service, each exactly once."""
 
 from collections.abc import Mapping
 
@@ -11,8 +11,12 @@
     decode_allotment,
     encode,
 )
+from balsamreach.budget.classifying import (
+    classify_bills,
+    insert_bills,
+    unique_bill_keys,
+)
 from balsamreach.budget.faults import NO_ALLOTMENT, TAKEN_OVER, BudgetFault
-from balsamreach.budget.sorting import bill_keys, insert_bills, sort_bills
 from balsamreach.services.base import Check, Commit, Row, TableService, Write
 from balsamreach.services.faults import CONFLICT, UNKNOWN, PlatformFault
 
@@ -20,17 +24,17 @@
 
 
 @attrs.frozen
-class Settled:
-    """What a settlement did.
+class SettlementResult:
+    """The result of recording bills.
 
     Parameters
     ----------
     recorded : tuple of Bill
-        Bills that this incarnation recorded.
+        Bills that are recorded, by this call or an earlier one.
     repeated : tuple of Bill
-        Bills whose request was billed already.
+        Bills whose request already has a different bill.
     uncovered : tuple of Bill
-        Bills that wait because the allotment does not cover them yet.
+        Bills not recorded because the allotment does not cover them yet.
     """
 
     recorded: tuple[Bill, ...] = ()
@@ -40,7 +44,7 @@
 
 @attrs.define
 class Settler:
-    """Writes one incarnation's bills, many in one commit."""
+    """Records the bills of one incarnation, many in one commit."""
 
     service: TableService
     incarnation: str
@@ -49,37 +53,39 @@
         self,
         bills: tuple[Bill, ...],
         lent: Mapping[str, int],
-    ) -> Settled | BudgetFault:
-        """Record bills and count them against their allotments.
+    ) -> SettlementResult | BudgetFault:
+        """Record bills and count them as settled in their allotments.
 
         Parameters
         ----------
         bills : tuple of Bill
             Bills of any teams.
         lent : mapping of str to int
-            Tokens lent by team, recorded or not; bills leave them alone.
+            Tokens lent over all time by team, recorded or not; they can't
+            be used to cover bills.
 
         Returns
         -------
-        Settled or BudgetFault
-            NO_ALLOTMENT if the table service is away and TAKEN_OVER if a
-            successor closed an allotment; the bills are still the caller's.
+        SettlementResult or BudgetFault
+            NO_ALLOTMENT if the table service is unavailable, TAKEN_OVER if
+            a successor closed an allotment. After a fault the caller still
+            has to get the bills recorded.
         """
         for _ in range(_ATTEMPTS):
             rows = await self._read(bills)
             if isinstance(rows, PlatformFault):
                 return NO_ALLOTMENT.because(f'table service: {rows.code}')
-            if any(_is_closed(row) for row in self._own(rows)):
-                return TAKEN_OVER.because('an allotment of ours was closed')
-            batch = self._batch(bills, rows, lent)
-            if batch.change is None:
-                return batch.settled
-            outcome = await self.service.commit(batch.change)
+            if any(_is_closed(row) for row in self._allotment_rows(rows)):
+                return TAKEN_OVER.because('a successor closed an allotment')
+            plan = self._plan(bills, rows, lent)
+            if plan.commit is None:
+                return plan.result
+            outcome = await self.service.commit(plan.commit)
             if not isinstance(outcome, PlatformFault):
-                return batch.settled
+                return plan.result
             if outcome not in {CONFLICT, UNKNOWN}:
                 return NO_ALLOTMENT.because(f'table service: {outcome.code}')
-        return NO_ALLOTMENT.because('bills could not be recorded')
+        return NO_ALLOTMENT.because('bills could not be recorded: conflicts')
 
     async def _read(
         self,
@@ -87,77 +93,84 @@
     ) -> tuple[Row, ...] | PlatformFault:
         teams = sorted({bill.team for bill in bills})
         allotments = (allotment_key(self.incarnation, name) for name in teams)
-        return await self.service.read((*bill_keys(bills), *allotments))
+        return await self.service.read((*unique_bill_keys(bills), *allotments))
 
-    def _own(self, rows: tuple[Row, ...]) -> tuple[Row, ...]:
+    def _allotment_rows(self, rows: tuple[Row, ...]) -> tuple[Row, ...]:
         prefix = allotment_key(self.incarnation, '')
         return tuple(row for row in rows if row.key.startswith(prefix))
 
-    def _batch(
+    def _plan(
         self,
         bills: tuple[Bill, ...],
         rows: tuple[Row, ...],
         lent: Mapping[str, int],
-    ) -> '_Batch':
-        found = sort_bills(bills, rows, self.incarnation)
-        counted = {
+    ) -> '_Plan':
+        classified = classify_bills(bills, rows, self.incarnation)
+        allotments = {
             row.key.rsplit('/', 1)[-1]: decode_allotment(row.value)
-            for row in self._own(rows)
+            for row in self._allotment_rows(rows)
         }
-        fitting = []
+        covered = []
         uncovered = []
-        for bill in found.fresh:
-            allotment = counted[bill.team]
-            unrecorded = max(0, lent.get(bill.team, 0) - allotment.lent)
-            # Tokens of an unrecorded loan count here only once it is
-            # recorded; a bill that needs them waits for the next draw.
-            if bill.tokens > allotment.outstanding - unrecorded:
+        for bill in classified.unrecorded:
+            allotment = allotments[bill.team]
+            unrecorded_loans = max(0, lent.get(bill.team, 0) - allotment.lent)
+            # A loan lowers ``outstanding`` only once it is recorded, so the
+            # tokens of unrecorded loans are subtracted here. A bill that
+            # needs them waits for the next draw.
+            if bill.tokens > allotment.outstanding - unrecorded_loans:
                 uncovered.append(bill)
                 continue
-            counted[bill.team] = _count(allotment, bill)
-            fitting.append(bill)
-        return _Batch(
-            Settled(
-                (*found.known, *fitting),
-                found.repeated,
+            allotments[bill.team] = _add_bill(allotment, bill)
+            covered.append(bill)
+        return _Plan(
+            SettlementResult(
+                (*classified.recorded, *covered),
+                classified.repeated,
                 tuple(uncovered),
             ),
-            self._change(tuple(fitting), rows, counted),
+            self._make_commit(tuple(covered), rows, allotments),
         )
 
-    def _change(
+    def _make_commit(
         self,
-        fitting: tuple[Bill, ...],
+        covered: tuple[Bill, ...],
         rows: tuple[Row, ...],
-        counted: Mapping[str, Allotment],
+        allotments: Mapping[str, Allotment],
     ) -> Commit | None:
-        if not fitting:
+        if not covered:
             return None
-        writes, checks = insert_bills(fitting, self.incarnation)
-        teams = {bill.team for bill in fitting}
-        own = [
-            row for row in self._own(rows) if row.key.split('/')[-1] in teams
+        writes, checks = insert_bills(covered, self.incarnation)
+        teams = {bill.team for bill in covered}
+        allotment_rows = [
+            row
+            for row in self._allotment_rows(rows)
+            if row.key.split('/')[-1] in teams
         ]
-        settled = tuple(
-            Write(row.key, encode(counted[row.key.split('/')[-1]]))
-            for row in own
+        allotment_writes = tuple(
+            Write(row.key, encode(allotments[row.key.split('/')[-1]]))
+            for row in allotment_rows
+        )
+        allotment_checks = tuple(
+            Check(row.key, row.version) for row in allotment_rows
+        )
+        return Commit(
+            (*writes, *allotment_writes), (*checks, *allotment_checks)
         )
-        held = tuple(Check(row.key, row.version) for row in own)
-        return Commit((*writes, *settled), (*checks, *held))
 
 
 @attrs.frozen
-class _Batch:
-    settled: Settled
-    change: Commit | None
+class _Plan:
+    result: SettlementResult
+    commit: Commit | None
 
 
 def _is_closed(row: Row) -> bool:
-    # A row that never was belongs to a router that has only borrowed so far.
+    # A row that never existed belongs to a router that has only borrowed.
     if row.value is None:
         return row.version > 0
     return decode_allotment(row.value).closed
 
 
-def _count(allotment: Allotment, bill: Bill) -> Allotment:
+def _add_bill(allotment: Allotment, bill: Bill) -> Allotment:
     return attrs.evolve(allotment, settled=allotment.settled + bill.tokens)
--- a/src/balsamreach/budget/succession.py
+++ b/src/balsamreach/budget/succession.py
@@ -12,8 +12,8 @@
 import attrs
 
 from balsamreach.budget.book import Book
-from balsamreach.budget.closing import Closer
-from balsamreach.budget.closing_plan import Closing
+from balsamreach.budget.closing import AllotmentCloser
+from balsamreach.budget.closing_plan import ClosingSpec
 from balsamreach.budget.faults import BudgetFault
 from balsamreach.budget.incarnations import Incarnations
 from balsamreach.budget.promises import Report, decode_report
@@ -123,8 +123,8 @@
     ) -> bool:
         silence = _silence(died, last)
         used = last.allowed(team, silence)
-        closing = Closing(incarnation, team, used=used)
-        outcome = await Closer(self.service).close(closing)
+        closing = ClosingSpec(incarnation, team, used=used)
+        outcome = await AllotmentCloser(self.service).close(closing)
         if isinstance(outcome, BudgetFault):
             return False
         self.metrics.count(RECLAIMED, outcome.returned)
--- a/src/balsamreach/budget/takeover.py
+++ b/src/balsamreach/budget/takeover.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from balsamreach.budget.closing import Closer
-from balsamreach.budget.closing_plan import Closed, Closing
+from balsamreach.budget.closing import AllotmentCloser
+from balsamreach.budget.closing_plan import ClosingResult, ClosingSpec
 from balsamreach.budget.faults import BudgetFault
 from balsamreach.budget.incarnations import Incarnations
 from balsamreach.budget.leftovers import Leftovers
@@ -24,7 +24,7 @@
 
     Parameters
     ----------
-    closer : Closer
+    closer : AllotmentCloser
         Closes one allotment.
     incarnations : Incarnations
         Names the predecessors.
@@ -34,7 +34,7 @@
         List of those of whom something is left.
     """
 
-    closer: Closer
+    closer: AllotmentCloser
     incarnations: Incarnations
     metrics: Metrics
     leftovers: Leftovers
@@ -44,18 +44,20 @@
         await self.incarnations.close_before(self._close_all_of)
 
     async def _close_all_of(self, incarnation: str) -> bool:
-        teams = await self.closer.teams(incarnation)
+        teams = await self.closer.open_teams(incarnation)
         if isinstance(teams, BudgetFault):
             return False
         for team in teams:
-            outcome = await self.closer.close(Closing(incarnation, team))
+            outcome = await self.closer.close(ClosingSpec(incarnation, team))
             if isinstance(outcome, BudgetFault):
                 return False
-            report(self.metrics, Closing(incarnation, team), outcome)
+            report(self.metrics, ClosingSpec(incarnation, team), outcome)
         return await self.leftovers.note(incarnation) is None
 
 
-def report(metrics: Metrics, closing: Closing, outcome: Closed) -> None:
+def report(
+    metrics: Metrics, closing: ClosingSpec, outcome: ClosingResult
+) -> None:
     """Count and log what was taken over, whoever closed it.
 
     A dead router's successor and the buddy that has its bills both close
--- a/src/balsamreach/budget/upkeep.py
+++ b/src/balsamreach/budget/upkeep.py
@@ -11,7 +11,7 @@
 from balsamreach.budget.moves import Move
 from balsamreach.budget.peer_parts import PeerParts
 from balsamreach.budget.recalling import Recalls
-from balsamreach.budget.recorder import OLDEST, WAITING, Recorder
+from balsamreach.budget.recorder import OLDEST, WAITING, BillRecorder
 from balsamreach.budget.sizing import Sizing
 from balsamreach.budget.takeover import Takeover
 from balsamreach.budget.wakeup import BEAT_S, Wakeup
@@ -40,7 +40,7 @@
 
     book: Book
     sizing: Sizing
-    recorder: Recorder
+    recorder: BillRecorder
     takeover: Takeover
     peers: PeerParts | None
     metrics: Metrics
@@ -82,7 +82,7 @@
 
     def copy_bills(self) -> None:
         """Bring the buddy's copies of waiting bills up to date."""
-        self.recorder.unsent.take()
+        self.recorder.uncopied.take()
         if self.peers is not None:
             self.peers.sender.send(self.recorder.bills())
 
--- a/tests/budget_world.py
+++ b/tests/budget_world.py
@@ -1,4 +1,4 @@
-"""Routers with budgets on one platform in memory, faults under control."""
+"""Routers with budgets on an in-memory platform with injected faults."""
 
 import asyncio
 import math
@@ -27,12 +27,13 @@
 from tests.fake_net import FakeNet
 from tests.support import HeldClock
 
-Outcome = TypeVar('Outcome')
+Result = TypeVar('Result')
 
-_STEPS = 100
-#: Times that so many turns may pass with nobody asleep: a chain of lenders
-#: takes more turns than that, and what hangs for good must still be told.
-_MOST_IDLE = 1000
+_LOOP_TURNS = 100
+#: Maximum number of rounds of ``_LOOP_TURNS`` turns of the event loop without
+#: a sleeping task. One round is not enough, since a chain of lenders takes
+#: more turns; the limit makes sure that a hanging test is noticed.
+_MAX_IDLE_ROUNDS = 1000
 SETTINGS = BudgetSettings(
     posture='lenient',
     draw_ahead=10,
@@ -50,66 +51,66 @@
 
 
 class VirtualClock(HeldClock):
-    """Clock that moves when told to, or when all wait for it."""
+    """Clock that advances on request, or when all tasks sleep."""
 
-    async def drive(self, work: Awaitable[Outcome]) -> Outcome:
-        """Run something to its end, moving on where it sleeps."""
+    async def drive(self, work: Awaitable[Result]) -> Result:
+        """Run an awaitable to its end, advancing the clock as it sleeps."""
         task = asyncio.ensure_future(work)
-        idle = 0
+        idle_rounds = 0
         while not task.done():
-            for _ in range(_STEPS):
+            for _ in range(_LOOP_TURNS):
                 await asyncio.sleep(0)
                 if task.done():
                     return task.result()
-            idle += 1
-            if idle > _MOST_IDLE or self.sleeps_until(math.inf):
-                idle = 0
+            idle_rounds += 1
+            if idle_rounds > _MAX_IDLE_ROUNDS or self.sleeps_until(math.inf):
+                idle_rounds = 0
                 self.seconds = max(self.seconds, self.wake_next())
         return task.result()
 
 
 @attrs.define
 class Gate(TableService):
-    """One router's way to the table service."""
+    """One router's connection to the table service; can be cut off."""
 
     service: TableService
     open: bool = True
 
     async def commit(self, change: Commit) -> int | PlatformFault:
-        """Commit if the way is open."""
+        """Commit if the connection is open."""
         return await self.service.commit(change) if self.open else UNREACHABLE
 
     async def read(
         self, keys: tuple[str, ...]
     ) -> tuple[Row, ...] | PlatformFault:
-        """Read if the way is open."""
+        """Read if the connection is open."""
         return await self.service.read(keys) if self.open else UNREACHABLE
 
     async def scan(self, scan: Scan) -> Page | PlatformFault:
-        """Scan if the way is open."""
+        """Scan if the connection is open."""
         return await self.service.scan(scan) if self.open else UNREACHABLE
 
 
 @attrs.define
-class Loser(Gate):
-    """Loses the answer to one commit and cuts its router off at once.
+class LosingGate(Gate):
+    """Loses the response to one commit, then disconnects its router.
 
     Parameters
     ----------
     gate : Gate
-        The router's way to the service, which it closes.
-    commits_before : int
-        Commits that go well before that.
+        The router's connection to the service, closed after the loss.
+    commits_before_loss : int
+        Number of commits that get their response before that.
     """
 
     gate: Gate = attrs.field(kw_only=True)
-    commits_before: int = 0
+    commits_before_loss: int = 0
 
     async def commit(self, change: Commit) -> int | PlatformFault:
-        """Apply a commit, perhaps without an answer."""
+        """Apply a commit, possibly without a response."""
         outcome = await self.service.commit(change)
-        self.commits_before -= 1
-        if self.commits_before >= 0:
+        self.commits_before_loss -= 1
+        if self.commits_before_loss >= 0:
             return outcome
         self.gate.open = False
         self.gate.service = self.service
@@ -118,7 +119,7 @@
 
 @attrs.define(eq=False)
 class World:
-    """A platform, a net and the routers between them."""
+    """A platform, a peer network and the routers connected to them."""
 
     cfg: BudgetSettings = SETTINGS
     seed: int = 1
@@ -138,7 +139,7 @@
         zone: str = 'zone-a',
         address: str = '',
     ) -> Budgets:
-        """Start a router; without an address it gets one of its own."""
+        """Start a router; without an address it gets a new one."""
         net = self.fabric.join(name, zone)
         if address:
             net.me = attrs.evolve(net.me, address=address)
@@ -155,19 +156,19 @@
         return self.routers[name]
 
     async def fund(self, team: str, tokens: int) -> None:
-        """Top a team's account up, whatever the platform's weather."""
+        """Add to a team's prepaid tokens, bypassing platform faults."""
         weather = self.platform.weather
         down = weather.down
-        losing = weather.lose_answers
+        lose_answers = weather.lose_answers
         weather.down = False
         weather.lose_answers = 0
         rows = await self.platform.table.read((account_key(team),))
         account = Account(**(rows[0].value or {}))
-        topped = attrs.evolve(account, prepaid=account.prepaid + tokens)
-        write = Write(account_key(team), encode(topped))
+        updated = attrs.evolve(account, prepaid=account.prepaid + tokens)
+        write = Write(account_key(team), encode(updated))
         await self.platform.table.commit(Commit((write,)))
         weather.down = down
-        weather.lose_answers = losing
+        weather.lose_answers = lose_answers
 
     async def serve(
         self,
@@ -178,19 +179,19 @@
         used: int | None = None,
         team: str = 'team',
     ) -> object:
-        """Reserve and bill one request; return the reservation or fault."""
-        held = await self.clock.drive(router.reserve(team, tokens))
-        if isinstance(held, Reservation):
-            spent = tokens if used is None else used
-            router.bill(held, Bill(team, key, spent))
-        return held
+        """Reserve and bill a request; return the reservation or the fault."""
+        reservation = await self.clock.drive(router.reserve(team, tokens))
+        if isinstance(reservation, Reservation):
+            used_tokens = tokens if used is None else used
+            router.bill(reservation, Bill(team, key, used_tokens))
+        return reservation
 
     async def sums(self) -> TeamSums:
-        """Audit and return what the one team's rows add up to."""
+        """Audit and return the sums of the team named ``team``."""
         return (await self.audit()).teams['team']
 
     async def audit(self) -> Report:
-        """Audit the platform as it is, whatever its weather."""
+        """Audit the platform, bypassing an outage."""
         weather = self.platform.weather
         down = weather.down
         weather.down = False
@@ -199,7 +200,7 @@
         return report
 
     async def rounds(self, *names: str, count: int = 1) -> None:
-        """Let routers, all unless named, do their rounds."""
+        """Run the periodic work of routers, of all if none is named."""
         for _ in range(count):
             for name in names or tuple(self.routers):
                 router = self.routers[name]
@@ -213,22 +214,22 @@
         return net.me.address
 
     async def peek(self, key: str) -> Row:
-        """Read a row past every gate."""
+        """Read a row directly from the platform."""
         rows = await self.platform.table.read((key,))
         return rows[0]
 
     def kill(self, name: str) -> Budgets:
-        """Let a router vanish with all it has in memory."""
+        """Stop a router abruptly; the state in its memory is lost."""
         self.fabric.kill(name)
         return self.routers.pop(name)
 
     def cut(self, *names: str) -> None:
-        """Cut routers off from the platform."""
+        """Disconnect routers from the platform."""
         for name in names:
             self.gates[name].open = False
 
     def heal(self) -> None:
-        """Let all routers reach the platform and each other."""
+        """Reconnect all routers to the platform and to each other."""
         for gate in self.gates.values():
             gate.open = True
         self.fabric.heal()
--- a/tests/test_budget_reclaiming.py
+++ b/tests/test_budget_reclaiming.py
@@ -15,7 +15,7 @@
         await super().asyncSetUp()
         self.three = self.world.start('c')
         await self.world.rounds()
-        await self.admit(self.one, 'k', 1000)
+        await self.admit(self.router_a, 'k', 1000)
         await self.world.rounds('a', count=2)
         self.address = self.world.address('a')
 
@@ -38,8 +38,8 @@
     async def lend(self):
         """Let the second router borrow while it can't record the loan."""
         self.world.cut('b')
-        held = await self.world.serve(self.two, 'm', 300)
-        self.assertTrue(self.two.ledgers['team'].borrowed, held)
+        held = await self.world.serve(self.router_b, 'm', 300)
+        self.assertTrue(self.router_b.ledgers['team'].borrowed, held)
 
     async def test_unborrowed_part_comes_back(self):
         """Symptom: each crash costs the budget what one router held.
@@ -57,7 +57,7 @@
         self.assertGreaterEqual(counted, stranded[0].tokens)
         entry = await self.world.peek(f'{STRANDED_PREFIX}a')
         self.assertIsNone(entry.value)
-        await self.check(recorded=1000)
+        await self.check_recorded(recorded=1000)
 
     async def test_loan_that_is_not_recorded_keeps_the_part(self):
         """Symptom: a loan in use is handed out a second time.
@@ -70,7 +70,7 @@
         self.world.heal()
         self.assertGreater(await self.reclaim(), 0)
         await self.world.rounds('b', count=2)
-        await self.check(recorded=1300)
+        await self.check_recorded(recorded=1300)
         self.assertEqual(await self.reclaim(), 0)
 
     @parameterized.expand(
@@ -97,7 +97,7 @@
 
     def copies_of_a_dead_peer(self):
         """Let one keep bills of a dead router."""
-        peers = self.two.upkeep.peers
+        peers = self.router_b.upkeep.peers
         peers.keeper.copies.setdefault('dead', {})
 
     def lost_answer(self):
@@ -111,7 +111,7 @@
         lender's last grant arrives after that.
         """
         self.world.fabric.held.add(LoanAsk)
-        loans = self.two.upkeep.peers.loans
+        loans = self.router_b.upkeep.peers.loans
         self.assertTrue(loans.has_done_with('a'))
         self.world.fabric.release()
         await self.lend_nothing()
@@ -120,8 +120,8 @@
         """Let the second router ask in vain."""
         self.world.cut('b')
         self.world.kill('c')
-        await self.world.serve(self.two, 'm', 300)
-        self.assertFalse(self.two.ledgers['team'].borrowed)
+        await self.world.serve(self.router_b, 'm', 300)
+        self.assertFalse(self.router_b.ledgers['team'].borrowed)
 
     async def test_lender_that_wakes_lends_nothing(self):
         """Symptom as above.
