--- a/src/balsamreach/budget/budgets.py
+++ b/src/balsamreach/budget/budgets.py
@@ -11,14 +11,14 @@
 from balsamreach.budget.draws import Drawer
 from balsamreach.budget.faults import BudgetFault
 from balsamreach.budget.incarnations import Incarnations
-from balsamreach.budget.leaving import Leaving
 from balsamreach.budget.ledger import Ledger, Reservation
-from balsamreach.budget.leftovers import Leftovers
 from balsamreach.budget.obtaining import Obtainer
 from balsamreach.budget.peer_parts import make_peer_parts
 from balsamreach.budget.recorder import BillRecorder
 from balsamreach.budget.settling import Settler
+from balsamreach.budget.shutdown import BudgetShutdown
 from balsamreach.budget.sizing import Sizing
+from balsamreach.budget.stranded import StrandedAllotments
 from balsamreach.budget.takeover import Takeover
 from balsamreach.budget.upkeep import Upkeep
 from balsamreach.budget.wakeup import Wakeup
@@ -70,7 +70,7 @@
     upkeep: Upkeep = attrs.field(init=False)
     _obtainer: Obtainer = attrs.field(init=False)
     _wakeup: Wakeup = attrs.field(init=False)
-    _leaving: Leaving = attrs.field(init=False)
+    _shutdown: BudgetShutdown = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Put the parts together."""
@@ -96,8 +96,8 @@
             closer,
             self.metrics,
         )
-        leftovers = Leftovers(self.service, self.clock)
-        takeover = Takeover(closer, incarnations, self.metrics, leftovers)
+        stranded = StrandedAllotments(self.service, self.clock)
+        takeover = Takeover(closer, incarnations, self.metrics, stranded)
         peers = None
         if self.net is not None:
             peers = make_peer_parts(
@@ -108,7 +108,7 @@
                 self.rng,
                 self.cfg.bills_limit,
             )
-        self._leaving = Leaving(
+        self._shutdown = BudgetShutdown(
             self.book,
             sizing,
             self.recorder,
@@ -212,7 +212,7 @@
     async def secure(self) -> None:
         """Wait a bounded time until a peer has the bills made by now."""
         if self.upkeep.peers is not None:
-            await self.upkeep.peers.copying.secure()
+            await self.upkeep.peers.copier.secure()
 
     async def flush(self) -> BudgetFault | None:
         """Record waiting bills until none wait or the service is away."""
@@ -220,7 +220,7 @@
 
     async def leave(self) -> bool:
         """Record all bills and give all allotments back, for good."""
-        return await self._leaving.leave()
+        return await self._shutdown.leave()
 
     async def run(self) -> None:
         """Do what is due beside serving requests, until cancelled."""
--- a/src/balsamreach/budget/copying.py
+++ b/src/balsamreach/budget/copying.py
@@ -1,4 +1,4 @@
-"""Copies each bill to the buddy soon after it is made."""
+"""Copies each new bill to the backup peer without delay."""
 
 import asyncio
 from collections.abc import Iterable
@@ -6,80 +6,81 @@
 import attrs
 
 from balsamreach.budget.account import Bill
-from balsamreach.budget.copies import Keeper, Sender
+from balsamreach.budget.copies import CopyKeeper, CopySender
 from balsamreach.budget.recorder import BillRecorder
 from balsamreach.clock import Clock
 
 SECURED = 'balsamreach_budget_bills_secured_total'
-#: Seconds between two looks at makers that may be gone.
-LOOK_S = 1
-#: Longest time that the end of an answer waits for its bill's copy, seconds.
-SECURE_S = 0.25
+#: Seconds between two checks for makers that have stopped.
+CHECK_INTERVAL_S = 1
+#: Maximum time, in seconds, for which the end of a response waits until its
+#: bill is copied.
+CONFIRM_TIMEOUT_S = 0.25
 
 
 @attrs.define(eq=False)
-class Copying:
-    """Sends this router's bills, and looks after those of others.
+class BillCopier:
+    """Sends copies of new bills and settles those of stopped routers.
 
-    A bill whose maker dies before its copy is out is lost, so copies leave
-    at once and not in rounds, and the end of an answer waits for them. A
-    copy that waits for a round is lost as well
-    if its keeper dies or leaves before, so makers that may be gone are
-    looked at every second.
+    A bill is lost if its router crashes before the copy is sent, so copies
+    are sent at once instead of periodically, and the end of a response waits
+    for them. A copy is lost as well if the peer that keeps it crashes or
+    leaves before settling it, so every second the makers of copies are
+    checked.
 
     Parameters
     ----------
     recorder : BillRecorder
-        Knows the bills.
-    sender : Sender
+        Provides the new bills.
+    sender : CopySender
         Sends copies of them.
-    keeper : Keeper
-        Keeps the copies of others.
+    keeper : CopyKeeper
+        Keeps the copies of other routers.
     clock : Clock
-        Time between messages.
+        Clock for the interval between checks.
     """
 
     recorder: BillRecorder
-    sender: Sender
-    keeper: Keeper
+    sender: CopySender
+    keeper: CopyKeeper
     clock: Clock
-    _under_way: set[asyncio.Task] = attrs.field(factory=set)
-    _is_silent: bool = False
+    _pending: set[asyncio.Task] = attrs.field(factory=set)
+    _backup_is_slow: bool = False
 
     async def run(self) -> None:
-        """Copy and look until cancelled."""
-        await asyncio.gather(self._copy(), self._look())
+        """Copy bills and check makers until cancelled."""
+        await asyncio.gather(self._copy(), self._check_makers())
 
     def copy_new(self) -> None:
-        """Send the bills that were made since the last copy."""
-        fresh = self.recorder.uncopied.take()
-        task = asyncio.create_task(self._deliver(fresh))
-        self._under_way.add(task)
-        task.add_done_callback(self._under_way.discard)
+        """Start sending the bills added since the last call."""
+        bills = self.recorder.uncopied.take()
+        task = asyncio.create_task(self._deliver(bills))
+        self._pending.add(task)
+        task.add_done_callback(self._pending.discard)
 
     async def secure(self) -> None:
-        """Wait until the buddy has all bills made by now, or cannot say so.
+        """Wait until the backup peer has all current bills, or a timeout.
 
-        A caller who holds a whole answer has then a bill that outlives this
-        router. Without a buddy that answers in time there is no such bill;
-        the caller is not kept waiting for it.
+        Once a client has its complete response, the bill then survives a
+        crash of this router. If no backup peer responds in time, the bill is
+        not secured, and the client is not kept waiting.
         """
         if self.recorder.uncopied.any:
             self.copy_new()
-        # A buddy that is silent costs one answer this wait, not each.
-        if self._is_silent or not self._under_way:
+        # An unresponsive backup peer delays only one response, not each.
+        if self._backup_is_slow or not self._pending:
             return
         done, late = await asyncio.wait(
-            tuple(self._under_way),
-            timeout=SECURE_S,
+            tuple(self._pending),
+            timeout=CONFIRM_TIMEOUT_S,
         )
-        self._is_silent = self._is_silent or bool(late)
-        self._count('late' if late else _outcome(done))
+        self._backup_is_slow = self._backup_is_slow or bool(late)
+        self._count('late' if late else _outcome_of(done))
 
-    async def _deliver(self, fresh: tuple[Bill, ...]) -> bool:
-        taken = await self.sender.deliver(fresh, self.recorder.bills())
-        self._is_silent = self._is_silent and not taken
-        return taken
+    async def _deliver(self, bills: tuple[Bill, ...]) -> bool:
+        confirmed = await self.sender.deliver(bills, self.recorder.bills())
+        self._backup_is_slow = self._backup_is_slow and not confirmed
+        return confirmed
 
     def _count(self, outcome: str) -> None:
         self.recorder.metrics.count(SECURED, outcome=outcome)
@@ -89,11 +90,11 @@
             await self.recorder.uncopied.wait()
             self.copy_new()
 
-    async def _look(self) -> None:
+    async def _check_makers(self) -> None:
         while True:
-            await self.clock.sleep(LOOK_S)
-            await self.keeper.settle_gone()
+            await self.clock.sleep(CHECK_INTERVAL_S)
+            await self.keeper.settle_stopped()
 
 
-def _outcome(done: Iterable[asyncio.Task]) -> str:
+def _outcome_of(done: Iterable[asyncio.Task]) -> str:
     return 'copied' if all(task.result() for task in done) else 'alone'
--- a/src/balsamreach/budget/ending.py
+++ b/src/balsamreach/budget/ending.py
@@ -1,4 +1,4 @@
-"""Ends a claim whose run nobody can bill any more, on an operator's word."""
+"""Bills claims with no surviving router, at an operator's request."""
 
 import attrs
 
@@ -18,30 +18,31 @@
     NOT_OPEN,
     BudgetFault,
 )
-from balsamreach.budget.incarnations import live_check
+from balsamreach.budget.incarnations import unchanged_check
 from balsamreach.services.base import Commit, Row, TableService, Write
 from balsamreach.services.faults import CONFLICT, UNKNOWN, PlatformFault
 
-#: Flag of a bill that an operator made.
+#: Flag of a bill made by an operator.
 BY_OPERATOR = 'ended_by_operator'
 _ATTEMPTS = 8
 
 
 @attrs.frozen
 class ClaimEnder:
-    """Gives a claim without an end its bill.
+    """Records the bill of a claimed request whose outcome is unknown.
 
-    A router that is killed while a service works knows whether it ran, and
-    nobody else. An operator can ask the service. The claim itself stays, so
-    that the request is never run again under its key. Should the run end by
-    itself after all, its own bill is the second one and is dropped.
+    If a router is killed while a service handles a request, no other router
+    knows whether the request ran; an operator can ask the service. The claim
+    is kept, so that the request is never run again under its key. If the
+    run ends normally after all, its own bill is a repeated one and is
+    dropped.
 
     Parameters
     ----------
     service : TableService
-        Where claims and bills are.
+        Service that stores claims and bills.
     by : str
-        Operator who says how it ended.
+        Operator who states how the request ended.
     """
 
     service: TableService
@@ -53,34 +54,34 @@
         Parameters
         ----------
         team, key : str
-            The request.
+            Team and key of the request.
         tokens : int
-            What it used; 0 closes it without a charge.
+            Tokens that it used; 0 closes the claim without a charge.
 
         Returns
         -------
         BudgetFault or None
-            NOT_OPEN if there is no such claim or it has a bill; EXHAUSTED
-            if the account has less free, NO_ACCOUNT if there is none;
-            NO_ALLOTMENT if the platform is away.
+            NOT_OPEN if there is no such claim or it already has a bill;
+            EXHAUSTED if the account has too few free tokens; NO_ACCOUNT if
+            there is no account; NO_ALLOTMENT if the platform is unavailable.
         """
         bill = Bill(team, key, tokens, (CLAIMED, BY_OPERATOR))
         for attempt in range(_ATTEMPTS):
             rows = await self._read(bill)
             if isinstance(rows, PlatformFault):
                 return NO_ALLOTMENT.because(f'table service: {rows.code}')
-            # After a lost answer the bill that stands may be this very one.
-            if attempt and self._is_ours(rows[1], bill):
+            # After a lost response the stored bill may be this one.
+            if attempt and self._is_own_bill(rows[1], bill):
                 return None
-            fault = _refuse(bill, rows)
+            fault = _check_claim(bill, rows)
             if fault is not None:
                 return fault
-            outcome = await self.service.commit(self._change(bill, rows))
+            outcome = await self.service.commit(self._make_commit(bill, rows))
             if not isinstance(outcome, PlatformFault):
                 return None
             if outcome not in {CONFLICT, UNKNOWN}:
                 return NO_ALLOTMENT.because(f'table service: {outcome.code}')
-        return NO_ALLOTMENT.because('the account is contended')
+        return NO_ALLOTMENT.because('too many commit conflicts on the account')
 
     @property
     def _maker(self) -> str:
@@ -92,12 +93,12 @@
             (claim, bill_key(bill.team, bill.key), account_key(bill.team)),
         )
 
-    def _is_ours(self, row: Row, bill: Bill) -> bool:
+    def _is_own_bill(self, row: Row, bill: Bill) -> bool:
         stored = row.value or {}
-        ours = (self._maker, bill.tokens)
-        return (stored.get('by'), stored.get('tokens')) == ours
+        expected = (self._maker, bill.tokens)
+        return (stored.get('by'), stored.get('tokens')) == expected
 
-    def _change(self, bill: Bill, rows: tuple[Row, ...]) -> Commit:
+    def _make_commit(self, bill: Bill, rows: tuple[Row, ...]) -> Commit:
         claim, _bill, account = rows
         writes, checks = insert_bills((bill,), self._maker)
         before = decode_account(account.value)
@@ -108,17 +109,17 @@
         )
         return Commit(
             (*writes, Write(account.key, encode(after))),
-            (*checks, live_check(claim), live_check(account)),
+            (*checks, unchanged_check(claim), unchanged_check(account)),
         )
 
 
-def _refuse(bill: Bill, rows: tuple[Row, ...]) -> BudgetFault | None:
+def _check_claim(bill: Bill, rows: tuple[Row, ...]) -> BudgetFault | None:
     claim, stored, account = rows
     if claim.value is None:
-        return NOT_OPEN.because(f'no claim of {bill.team}/{bill.key}')
+        return NOT_OPEN.because(f'there is no claim for {bill.team}/{bill.key}')
     if stored.value is not None:
         billed = stored.value['tokens']
-        return NOT_OPEN.because(f'it is billed already, {billed} tokens')
+        return NOT_OPEN.because(f'the claim is billed already, {billed} tokens')
     if account.value is None:
         return NO_ACCOUNT.because(f'team {bill.team} has no account')
     free = decode_account(account.value).free
--- a/src/balsamreach/budget/incarnations.py
+++ b/src/balsamreach/budget/incarnations.py
@@ -1,4 +1,4 @@
-"""Which incarnation serves an address, and which ones came before it."""
+"""Registers which incarnation serves an address, and its predecessors."""
 
 from collections.abc import Awaitable, Callable
 
@@ -20,16 +20,16 @@
 
 
 @attrs.frozen
-class Seating:
-    """The row of one address.
+class RouterEntry:
+    """The stored entry of one address.
 
     Parameters
     ----------
     incarnation : str
         Latest incarnation that served the address; empty after an operator
-        released what that one held.
+        released its allotments.
     started : float
-        Wall time of its start.
+        Unix time of its start, in seconds.
     before : tuple of str
         Earlier incarnations whose allotments are not all closed yet.
     """
@@ -41,48 +41,49 @@
 
 @attrs.define
 class Incarnations:
-    """Enters this incarnation as the one that serves its address.
+    """Registers this incarnation as the one that serves its address.
 
-    A process that serves an address has bound its port, so whoever served
-    it before cannot take requests there any more: that, and no lapse of
-    time, is the evidence on which its allotments are closed.
+    A process that serves an address has bound its port, so an earlier
+    process can't accept requests there any more. The allotments of
+    predecessors are closed on this evidence, never because of a timeout.
 
     Parameters
     ----------
     service : TableService
-        Where the rows are.
+        Service that stores the entries.
     address : str
-        ``ip:port`` that this router serves; empty where the port may change
-        from start to start, so that it tells nothing about others.
+        ``ip:port`` that this router serves; empty if the port may change
+        with each start, since it then identifies no predecessor.
     incarnation : str
         This incarnation.
     started : float
-        Wall time of its start.
+        Unix time of its start, in seconds.
     """
 
     service: TableService
     address: str
     incarnation: str
     started: float
-    before: tuple[str, ...] = ()
+    predecessors: tuple[str, ...] = ()
     entered: bool = False
-    _is_empty: bool = False
+    _is_unused_address: bool = False
 
     @property
     def is_first(self) -> bool:
-        """Whether it is known that nobody served this address before.
+        """Whether it is known that no router served this address before.
 
-        Addresses that may change from start to start count as new.
+        An address that may change with each start counts as new.
         """
-        return self._is_empty or not self.address
+        return self._is_unused_address or not self.address
 
     async def enter(self) -> BudgetFault | None:
-        """Enter this incarnation, once, before it draws anything.
+        """Register this incarnation, once, before its first draw.
 
         Returns
         -------
         BudgetFault or None
-            TAKEN_OVER if a later incarnation serves the address already.
+            TAKEN_OVER if a later incarnation already serves the address,
+            NO_ALLOTMENT if the table service is unavailable.
         """
         if self.entered or not self.address:
             return None
@@ -90,49 +91,58 @@
             rows = await self.service.read((self._key,))
             if isinstance(rows, PlatformFault):
                 return NO_ALLOTMENT.because(f'table service: {rows.code}')
-            seat = rows[0]
-            seating = self._as_next(seat.value)
-            if isinstance(seating, BudgetFault):
-                return seating
-            outcome = await self._enter_as(seat, seating)
+            row = rows[0]
+            entry = self._make_entry(row.value)
+            if isinstance(entry, BudgetFault):
+                return entry
+            outcome = await self._write_entry(row, entry)
             if outcome is None:
-                # A row that was removed tells of an earlier graceful end.
-                self._is_empty = not seat.version
+                # A removed row has a version: a router shut down gracefully.
+                self._is_unused_address = not row.version
                 return None
             if outcome not in {CONFLICT, UNKNOWN}:
                 return NO_ALLOTMENT.because(f'table service: {outcome.code}')
-        return NO_ALLOTMENT.because('the row of our address is contended')
+        return NO_ALLOTMENT.because(
+            'too many conflicts on the row of the address'
+        )
 
-    async def close_before(
+    async def close_each_predecessor(
         self,
         close: Callable[[str], Awaitable[bool]],
     ) -> None:
-        """Close what each predecessor held, and strike those that are done.
+        """Close the allotments of each predecessor.
+
+        Predecessors without open allotments are removed from the entry.
 
         Parameters
         ----------
         close : callable
-            Closes what one incarnation held; False if something is left.
+            Closes the allotments of one incarnation; returns False if some
+            are still open.
         """
-        closed = [name for name in self.before if await close(name)]
+        closed = [name for name in self.predecessors if await close(name)]
         if closed:
-            await self.forget(tuple(closed))
-
-    async def forget(self, closed: tuple[str, ...]) -> BudgetFault | None:
-        """Strike predecessors whose allotments are all closed."""
-        left = tuple(name for name in self.before if name not in closed)
-        fault = await self._replace(
-            Seating(self.incarnation, self.started, left),
+            await self.remove_predecessors(tuple(closed))
+
+    async def remove_predecessors(
+        self, closed: tuple[str, ...]
+    ) -> BudgetFault | None:
+        """Remove predecessors whose allotments are all closed."""
+        remaining = tuple(
+            name for name in self.predecessors if name not in closed
+        )
+        fault = await self._replace_entry(
+            RouterEntry(self.incarnation, self.started, remaining),
         )
         if fault is None:
-            self.before = left
+            self.predecessors = remaining
         return fault
 
     async def leave(self) -> BudgetFault | None:
-        """Remove the row after a graceful end, unless work is left."""
-        if not self.entered or self.before:
+        """Remove the entry at a shutdown, unless predecessors remain."""
+        if not self.entered or self.predecessors:
             return None
-        return await self._replace(None)
+        return await self._replace_entry(None)
 
     async def is_gone(
         self, address: str, incarnation: str
@@ -142,16 +152,17 @@
         Parameters
         ----------
         address : str
-            Address that it served.
+            Address that the incarnation served.
         incarnation : str
-            The incarnation asked about.
+            The incarnation to check.
         """
         rows = await self.service.read((ROUTER_PREFIX + address,))
         if isinstance(rows, PlatformFault):
             return NO_ALLOTMENT.because(f'table service: {rows.code}')
         if rows[0].value is None:
             # Only the incarnation itself removes its row, as the last step
-            # of a graceful end; a row that never was tells nothing.
+            # of a graceful shutdown. A row that never existed (version 0)
+            # proves nothing.
             return rows[0].version > 0
         return rows[0].value['incarnation'] != incarnation
 
@@ -159,44 +170,49 @@
     def _key(self) -> str:
         return ROUTER_PREFIX + self.address
 
-    def _as_next(
+    def _make_entry(
         self,
         stored: dict[str, object] | None,
-    ) -> Seating | BudgetFault:
+    ) -> RouterEntry | BudgetFault:
         if stored is None:
-            return Seating(self.incarnation, self.started)
-        earlier = Seating(**stored)
-        # The answer to our own entry was lost.
-        if earlier.incarnation == self.incarnation:
-            return earlier
-        # An operator released what the earlier one held; nobody serves now.
-        if not earlier.incarnation:
-            return Seating(self.incarnation, self.started, earlier.before)
-        if earlier.started > self.started:
+            return RouterEntry(self.incarnation, self.started)
+        stored_entry = RouterEntry(**stored)
+        # The entry was written before, but the response was lost.
+        if stored_entry.incarnation == self.incarnation:
+            return stored_entry
+        # An operator released the allotments of the previous incarnation, and
+        # no router serves the address now.
+        if not stored_entry.incarnation:
+            return RouterEntry(
+                self.incarnation, self.started, stored_entry.before
+            )
+        if stored_entry.started > self.started:
             return TAKEN_OVER.because('a later router has our address')
-        before = (*earlier.before, earlier.incarnation)
-        return Seating(self.incarnation, self.started, before)
+        predecessors = (*stored_entry.before, stored_entry.incarnation)
+        return RouterEntry(self.incarnation, self.started, predecessors)
 
-    async def _enter_as(
+    async def _write_entry(
         self,
         row: Row,
-        seating: Seating,
+        entry: RouterEntry,
     ) -> PlatformFault | None:
-        outcome = await self._write(row, seating)
+        outcome = await self._write(row, entry)
         if isinstance(outcome, PlatformFault):
             return outcome
         self.entered = True
-        self.before = seating.before
+        self.predecessors = entry.before
         return None
 
-    async def _replace(self, seating: Seating | None) -> BudgetFault | None:
+    async def _replace_entry(
+        self, entry: RouterEntry | None
+    ) -> BudgetFault | None:
         rows = await self.service.read((self._key,))
         if isinstance(rows, PlatformFault):
             return NO_ALLOTMENT.because(f'table service: {rows.code}')
         stored = rows[0].value
         if stored is None or stored['incarnation'] != self.incarnation:
             return TAKEN_OVER.because('a later router has our address')
-        outcome = await self._write(rows[0], seating)
+        outcome = await self._write(rows[0], entry)
         if isinstance(outcome, PlatformFault):
             return NO_ALLOTMENT.because(f'table service: {outcome.code}')
         return None
@@ -204,14 +220,14 @@
     async def _write(
         self,
         row: Row,
-        seating: Seating | None,
+        entry: RouterEntry | None,
     ) -> int | PlatformFault:
-        fields = None if seating is None else attrs.asdict(seating)
+        fields = None if entry is None else attrs.asdict(entry)
         return await self.service.commit(
-            Commit((Write(self._key, fields),), (live_check(row),)),
+            Commit((Write(self._key, fields),), (unchanged_check(row),)),
         )
 
 
-def live_check(row: Row) -> Check:
-    """Return the check that a row is still as it was read."""
+def unchanged_check(row: Row) -> Check:
+    """Return the check that a row has not changed since it was read."""
     return Check(row.key, ABSENT if row.value is None else row.version)
--- a/src/balsamreach/budget/peer_parts.py
+++ b/src/balsamreach/budget/peer_parts.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from balsamreach.budget.copies import Keeper, Sender
-from balsamreach.budget.copying import Copying
+from balsamreach.budget.copies import CopyKeeper, CopySender
+from balsamreach.budget.copying import BillCopier
 from balsamreach.budget.loans import Loans
 from balsamreach.budget.reclaiming import Reclaimer
 from balsamreach.budget.recorder import BillRecorder
@@ -19,9 +19,9 @@
     """What works with the other routers."""
 
     loans: Loans
-    sender: Sender
-    keeper: Keeper
-    copying: Copying
+    sender: CopySender
+    keeper: CopyKeeper
+    copier: BillCopier
     reclaimer: Reclaimer
 
 
@@ -47,12 +47,12 @@
         Most copies of bills that are kept for others.
     """
     book, metrics = recorder.book, recorder.metrics
-    sender = Sender(net)
-    keeper = Keeper(
+    sender = CopySender(net)
+    keeper = CopyKeeper(
         net,
         takeover.closer,
         takeover.incarnations,
-        takeover.leftovers,
+        takeover.stranded,
         metrics,
         limit,
     )
@@ -61,6 +61,6 @@
         loans,
         sender,
         keeper,
-        Copying(recorder, sender, keeper, book.clock),
-        Reclaimer(net, takeover.leftovers, loans, keeper, metrics),
+        BillCopier(recorder, sender, keeper, book.clock),
+        Reclaimer(net, takeover.stranded, loans, keeper, metrics),
     )
--- a/src/balsamreach/budget/prepaid.py
+++ b/src/balsamreach/budget/prepaid.py
@@ -1,4 +1,4 @@
-"""Accounts of teams whose prepaid tokens stand in the configuration."""
+"""Accounts whose prepaid tokens are set in the configuration."""
 
 from collections.abc import Callable
 
@@ -8,23 +8,24 @@
 from balsamreach.services.base import Commit, Page, Row, Scan, TableService
 from balsamreach.services.faults import PlatformFault
 
-#: Returns a team's prepaid tokens, None where it is not metered.
+#: Returns the prepaid tokens of a team, None if it is not metered.
 Prepaid = Callable[[str], int | None]
 
 
 @attrs.define
 class PrepaidAccounts(TableService):
-    """Accounts whose prepaid tokens stand in the operators' configuration.
+    """Table service that takes prepaid tokens from the configuration.
 
-    The row keeps what was taken. Were the prepaid tokens kept there too, a
-    top-up would need a change of its own, which could be lost or doubled.
+    The stored row of an account keeps only its taken tokens. If it stored the
+    prepaid tokens too, each top-up would need a separate write, which could
+    be lost or applied twice.
 
     Parameters
     ----------
     service : TableService
-        Where the rows are.
+        Service that stores the rows.
     prepaid : callable
-        What the configuration in force says.
+        Returns a team's prepaid tokens in the current configuration.
     """
 
     service: TableService
@@ -38,7 +39,7 @@
         self,
         keys: tuple[str, ...],
     ) -> tuple[Row, ...] | PlatformFault:
-        """Read rows, accounts with what is prepaid now."""
+        """Read rows; accounts get their current prepaid tokens."""
         rows = await self.service.read(keys)
         if isinstance(rows, PlatformFault):
             return rows
@@ -54,5 +55,5 @@
         prepaid = self.prepaid(row.key.removeprefix(ACCOUNT_PREFIX))
         if prepaid is None:
             return row
-        taken = (row.value or encode(Account())) | {'prepaid': prepaid}
-        return Row(row.key, row.version, taken)
+        value = (row.value or encode(Account())) | {'prepaid': prepaid}
+        return Row(row.key, row.version, value)
--- a/src/balsamreach/budget/reclaiming.py
+++ b/src/balsamreach/budget/reclaiming.py
@@ -1,14 +1,14 @@
-"""Gives back what a closed allotment may have lent, once nobody has it."""
+"""Reclaims tokens of closed allotments once no router can hold them."""
 
 import asyncio
 import logging
 
 import attrs
 
-from balsamreach.budget.copies import Keeper
+from balsamreach.budget.copies import CopyKeeper
 from balsamreach.budget.incarnations import ROUTER_PREFIX
-from balsamreach.budget.leftovers import Leftovers
 from balsamreach.budget.loans import Loans
+from balsamreach.budget.stranded import StrandedAllotments
 from balsamreach.budget.takeover import RECLAIMED
 from balsamreach.peers.base import PeerNet
 from balsamreach.peers.homes import heaviest
@@ -24,51 +24,54 @@
 
 @attrs.define
 class Reclaimer:
-    """Finds out whether anybody still has loans of a router that is gone.
+    """Checks that no router has loans of a stopped lender any more.
 
-    What a closed allotment may have lent stays in its row for borrowers to
-    record. What nobody borrowed, or a borrower died with, would stay there
-    for good: each crash would cost a budget what one router held of it. It
-    is given back on this proof alone: every router in the rows of addresses
-    lives and says that it has no loan of that lender, will take none, and
-    keeps no bills of dead ones; and nobody else's allotments wait to be
-    closed. So all others that ever borrowed were settled before.
+    Tokens that a closed allotment may have lent stay in its row so that
+    borrowers can record their loans. Tokens that nobody borrowed, or whose
+    borrower crashed, would stay there forever, so each crash would cost a
+    budget the tokens of one router. They are returned only on this proof:
+    each router that has an address entry is alive and confirms that it has
+    no loan of that lender, will accept none, and keeps no bills of stopped
+    routers; and no other incarnation has allotments still to be closed. All
+    other routers that ever borrowed were then settled before.
 
     Parameters
     ----------
     net : PeerNet
         The other routers.
-    leftovers : Leftovers
-        The rows in question.
+    stranded : StrandedAllotments
+        Closed allotments that may have lent tokens.
     loans : Loans
-        Loans taken by this router.
-    keeper : Keeper
-        Bills of others kept here.
+        Loans received by this router.
+    keeper : CopyKeeper
+        Bill copies that this router keeps for others.
     metrics : Metrics
-        Counts what came back.
+        Counts reclaimed tokens.
     """
 
     net: PeerNet
-    leftovers: Leftovers
+    stranded: StrandedAllotments
     loans: Loans
-    keeper: Keeper
+    keeper: CopyKeeper
     metrics: Metrics
 
     def __attrs_post_init__(self) -> None:
-        """Answer the others."""
-        self.net.on(LenderAsk, self._take_ask)
+        """Register the handler for questions from other routers."""
+        self.net.on(LenderAsk, self._handle_ask)
 
     async def reclaim_all(self) -> None:
-        """Look after the lenders that are this router's to look after."""
-        for lender in await self.leftovers.lenders():
-            # One router asks for each lender, not all of them.
-            home = heaviest(lender, self.net.members())
-            mine = home is None or home.incarnation == self.net.me.incarnation
-            if mine and await self._is_proven(lender):
+        """Reclaim tokens of the lenders that this router is responsible for."""
+        for lender in await self.stranded.lenders():
+            # Only one router, chosen by hash, checks each lender.
+            chosen = heaviest(lender, self.net.members())
+            is_responsible = (
+                chosen is None or chosen.incarnation == self.net.me.incarnation
+            )
+            if is_responsible and await self._is_unborrowed(lender):
                 await self._reclaim(lender)
 
     async def _reclaim(self, lender: str) -> None:
-        for team, tokens in (await self.leftovers.give_back(lender)).items():
+        for team, tokens in (await self.stranded.return_tokens(lender)).items():
             self.metrics.count(RECLAIMED, tokens)
             log_event(
                 _logger,
@@ -79,7 +82,7 @@
                 returned=tokens,
             )
 
-    async def _is_proven(self, lender: str) -> bool:
+    async def _is_unborrowed(self, lender: str) -> bool:
         me = self.net.me
         if not self._is_clear(lender):
             return False
@@ -94,22 +97,22 @@
         if not all(clear):
             return False
         answered = {member.incarnation for member in others}
-        return await self._nobody_else(lender, {me.incarnation, *answered})
+        return await self._all_answered(lender, {me.incarnation, *answered})
 
     async def _ask(self, member: Member, lender: str) -> bool:
         answer = await self.net.ask(member.incarnation, LenderAsk(lender))
         return isinstance(answer, LenderGone) and answer.clear
 
-    async def _nobody_else(self, lender: str, answered: set[str]) -> bool:
-        seats = await scan_all(self.leftovers.service, ROUTER_PREFIX)
-        if isinstance(seats, PlatformFault):
+    async def _all_answered(self, lender: str, answered: set[str]) -> bool:
+        rows = await scan_all(self.stranded.service, ROUTER_PREFIX)
+        if isinstance(rows, PlatformFault):
             return False
-        for seat in seats:
-            # A vacated seat names nobody.
-            serving = seat.value['incarnation'] or self.net.me.incarnation
+        for row in rows:
+            # After a release the entry names no incarnation.
+            serving = row.value['incarnation'] or self.net.me.incarnation
             if serving not in answered:
                 return False
-            if set(seat.value['before']) - {lender}:
+            if set(row.value['before']) - {lender}:
                 return False
         return True
 
@@ -119,5 +122,5 @@
             return False
         return self.loans.has_done_with(lender)
 
-    async def _take_ask(self, _member: Member, ask: LenderAsk) -> LenderGone:
+    async def _handle_ask(self, _member: Member, ask: LenderAsk) -> LenderGone:
         return LenderGone(self._is_clear(ask.incarnation))
--- a/src/balsamreach/budget/releasing.py
+++ b/src/balsamreach/budget/releasing.py
@@ -1,4 +1,4 @@
-"""Closes a dead router's allotments on an operator's word."""
+"""Closes the allotments of a dead router at an operator's request."""
 
 import attrs
 
@@ -9,8 +9,12 @@
     STILL_LISTED,
     BudgetFault,
 )
-from balsamreach.budget.incarnations import ROUTER_PREFIX, Seating, live_check
-from balsamreach.budget.leftovers import Leftovers
+from balsamreach.budget.incarnations import (
+    ROUTER_PREFIX,
+    RouterEntry,
+    unchanged_check,
+)
+from balsamreach.budget.stranded import StrandedAllotments
 from balsamreach.clock import Clock
 from balsamreach.services.base import (
     Commit,
@@ -28,14 +32,15 @@
 
 @attrs.frozen
 class Released:
-    """What came back.
+    """The result of a release.
 
     Parameters
     ----------
     returned : dict of str to int
-        Tokens by team that can be drawn again.
+        Tokens returned to accounts, by team.
     kept : int
-        Tokens that stay in closed rows because borrowers may hold them.
+        Tokens that stay in closed allotments because borrowers may hold
+        them.
     """
 
     returned: dict[str, int]
@@ -44,20 +49,21 @@
 
 @attrs.frozen
 class Releaser:
-    """Releases what a router holds whose address nobody serves any more.
+    """Releases the tokens of a router whose address is no longer served.
 
-    No process can prove that a router is dead if none follows it on its
-    address. An operator may know; the host list has to agree. A holder that
-    lives all the same finds its rows closed and spends nothing more of them.
+    Without a successor at the same address no process can prove that a
+    router is dead. An operator may know it, and the host list has to agree.
+    A router that is alive all the same finds its allotments closed and
+    spends no more of their tokens.
 
     Parameters
     ----------
     service : TableService
-        Where allotments and the rows of addresses are.
+        Service that stores allotments and address entries.
     hosts : HostList
-        Must not list the router any more.
+        List of hosts; it must not contain the router any more.
     clock : Clock
-        Time of the record.
+        Gives the time stored with the release.
     """
 
     service: TableService
@@ -67,31 +73,35 @@
     async def release(
         self, incarnation: str, by: str
     ) -> Released | BudgetFault:
-        """Close all allotments of an incarnation, for good.
+        """Close all allotments of an incarnation permanently.
+
+        An interrupted release can be completed by calling this again.
 
         Parameters
         ----------
         incarnation : str
-            Whose; a second release finishes what a broken off one left.
+            Incarnation whose allotments to close.
         by : str
-            Operator who says that it is dead.
+            Operator who states that it is dead.
 
         Returns
         -------
         Released or BudgetFault
-            STILL_LISTED if the host list shows the router; NO_ALLOTMENT if
-            the platform could not be reached.
+            STILL_LISTED if the host list contains the router; NO_ALLOTMENT
+            if the platform is unavailable.
         """
-        seat = await self._seat(incarnation)
-        if isinstance(seat, BudgetFault):
-            return seat
-        fault = await self._look_up(incarnation, seat)
-        fault = fault or await self._enter(incarnation, seat, by)
+        row = await self._find_router_row(incarnation)
+        if isinstance(row, BudgetFault):
+            return row
+        fault = await self._check_hosts(incarnation, row)
+        fault = fault or await self._record_release(incarnation, row, by)
         if fault is not None:
             return fault
-        return await self._close(incarnation)
+        return await self._close_allotments(incarnation)
 
-    async def _seat(self, incarnation: str) -> Row | BudgetFault | None:
+    async def _find_router_row(
+        self, incarnation: str
+    ) -> Row | BudgetFault | None:
         scan = Scan(ROUTER_PREFIX)
         while True:
             page = await self.service.scan(scan)
@@ -104,15 +114,15 @@
                 return None
             scan = Scan(ROUTER_PREFIX, after=page.rows[-1].key)
 
-    async def _look_up(
+    async def _check_hosts(
         self,
         incarnation: str,
-        seat: Row | None,
+        row: Row | None,
     ) -> BudgetFault | None:
         hosts = await self.hosts.hosts()
         if isinstance(hosts, PlatformFault):
             return NO_ALLOTMENT.because(f'host list: {hosts.code}')
-        address = '' if seat is None else seat.key.removeprefix(ROUTER_PREFIX)
+        address = '' if row is None else row.key.removeprefix(ROUTER_PREFIX)
         for host in hosts:
             if incarnation == host.incarnation or address == host.address:
                 return STILL_LISTED.because(
@@ -120,21 +130,21 @@
                 )
         return None
 
-    async def _enter(
+    async def _record_release(
         self,
         incarnation: str,
-        seat: Row | None,
+        row: Row | None,
         by: str,
     ) -> BudgetFault | None:
-        # The row of the address comes first. Were an allotment closed while
-        # the row still named the holder, a holder that wakes then would
-        # find itself in office and draw anew for other teams.
+        # The address entry is changed first. If an allotment were closed while
+        # the entry still named its holder, a holder that resumed just then
+        # would consider itself current and draw tokens for other teams.
         record = {'by': by, 'at': self.clock.wall()}
         writes = [Write(RELEASE_PREFIX + incarnation, record)]
         checks = []
-        if seat is not None:
-            writes.append(Write(seat.key, attrs.asdict(_vacated(seat))))
-            checks.append(live_check(seat))
+        if row is not None:
+            writes.append(Write(row.key, attrs.asdict(_vacated_entry(row))))
+            checks.append(unchanged_check(row))
         outcome = await self.service.commit(
             Commit(tuple(writes), tuple(checks)),
         )
@@ -142,7 +152,9 @@
             return NO_ALLOTMENT.because(f'table service: {outcome.code}')
         return None
 
-    async def _close(self, incarnation: str) -> Released | BudgetFault:
+    async def _close_allotments(
+        self, incarnation: str
+    ) -> Released | BudgetFault:
         closer = AllotmentCloser(self.service)
         teams = await closer.open_teams(incarnation)
         if isinstance(teams, BudgetFault):
@@ -150,47 +162,51 @@
         returned: dict[str, int] = {}
         kept = 0
         for team in teams:
-            closed = await closer.close(ClosingSpec(incarnation, team))
-            if isinstance(closed, BudgetFault):
-                return closed
-            returned[team] = closed.returned
-            kept += closed.kept
-        fault = await Leftovers(self.service, self.clock).note(incarnation)
-        fault = fault or await self._strike(incarnation)
+            result = await closer.close(ClosingSpec(incarnation, team))
+            if isinstance(result, BudgetFault):
+                return result
+            returned[team] = result.returned
+            kept += result.kept
+        fault = await StrandedAllotments(
+            self.service, self.clock
+        ).record_lender(incarnation)
+        fault = fault or await self._remove_predecessor(incarnation)
         if fault is not None:
             return NO_ALLOTMENT.because(f'table service: {fault.code}')
         return Released(returned, kept)
 
-    async def _strike(self, incarnation: str) -> PlatformFault | None:
-        # A vacated row that goes on naming it would count as allotments that
-        # wait to be closed.
+    async def _remove_predecessor(
+        self, incarnation: str
+    ) -> PlatformFault | None:
+        # If the entry kept naming the incarnation, it would count as one whose
+        # allotments are still to be closed.
         rows = await scan_all(self.service, ROUTER_PREFIX)
         if isinstance(rows, PlatformFault):
             return rows
         for row in rows:
             if incarnation in row.value['before']:
-                return await self._replace(row, incarnation)
+                return await self._write_without(row, incarnation)
         return None
 
-    async def _replace(
+    async def _write_without(
         self,
         row: Row,
         incarnation: str,
     ) -> PlatformFault | None:
-        seat = Seating(**row.value)
-        left = tuple(name for name in seat.before if name != incarnation)
-        seat = attrs.evolve(seat, before=left)
-        gone = not (seat.incarnation or left)
-        write = Write(row.key, None if gone else attrs.asdict(seat))
+        entry = RouterEntry(**row.value)
+        remaining = tuple(name for name in entry.before if name != incarnation)
+        entry = attrs.evolve(entry, before=remaining)
+        is_unused = not (entry.incarnation or remaining)
+        write = Write(row.key, None if is_unused else attrs.asdict(entry))
         outcome = await self.service.commit(
-            Commit((write,), (live_check(row),)),
+            Commit((write,), (unchanged_check(row),)),
         )
         return outcome if isinstance(outcome, PlatformFault) else None
 
 
-def _vacated(seat: Row) -> Seating:
-    held = Seating(**seat.value)
-    # A later router on the address still has to look after all of them: this
-    # release may break off before every allotment is closed.
-    before = (*held.before, held.incarnation)
-    return Seating('', held.started, before)
+def _vacated_entry(row: Row) -> RouterEntry:
+    entry = RouterEntry(**row.value)
+    # The incarnation becomes a predecessor, so that a later router at the
+    # address closes its allotments if this release is interrupted.
+    before = (*entry.before, entry.incarnation)
+    return RouterEntry('', entry.started, before)
--- a/src/balsamreach/budget/succession.py
+++ b/src/balsamreach/budget/succession.py
@@ -1,8 +1,9 @@
-"""Gives back what earlier incarnations on this address had not used.
+"""Returns tokens that earlier incarnations at this address did not use.
 
-A process that serves an address has bound its port, so whoever served it
-before is dead. When it died at the latest is known too: before this process
-began. Its last report and the silence between the two bound what it used.
+A process that serves an address has bound its port, so an earlier process
+that served it has stopped, and it did so before this process started. Its
+last report and the time from that report to the start of this process bound
+the number of tokens that it used.
 """
 
 import asyncio
@@ -26,103 +27,106 @@
 from balsamreach.telemetry.metrics import Metrics
 
 _logger = logging.getLogger(__name__)
-#: Tries before it is left to the holder's rounds, and seconds between two.
-_TRIES = 10
+#: Number of attempts, and seconds between two, before closing is left to the
+#: periodic rounds of ``Holdings``.
+_ATTEMPTS = 10
 _PAUSE_S = 0.1
-#: Teams whose allotments are closed at the same time.
-_AT_ONCE = 16
+#: Maximum number of allotments that are closed concurrently.
+_MAX_CONCURRENT = 16
 
 
 @attrs.define
 class Succession:
-    """Closes predecessors' allotments by their last reports.
+    """Closes the allotments of predecessors based on their last reports.
 
     Parameters
     ----------
     service : TableService
-        Where reports and allotments are kept.
+        Service that stores reports and allotments.
     incarnations : Incarnations
-        Names the predecessors.
-    times : ServiceClock
-        The table service's time.
-    began : float
-        Monotonic seconds at which this process had begun.
+        Knows the predecessors.
+    service_clock : ServiceClock
+        Converts to the time of the table service.
+    process_start : float
+        Monotonic time by which this process had started, in seconds.
     metrics : Metrics
-        Counts tokens that came back.
+        Counts tokens that were returned.
     """
 
     service: TableService
     incarnations: Incarnations
-    times: ServiceClock
-    began: float
+    service_clock: ServiceClock
+    process_start: float
     metrics: Metrics
 
     async def inherit(self, book: Book) -> None:
-        """Close what predecessors held as soon as the store answers.
+        """Close predecessors' allotments as soon as the store is available.
 
-        Where all hosts start again at once most of a budget may be held by
-        the dead. Left to the holder's first round it would be a second before
-        any of it is back, and requests would be refused meanwhile; it shows
-        as ``no_allotment`` in the first seconds after a loss of power.
+        When all hosts restart at once, stopped routers may hold most of a
+        budget. If closing were left to the first round of ``Holdings``, no
+        token would return for a second, and requests would be refused with
+        ``no_allotment`` in the first seconds after a power failure.
 
         Parameters
         ----------
         book : Book
-            Enters this router on its address first.
+            Registers this router at its address first.
         """
-        for _ in range(_TRIES):
+        for _ in range(_ATTEMPTS):
             if not book.is_away() and await book.enter() is None:
                 await self.close_predecessors()
-                if not self.incarnations.before:
+                if not self.incarnations.predecessors:
                     return
             await book.clock.sleep(_PAUSE_S)
 
     async def close_predecessors(self) -> None:
-        """Close what predecessors held, as far as the store answers."""
-        await self.incarnations.close_before(self._close_all_of)
+        """Close predecessors' allotments as far as the store is available."""
+        await self.incarnations.close_each_predecessor(self._close_incarnation)
 
-    async def _close_all_of(self, incarnation: str) -> bool:
+    async def _close_incarnation(self, incarnation: str) -> bool:
         rows = await self.service.read((usage_key(incarnation),))
         if isinstance(rows, PlatformFault):
             return False
-        # One that never reported has used nothing, but nobody knows which
-        # teams it drew for; what it held stays taken.
+        # An incarnation that never reported has used nothing, but the teams
+        # that it drew for are unknown, so its tokens stay taken.
         if rows[0].value is None:
             return True
-        last = decode_report(rows[0].value)
-        died = self.times.at_most(self.began)
-        if died is None:
+        last_report = decode_report(rows[0].value)
+        latest_end = self.service_clock.at_most(self.process_start)
+        if latest_end is None:
             return False
-        # Teams lie in parts of their own, so their closings don't wait for
-        # each other; one after the other the last team would be refused for
-        # as long as all of them take.
-        turn = asyncio.Semaphore(_AT_ONCE)
+        # Teams lie in separate parts of the table service, so their allotments
+        # are closed concurrently. If they were closed one after another,
+        # requests of the last team would be refused until all are done.
+        semaphore = asyncio.Semaphore(_MAX_CONCURRENT)
         closings = [
-            self._close_in_turn(turn, incarnation, team, last, died)
-            for team in last.teams
+            self._close_limited(
+                semaphore, incarnation, team, last_report, latest_end
+            )
+            for team in last_report.teams
         ]
         return all(await asyncio.gather(*closings))
 
-    async def _close_in_turn(
+    async def _close_limited(
         self,
-        turn: asyncio.Semaphore,
+        semaphore: asyncio.Semaphore,
         incarnation: str,
         team: str,
-        last: Report,
-        died: float,
+        last_report: Report,
+        latest_end: float,
     ) -> bool:
-        async with turn:
-            return await self._close(incarnation, team, last, died)
+        async with semaphore:
+            return await self._close(incarnation, team, last_report, latest_end)
 
     async def _close(
         self,
         incarnation: str,
         team: str,
-        last: Report,
-        died: float,
+        last_report: Report,
+        latest_end: float,
     ) -> bool:
-        silence = _silence(died, last)
-        used = last.allowed(team, silence)
+        silence = _silence(latest_end, last_report)
+        used = last_report.allowed(team, silence)
         closing = ClosingSpec(incarnation, team, used=used)
         outcome = await AllotmentCloser(self.service).close(closing)
         if isinstance(outcome, BudgetFault):
@@ -134,7 +138,7 @@
             'budget_inherited',
             team=team,
             before=incarnation,
-            report=last.number,
+            report=last_report.number,
             silence_s=round(silence, 3) if math.isfinite(silence) else None,
             used_at_most=used,
             returned=outcome.returned,
@@ -142,10 +146,10 @@
         return True
 
 
-def _silence(died: float, last: Report) -> float:
-    # A report from after the death can't be: the service's clock went back.
-    # Taken for no silence, it would give back what was used, and a team
-    # would get more than it paid for.
-    if died < last.at:
+def _silence(latest_end: float, last_report: Report) -> float:
+    # A report later than the end of its process means that the service's
+    # clock went back. If that counted as no silence, tokens that were used
+    # would be returned, and the team could use more than it paid for.
+    if latest_end < last_report.at:
         return math.inf
-    return died - last.at
+    return latest_end - last_report.at
--- a/src/balsamreach/budget/takeover.py
+++ b/src/balsamreach/budget/takeover.py
@@ -1,4 +1,4 @@
-"""Takes over what earlier incarnations on this router's address held."""
+"""Closes the allotments of earlier incarnations at this address."""
 
 import logging
 
@@ -8,7 +8,7 @@
 from balsamreach.budget.closing_plan import ClosingResult, ClosingSpec
 from balsamreach.budget.faults import BudgetFault
 from balsamreach.budget.incarnations import Incarnations
-from balsamreach.budget.leftovers import Leftovers
+from balsamreach.budget.stranded import StrandedAllotments
 from balsamreach.telemetry.logs import log_event
 from balsamreach.telemetry.metrics import Metrics
 
@@ -20,30 +20,30 @@
 
 @attrs.define
 class Takeover:
-    """Closes predecessors' allotments.
+    """Closes the allotments of predecessors.
 
     Parameters
     ----------
     closer : AllotmentCloser
         Closes one allotment.
     incarnations : Incarnations
-        Names the predecessors.
+        Knows the predecessors.
     metrics : Metrics
-        Counts tokens that came back and tokens left behind.
-    leftovers : Leftovers
-        List of those of whom something is left.
+        Counts tokens that were returned and tokens that stay stranded.
+    stranded : StrandedAllotments
+        Records incarnations whose closed allotments still hold tokens.
     """
 
     closer: AllotmentCloser
     incarnations: Incarnations
     metrics: Metrics
-    leftovers: Leftovers
+    stranded: StrandedAllotments
 
     async def close_predecessors(self) -> None:
-        """Close whatever predecessors still hold."""
-        await self.incarnations.close_before(self._close_all_of)
+        """Close all open allotments of predecessors."""
+        await self.incarnations.close_each_predecessor(self._close_incarnation)
 
-    async def _close_all_of(self, incarnation: str) -> bool:
+    async def _close_incarnation(self, incarnation: str) -> bool:
         teams = await self.closer.open_teams(incarnation)
         if isinstance(teams, BudgetFault):
             return False
@@ -51,19 +51,30 @@
             outcome = await self.closer.close(ClosingSpec(incarnation, team))
             if isinstance(outcome, BudgetFault):
                 return False
-            report(self.metrics, ClosingSpec(incarnation, team), outcome)
-        return await self.leftovers.note(incarnation) is None
+            report_takeover(
+                self.metrics, ClosingSpec(incarnation, team), outcome
+            )
+        return await self.stranded.record_lender(incarnation) is None
 
 
-def report(
+def report_takeover(
     metrics: Metrics, closing: ClosingSpec, outcome: ClosingResult
 ) -> None:
-    """Count and log what was taken over, whoever closed it.
+    """Count and log the tokens that closing an allotment moved.
 
-    A dead router's successor and the buddy that has its bills both close
-    what it held; the one that comes second has moved nothing and says so by
-    its silence. Said by the successor alone, tokens would come back to an
-    account without a word in any log.
+    Both the successor of a stopped router and the backup peer that has its
+    bills close its allotments; the second one moves no tokens and logs
+    nothing. If only the successor logged, tokens could return to an account
+    without any log line.
+
+    Parameters
+    ----------
+    metrics : Metrics
+        Counts reclaimed and stranded tokens.
+    closing : ClosingSpec
+        The allotment that was closed.
+    outcome : ClosingResult
+        The result of closing it.
     """
     if not outcome.returned and not outcome.kept:
         return
--- a/src/balsamreach/budget/upkeep.py
+++ b/src/balsamreach/budget/upkeep.py
@@ -77,7 +77,7 @@
         """
         loops = [self._enter(), self._run_rounds(interval), self._beat(wakeup)]
         if self.peers is not None:
-            loops.append(self.peers.copying.run())
+            loops.append(self.peers.copier.run())
         await asyncio.gather(*loops)
 
     def copy_bills(self) -> None:
@@ -88,7 +88,7 @@
 
     async def _look_after_others(self, peers: PeerParts) -> None:
         await peers.loans.send_receipts()
-        await peers.keeper.settle_gone()
+        await peers.keeper.settle_stopped()
         if self._rounds % _ROUNDS_BETWEEN_LOOKS == 0:
             await peers.reclaimer.reclaim_all()
 
--- a/tests/test_budget_copies.py
+++ b/tests/test_budget_copies.py
@@ -1,4 +1,4 @@
-"""Copies of bills: when they leave, and what becomes of them."""
+"""Tests of bill copies: sending, settling and passing them on."""
 
 import asyncio
 import logging
@@ -15,220 +15,225 @@
 from tests.budget_world import World
 from tests.fake_net import FakePeerNet
 
-_TURNS = 20
+_LOOP_TURNS = 20
 
 
 class CopiesTest(unittest.IsolatedAsyncioTestCase):
-    """Three routers of one zone and one funded team."""
+    """Three routers in one zone and one funded team."""
 
     async def asyncSetUp(self):
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
         self.world = World()
-        self.one = self.world.start('a')
-        self.peers = self.one.upkeep.peers
+        self.router = self.world.start('a')
+        self.peers = self.router.upkeep.peers
         self.world.start('b')
         self.world.start('c')
         await self.world.fund('team', 100_000)
         await self.world.rounds()
 
-    async def let_run(self, router):
-        """Start what a router does by itself; no time passes."""
+    async def start_tasks(self, router):
+        """Start the background tasks of a router without advancing time."""
         task = asyncio.create_task(router.run())
         self.addCleanup(task.cancel)
-        await self.turn()
+        await self.run_ready_tasks()
 
-    async def succeed(self):
-        """Kill a router if it lives and start another on its address."""
+    async def replace_router(self):
+        """Kill router a if it is alive; start another at its address."""
         if 'a' in self.world.routers:
             self.address = self.world.address('a')
             self.world.kill('a')
         self.world.start('a2', address=self.address)
         await self.world.rounds(count=2)
 
-    async def turn(self):
-        """Let everything that waits for no time go on."""
-        for _ in range(_TURNS):
+    async def run_ready_tasks(self):
+        """Run all tasks that do not wait for the clock."""
+        for _ in range(_LOOP_TURNS):
             await asyncio.sleep(0)
 
-    async def deliver(self):
-        """Let what is told by now arrive."""
-        await self.turn()
+    async def deliver_messages(self):
+        """Deliver all messages that were sent."""
+        await self.run_ready_tasks()
         await self.world.fabric.settle()
 
     async def admit(self, router, key, tokens=100):
-        """Serve one request that must be admitted."""
-        held = await self.world.serve(router, key, tokens)
-        self.assertIsInstance(held, Reservation)
+        """Serve a request and check that it is admitted."""
+        reservation = await self.world.serve(router, key, tokens)
+        self.assertIsInstance(reservation, Reservation)
 
-    async def test_copy_leaves_at_once(self):
-        """Symptom: answers of a router's last second are never billed.
+    async def test_copy_is_sent_at_once(self):
+        """A bill is copied at once, not with the next periodic update.
 
-        Sequence: a request ends, its router is killed before the next beat,
-        another starts on the address. Cause: copies that leave in beats.
+        A request ends, its router is killed before the next update, and
+        another router starts at the address. If copies were only sent
+        periodically, the last second's requests would never be billed.
         """
-        await self.let_run(self.one)
-        await self.admit(self.one, 'k')
-        await self.turn()
+        await self.start_tasks(self.router)
+        await self.admit(self.router, 'k')
+        await self.run_ready_tasks()
         await self.world.fabric.settle()
-        await self.succeed()
+        await self.replace_router()
         self.assertEqual((await self.world.sums()).recorded, 100)
 
-    async def test_secured_bill_outlives_its_maker(self):
-        """Symptom: a caller has a whole answer that is never billed.
+    async def test_secured_bill_survives_crash(self):
+        """A complete response is billed although its router is killed.
 
-        Sequence: a request ends and its router is killed in the same
-        instant. Cause: the answer's end does not wait for the bill's copy.
+        A request ends and its router is killed at the same moment. If the
+        end of the response did not wait for the copy of the bill, the
+        client would have a response that is never billed.
         """
-        await self.admit(self.one, 'k')
-        await self.one.secure()
-        await self.succeed()
+        await self.admit(self.router, 'k')
+        await self.router.secure()
+        await self.replace_router()
         self.assertEqual((await self.world.sums()).recorded, 100)
-        self.assertEqual(self.secured('copied'), 1)
+        self.assertEqual(self.count_secured('copied'), 1)
 
-    async def test_silent_buddy_costs_one_wait(self):
-        """Symptom: the end of every answer is held up.
-
-        Sequence: the buddy is paused. Cause: each answer waits for it.
-        """
+    async def test_slow_backup_delays_one_response(self):
+        """A paused backup peer delays the end of only one response."""
         self.world.fabric.held.add(BillCopies)
-        with mock.patch.object(copying, 'SECURE_S', 0):
+        with mock.patch.object(copying, 'CONFIRM_TIMEOUT_S', 0):
             for key in ('k', 'm'):
-                await self.admit(self.one, key)
-                await self.one.secure()
-        self.assertEqual(self.secured('late'), 1)
+                await self.admit(self.router, key)
+                await self.router.secure()
+        self.assertEqual(self.count_secured('late'), 1)
         self.world.fabric.release()
-        await self.turn()
-        await self.admit(self.one, 'n')
-        await self.one.secure()
-        self.assertEqual(self.secured('copied'), 1)
+        await self.run_ready_tasks()
+        await self.admit(self.router, 'n')
+        await self.router.secure()
+        self.assertEqual(self.count_secured('copied'), 1)
 
     @parameterized.expand([('alone', True), ('answer_lost', False)])
-    async def test_bill_that_no_buddy_confirms(self, _name, alone):
-        """Symptom: a buddy keeps a copy for good, or an answer hangs.
+    async def test_unconfirmed_copy(self, _name, alone):
+        """A copy that is not confirmed is neither waited for nor kept.
 
-        Sequence: there is no buddy, or its answer is lost; the bill is
-        recorded. Cause: a copy without an answer is taken for not sent.
+        There is no backup peer, or its response is lost; then the bill is
+        recorded. If an unconfirmed copy counted as not sent, the peer would
+        keep it forever.
         """
         self.world.fabric.answers_lost[BillCopies] = 1
         if alone:
             self.world.kill('b')
             self.world.kill('c')
-        await self.admit(self.one, 'k')
-        await self.one.secure()
-        self.assertEqual(self.secured('alone'), 1)
-        await self.one.flush()
-        self.one.upkeep.copy_bills()
+        await self.admit(self.router, 'k')
+        await self.router.secure()
+        self.assertEqual(self.count_secured('alone'), 1)
+        await self.router.flush()
+        self.router.upkeep.copy_bills()
         await self.world.fabric.settle()
         others = [name for name in ('b', 'c') if name in self.world.routers]
-        self.assertEqual(sum(self.kept(name) for name in others), 0)
+        self.assertEqual(sum(self.count_kept(name) for name in others), 0)
 
-    def kept(self, name):
-        """Return how many copies a router keeps."""
+    def count_kept(self, name):
+        """Return the number of copies that a router keeps."""
         upkeep = self.world.routers[name].upkeep
         return upkeep.peers.keeper.kept
 
-    def secured(self, outcome):
-        """Return how often the end of an answer waited with an outcome."""
-        return self.one.metrics.counted(copying.SECURED, outcome=outcome)
+    def count_secured(self, outcome):
+        """Return how often waiting for a copy ended with an outcome."""
+        return self.router.metrics.counted(copying.SECURED, outcome=outcome)
 
-    async def test_new_buddy_gets_all(self):
-        """Symptom: bills are lost with a buddy that had died before.
+    async def test_new_backup_gets_all_bills(self):
+        """A new backup peer gets copies of all waiting bills.
 
-        Sequence: bills are copied, the buddy dies, one more bill is made,
-        the maker dies. Cause: the new buddy is sent the new bill only.
+        Bills are copied, the backup peer crashes, another bill is made and
+        its router crashes. If the new backup peer got only the new bill, the
+        others would be lost.
         """
-        await self.let_run(self.one)
+        await self.start_tasks(self.router)
         for key in ('k', 'm'):
-            await self.admit(self.one, key)
-            await self.deliver()
+            await self.admit(self.router, key)
+            await self.deliver_messages()
             if key == 'k':
-                self.world.kill(self.peers.sender.buddy)
-        await self.succeed()
+                self.world.kill(self.peers.sender.backup)
+        await self.replace_router()
         self.assertEqual((await self.world.sums()).recorded, 200)
 
-    async def test_enters_before_first_round(self):
-        """Symptom: for a whole interval nobody settles a dead router's bills.
+    async def test_registers_before_first_round(self):
+        """A successor registers at its address before its first round.
 
-        Sequence: a router dies, another starts on its address. Cause: its
-        row, the proof that the first is gone, waits for the first round.
+        A router crashes and another starts at its address. The entry of the
+        successor proves that the first one stopped; if it were written only
+        in the first round, no peer could settle the bills until then.
         """
         address = self.world.address('a')
         self.world.kill('a')
-        await self.let_run(self.world.start('a2', address=address))
+        await self.start_tasks(self.world.start('a2', address=address))
         row = await self.world.peek(ROUTER_PREFIX + address)
         self.assertEqual(row.value['incarnation'], 'a2')
 
-    async def leave_dead_copy(self):
-        """Let a router die without a successor; return its buddy."""
-        await self.admit(self.one, 'k')
-        self.one.upkeep.copy_bills()
+    async def kill_after_copy(self):
+        """Kill a router after copying a bill; return its backup peer."""
+        await self.admit(self.router, 'k')
+        self.router.upkeep.copy_bills()
         await self.world.fabric.settle()
-        buddy = self.peers.sender.buddy
+        backup = self.peers.sender.backup
         self.address = self.world.address('a')
         self.world.kill('a')
-        return buddy
+        return backup
 
-    async def test_leaving_buddy_settles(self):
-        """Symptom: a dead router's bills vanish at a graceful shutdown.
+    async def test_leaving_backup_settles(self):
+        """A backup peer settles bills of stopped routers before it leaves.
 
-        Sequence: a router dies, a successor enters itself, the buddy
-        leaves before its next look. Cause: copies that end with it.
+        A router crashes, a successor registers, and the backup peer shuts
+        down before its next check. The only copies of the bills would be
+        lost with it.
         """
-        buddy = await self.leave_dead_copy()
+        backup = await self.kill_after_copy()
         self.world.start('a2', address=self.address)
         await self.world.rounds('a2')
-        router = self.world.routers[buddy]
+        router = self.world.routers[backup]
         self.assertTrue(await self.world.clock.drive(router.leave()))
-        self.world.kill(buddy)
+        self.world.kill(backup)
         self.assertEqual((await self.world.sums()).recorded, 100)
 
-    async def test_leaving_buddy_passes_copies_on(self):
-        """Symptom: as above, where nothing proves yet that the maker died.
+    async def test_leaving_backup_passes_on_copies(self):
+        """A backup peer that leaves passes on copies it can't settle yet.
 
-        Sequence: a router dies, its buddy leaves, and only then another
-        router starts on the address. Cause: as above.
+        A router crashes, its backup peer shuts down, and only then another
+        router starts at the address, which proves that the first stopped.
+        The only copies of the bills would be lost with the backup peer.
         """
-        buddy = await self.leave_dead_copy()
-        router = self.world.routers[buddy]
+        backup = await self.kill_after_copy()
+        router = self.world.routers[backup]
         self.assertTrue(await self.world.clock.drive(router.leave()))
-        self.world.kill(buddy)
-        # The maker may only be cut off; that its first buddy went is no
-        # proof against it.
+        self.world.kill(backup)
+        # The router may only be disconnected; that its first backup peer left
+        # does not prove that it stopped.
         await self.world.rounds(count=2)
         self.assertEqual((await self.world.sums()).recorded, 0)
-        await self.succeed()
+        await self.replace_router()
         self.assertEqual((await self.world.sums()).recorded, 100)
 
-    async def test_unsent_copy_goes_out_later(self):
-        """Symptom: a bill has no copy although a buddy is in reach.
+    async def test_unsent_copy_is_sent_later(self):
+        """A copy that could not be sent is sent with the next update.
 
-        Sequence: the connection to the buddy breaks as a bill is made and
-        stands again at the next beat. Cause: taken for sent.
+        The connection to the backup peer is broken when a bill is made, and
+        works again at the next update. If the copy counted as sent, the bill
+        would have no copy although a backup peer is reachable.
         """
         sender = self.peers.sender
-        await self.admit(self.one, 'k')
-        self.one.upkeep.copy_bills()
+        await self.admit(self.router, 'k')
+        self.router.upkeep.copy_bills()
         await self.world.fabric.settle()
-        await self.admit(self.one, 'm')
+        await self.admit(self.router, 'm')
         failing = mock.AsyncMock(return_value=NOT_CONNECTED)
         with mock.patch.object(FakePeerNet, 'ask', failing):
-            self.peers.copying.copy_new()
-            await self.turn()
-        self.one.upkeep.copy_bills()
+            self.peers.copier.copy_new()
+            await self.run_ready_tasks()
+        self.router.upkeep.copy_bills()
         await self.world.fabric.settle()
-        buddy = self.world.routers[sender.buddy].upkeep
-        self.assertEqual(buddy.peers.keeper.kept, 2)
+        backup = self.world.routers[sender.backup].upkeep
+        self.assertEqual(backup.peers.keeper.kept, 2)
 
 
-class LeavingTest(unittest.IsolatedAsyncioTestCase):
-    """A graceful end with many teams."""
+class ShutdownTest(unittest.IsolatedAsyncioTestCase):
+    """A graceful shutdown with many teams."""
 
     async def test_closes_many_teams_in_few_commits(self):
-        """Symptom: a shutdown with many teams outlasts its timeout.
+        """A router that served many teams closes them in few commits.
 
-        Sequence: a router that served hundreds of teams leaves. Cause: a
-        commit, and a round trip, for each team.
+        With a commit, and so a round trip, for each team, a shutdown with
+        hundreds of teams would exceed its timeout.
         """
         world = World()
         router = world.start('a')
--- a/tests/test_budget_reclaiming.py
+++ b/tests/test_budget_reclaiming.py
@@ -1,139 +1,143 @@
-"""What a router that is gone may have lent is given back on proof alone."""
+"""Tests that tokens of a stopped lender are reclaimed only on proof."""
 
 from parameterized import parameterized
 
-from balsamreach.budget.leftovers import STRANDED_PREFIX
+from balsamreach.budget.stranded import STRANDED_PREFIX
 from balsamreach.budget.takeover import RECLAIMED
 from balsamreach.wire.loans import LenderAsk, LoanAsk
 from tests.test_budget_failures import FailureTest
 
 
 class ReclaimTest(FailureTest):
-    """A lender dies; its successor closes what it held."""
+    """A lender crashes and its successor closes its allotment."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.three = self.world.start('c')
+        self.router_c = self.world.start('c')
         await self.world.rounds()
         await self.admit(self.router_a, 'k', 1000)
         await self.world.rounds('a', count=2)
         self.address = self.world.address('a')
 
-    async def succeed(self):
-        """Kill the lender and let its successor close what it held."""
-        gone = self.world.kill('a')
+    async def replace_lender(self):
+        """Kill the lender and let its successor close the allotment."""
+        killed = self.world.kill('a')
         self.world.start('a2', address=self.address)
         await self.world.rounds('a2', count=5)
-        return gone
+        return killed
 
-    async def reclaim(self):
-        """Let all routers look; return the tokens still left in the row."""
+    async def reclaim_and_audit(self):
+        """Run reclaiming on all routers; return the tokens still stranded."""
         for router in self.world.routers.values():
             reclaimer = router.upkeep.peers.reclaimer
             await self.world.clock.drive(reclaimer.reclaim_all())
         report = await self.world.audit()
         self.assertEqual(report.breaches, [])
-        return sum(one.tokens for one in report.stranded)
+        return sum(part.tokens for part in report.stranded)
 
-    async def lend(self):
-        """Let the second router borrow while it can't record the loan."""
+    async def borrow(self):
+        """Let router b borrow while it can't record the loan."""
         self.world.cut('b')
-        held = await self.world.serve(self.router_b, 'm', 300)
-        self.assertTrue(self.router_b.ledgers['team'].borrowed, held)
+        outcome = await self.world.serve(self.router_b, 'm', 300)
+        self.assertTrue(self.router_b.ledgers['team'].borrowed, outcome)
 
-    async def test_unborrowed_part_comes_back(self):
-        """Symptom: each crash costs the budget what one router held.
+    async def test_unborrowed_tokens_are_reclaimed(self):
+        """Tokens that nobody borrowed return to the account.
 
-        Sequence: a router that could have lent dies, nobody borrowed.
-        Cause: what may be lent stays in the closed row for good.
+        A router that could have lent tokens crashes, and nobody borrowed
+        any. If they stayed in the closed allotment forever, each crash would
+        cost the budget the tokens of one router.
         """
-        await self.succeed()
+        await self.replace_lender()
         stranded = (await self.world.audit()).stranded
         self.assertTrue(stranded)
-        self.assertEqual(await self.reclaim(), 0)
-        # The counter is that of the one router that looked after it.
+        self.assertEqual(await self.reclaim_and_audit(), 0)
+        # Only the router responsible for the lender counts the tokens.
         routers = self.world.routers.values()
-        counted = sum(one.metrics.counted(RECLAIMED) for one in routers)
-        self.assertGreaterEqual(counted, stranded[0].tokens)
+        reclaimed = sum(router.metrics.counted(RECLAIMED) for router in routers)
+        self.assertGreaterEqual(reclaimed, stranded[0].tokens)
         entry = await self.world.peek(f'{STRANDED_PREFIX}a')
         self.assertIsNone(entry.value)
         await self.check_recorded(recorded=1000)
 
-    async def test_loan_that_is_not_recorded_keeps_the_part(self):
-        """Symptom: a loan in use is handed out a second time.
+    async def test_unrecorded_loan_keeps_tokens(self):
+        """Lent tokens are not reclaimed before the loan is recorded.
 
-        Sequence: the borrower is cut off from the platform as the lender
-        dies. Cause: only the borrower knows of the loan.
+        The borrower is disconnected from the platform when the lender
+        crashes, so only the borrower knows the loan. If its tokens were
+        reclaimed, they could be granted a second time.
         """
-        await self.lend()
-        await self.succeed()
+        await self.borrow()
+        await self.replace_lender()
         self.world.heal()
-        self.assertGreater(await self.reclaim(), 0)
+        self.assertGreater(await self.reclaim_and_audit(), 0)
         await self.world.rounds('b', count=2)
         await self.check_recorded(recorded=1300)
-        self.assertEqual(await self.reclaim(), 0)
+        self.assertEqual(await self.reclaim_and_audit(), 0)
 
     @parameterized.expand(
         [
-            ('cut_off_peer',),
-            ('dead_peer',),
-            ('copies_of_a_dead_peer',),
-            ('lost_answer',),
+            ('disconnect_peer',),
+            ('kill_peer',),
+            ('keep_copies',),
+            ('lose_responses',),
         ],
     )
-    async def test_missing_evidence_keeps_the_part(self, lack):
-        """Symptom as above. Sequence: one that may have borrowed is silent."""
-        await self.succeed()
-        getattr(self, lack)()
-        self.assertGreater(await self.reclaim(), 0)
-
-    def cut_off_peer(self):
-        """Let one router hear nothing from the others."""
+    async def test_missing_evidence_keeps_tokens(self, remove_evidence):
+        """Tokens are kept while a router that may have borrowed is silent."""
+        await self.replace_lender()
+        getattr(self, remove_evidence)()
+        self.assertGreater(await self.reclaim_and_audit(), 0)
+
+    def disconnect_peer(self):
+        """Disconnect a router from the other routers."""
         self.world.fabric.cut(['c'], ['a2', 'b'])
 
-    def dead_peer(self):
-        """Let one die that nobody succeeds."""
+    def kill_peer(self):
+        """Kill a router that gets no successor."""
         self.world.kill('c')
 
-    def copies_of_a_dead_peer(self):
-        """Let one keep bills of a dead router."""
+    def keep_copies(self):
+        """Let a router keep bill copies of a dead one."""
         peers = self.router_b.upkeep.peers
         peers.keeper.copies.setdefault('dead', {})
 
-    def lost_answer(self):
-        """Lose the answers to the questions."""
+    def lose_responses(self):
+        """Lose the responses to the questions about the lender."""
         self.world.fabric.answers_lost[LenderAsk] = 100
 
-    async def test_grant_that_comes_late_is_not_taken(self):
-        """Symptom as above.
+    async def test_late_grant_is_ignored(self):
+        """A grant is ignored after the router denied having loans.
 
-        Sequence: a borrower says that it has no loan of the lender, and the
-        lender's last grant arrives after that.
+        A router confirms that it has no loan of the lender, and the last
+        grant of the lender arrives after that. Its tokens may be reclaimed
+        and granted a second time.
         """
         self.world.fabric.held.add(LoanAsk)
         loans = self.router_b.upkeep.peers.loans
         self.assertTrue(loans.has_done_with('a'))
         self.world.fabric.release()
-        await self.lend_nothing()
+        await self.fail_to_borrow()
 
-    async def lend_nothing(self):
-        """Let the second router ask in vain."""
+    async def fail_to_borrow(self):
+        """Let router b try to borrow; check that it gets no loan."""
         self.world.cut('b')
         self.world.kill('c')
         await self.world.serve(self.router_b, 'm', 300)
         self.assertFalse(self.router_b.ledgers['team'].borrowed)
 
-    async def test_lender_that_wakes_lends_nothing(self):
-        """Symptom as above.
+    async def test_resumed_lender_lends_nothing(self):
+        """A lender that resumes after its tokens were reclaimed lends none.
 
-        Sequence: the lender was paused, all it held was given back; it
-        wakes and is asked. Cause: it believes its memory.
+        The lender was paused, its tokens were reclaimed, and it gets a loan
+        request after it resumes. If it relied on its outdated state in
+        memory, it would lend tokens that were granted a second time.
         """
         nets = self.world.fabric.nets
-        lend = nets['a'].takers[LoanAsk]
-        gone = await self.succeed()
-        self.assertEqual(await self.reclaim(), 0)
+        grant_loan = nets['a'].takers[LoanAsk]
+        killed = await self.replace_lender()
+        self.assertEqual(await self.reclaim_and_audit(), 0)
         self.world.clock.seconds += 60
-        grant = await lend(nets['b'].me, LoanAsk('late', 'team', 100))
+        grant = await grant_loan(nets['b'].me, LoanAsk('late', 'team', 100))
         self.assertEqual(grant.tokens, 0)
-        self.assertNotEqual(gone.closed, None)
+        self.assertNotEqual(killed.closed, None)
--- a/tests/test_budget_releasing.py
+++ b/tests/test_budget_releasing.py
@@ -1,4 +1,4 @@
-"""What a dead router holds is released on an operator's word."""
+"""Tests of releasing a dead router's tokens at an operator's request."""
 
 import json
 import logging
@@ -24,16 +24,16 @@
 
 
 class ReleaseTest(unittest.IsolatedAsyncioTestCase):
-    """A router that vanished; nobody uses its address again."""
+    """A router crashed and its address is not used again."""
 
     async def asyncSetUp(self):
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
         self.world = World()
-        self.gone = self.world.start('a')
+        self.dead_router = self.world.start('a')
         self.world.start('b')
         await self.world.fund('team', 10_000)
-        await self.world.serve(self.gone, 'k', 100)
+        await self.world.serve(self.dead_router, 'k', 100)
         await self.world.rounds()
         self.address = self.world.address('a')
         self.world.kill('a')
@@ -45,14 +45,15 @@
         )
 
     async def release(self):
-        """Release what the dead router held."""
+        """Release the tokens of the dead router."""
         return await self.releaser.release('a', 'Éva')
 
     async def test_tokens_return(self):
-        """Symptom: a budget has room that no router can draw.
+        """The tokens of a router that is not replaced can be released.
 
-        Sequence: a router dies, its host is not replaced. Cause: nobody
-        has proof of its death.
+        A router crashes and its host is not replaced, so no router can prove
+        that it stopped. Without a release no router could ever draw its
+        tokens.
         """
         await self.world.rounds('b', count=6)
         self.assertGreater((await self.world.sums()).account.taken, 100)
@@ -67,61 +68,63 @@
         self.assertEqual(record.value['by'], 'Éva')
 
     async def test_second_release_changes_nothing(self):
-        """A release that is repeated returns nothing twice."""
+        """A repeated release returns no tokens twice."""
         await self.release()
         before = await self.world.sums()
-        again = await self.release()
-        self.assertEqual(again, Released({}, 0))
+        second = await self.release()
+        self.assertEqual(second, Released({}, 0))
         self.assertEqual(await self.world.sums(), before)
 
-    async def test_holder_that_wakes(self):
-        """Symptom: tokens are spent that were handed out a second time.
+    async def test_resumed_router_spends_nothing(self):
+        """A router that resumes after its release spends no tokens.
 
-        Sequence: a router is paused and taken for dead; an operator
-        releases what it holds; it wakes. Cause: it believes its memory.
+        A router is paused and considered dead, an operator releases its
+        tokens, and it resumes. If it relied on its outdated state in memory,
+        it would spend tokens that were granted a second time.
         """
         await self.release()
         self.world.clock.seconds += 60
-        refused = await self.world.serve(self.gone, 'late', 50)
+        refused = await self.world.serve(self.dead_router, 'late', 50)
         self.assertEqual(refused, TAKEN_OVER)
 
-    async def test_holder_of_nothing_that_wakes(self):
-        """Symptom: a released router draws anew, and that is stranded too.
+    async def test_resumed_router_without_allotment(self):
+        """A released router without an allotment can't draw tokens.
 
-        Sequence: as above, but the router held nothing yet. Cause: no row
-        of its own tells it of the release.
+        A router that held no tokens is paused, released and resumes. As it
+        has no allotment that shows the release, it would draw tokens, and
+        these would be stranded too.
         """
-        idle = self.world.start('c')
+        idle_router = self.world.start('c')
         await self.world.rounds('c')
         self.world.kill('c')
         await self.releaser.release('c', 'Éva')
         self.world.clock.seconds += 60
-        refused = await self.world.serve(idle, 'late', 50)
+        refused = await self.world.serve(idle_router, 'late', 50)
         self.assertEqual(refused, TAKEN_OVER)
 
-    async def test_holder_that_was_cut_off(self):
-        """Symptom: as above; a request served meanwhile is billed twice.
+    async def test_disconnected_router_bills_once(self):
+        """Requests served during the release are billed once.
 
-        Sequence: as above, but the router was not paused: it served while
-        it was cut off, and records its bills when it is back. Cause: as
-        above.
+        A router is not paused but disconnected. It serves a request while an
+        operator releases its tokens, and records the bill after it is
+        reconnected. It must bill the request once and spend no more tokens.
         """
-        served = await self.world.serve(self.gone, 'cut', 50)
-        self.assertIsInstance(served, Reservation)
+        reservation = await self.world.serve(self.dead_router, 'cut', 50)
+        self.assertIsInstance(reservation, Reservation)
         await self.release()
         for _ in range(2):
-            await self.world.clock.drive(self.gone.upkeep.round())
+            await self.world.clock.drive(self.dead_router.upkeep.round())
         report = await self.world.audit()
         self.assertEqual(report.breaches, [])
         self.assertEqual(report.teams['team'].recorded, 150)
-        refused = await self.world.serve(self.gone, 'late', 50)
+        refused = await self.world.serve(self.dead_router, 'late', 50)
         self.assertEqual(refused, TAKEN_OVER)
 
-    async def test_listed_router_is_left_alone(self):
-        """Symptom: an operator's slip takes a live router's budget.
+    async def test_listed_router_is_not_released(self):
+        """A router in the host list can't be released.
 
-        Sequence: a release names a router that the host list shows. Cause:
-        an operator's word alone.
+        The check keeps an operator's mistake from taking the tokens of a
+        live router.
         """
         entry = HostEntry(self.address, 'router', 'zone-a')
         self.world.platform.hosts.replace((entry,))
@@ -129,26 +132,26 @@
         self.assertEqual(await self.release(), STILL_LISTED)
         self.assertEqual(await self.world.sums(), before)
 
-    async def test_later_router_on_the_address(self):
-        """Symptom: a new host on a released address refuses everything.
+    async def test_successor_after_release(self):
+        """A new router at a released address can serve requests.
 
-        Sequence: a router is released; a host comes to its address whose
-        clock is behind the dead one's. Cause: the row still counts as a
-        later router's.
+        After the release a router starts at the address, and its clock is
+        behind that of the dead one. If the entry still counted as that of a
+        later router, the new one would refuse all requests.
         """
         await self.release()
         self.world.clock.seconds -= 500
-        later = self.world.start('a2', address=self.address)
+        successor = self.world.start('a2', address=self.address)
         await self.world.rounds('a2', count=6)
-        held = await self.world.serve(later, 'n', 50)
-        self.assertIsInstance(held, Reservation)
+        reservation = await self.world.serve(successor, 'n', 50)
+        self.assertIsInstance(reservation, Reservation)
         row = await self.world.peek(f'router/{self.address}')
         self.assertEqual(row.value['incarnation'], 'a2')
         self.assertEqual(tuple(row.value['before']), ())
 
 
 class CommandTest(unittest.TestCase):
-    """The command that does it."""
+    """Tests of the command ``budget release``."""
 
     def setUp(self):
         self.server = PlatformServer()
@@ -156,11 +159,11 @@
         self.addCleanup(self.server.stop)
         account = Account(prepaid=1000, taken=400)
         self.server.put(account_key('team'), encode(account))
-        own = Allotment(granted=400, settled=0)
-        self.server.put(allotment_key('a', 'team'), encode(own))
+        allotment = Allotment(granted=400, settled=0)
+        self.server.put(allotment_key('a', 'team'), encode(allotment))
 
     def release(self, *options, answer=''):
-        """Run the command."""
+        """Run the command and return its result."""
         arguments = ['budget', 'release', 'a', '--by', 'Éva']
         settings = self.server.options()
         return CliRunner().invoke(
@@ -169,22 +172,24 @@
             input=answer,
         )
 
-    def test_asks_first(self):
+    def test_asks_for_confirmation(self):
         self.assertEqual(self.release(answer='n\n').exit_code, 1)
         self.assertEqual(self.server.read(account_key('team'))['taken'], 400)
 
     def test_releases(self):
-        ended = self.release(answer='y\n')
-        self.assertEqual(ended.exit_code, exit_codes.OK, ended.output)
-        self.assertIn('team: 400 tokens returned', ended.output)
+        result = self.release(answer='y\n')
+        self.assertEqual(result.exit_code, exit_codes.OK, result.output)
+        self.assertIn('team: 400 tokens returned', result.output)
         self.assertEqual(self.server.read(account_key('team'))['taken'], 0)
 
     def test_json(self):
-        ended = self.release('--yes', '--json')
-        told = json.loads(ended.stdout)
-        self.assertEqual(told, {'returned': {'team': 400}, 'kept': 0})
+        result = self.release('--yes', '--json')
+        output = json.loads(result.stdout)
+        self.assertEqual(output, {'returned': {'team': 400}, 'kept': 0})
 
-    def test_platform_away(self):
+    def test_platform_unavailable(self):
         self.server.go_down()
-        ended = self.release('--yes')
-        self.assertEqual(ended.exit_code, exit_codes.UNREACHABLE, ended.output)
+        result = self.release('--yes')
+        self.assertEqual(
+            result.exit_code, exit_codes.UNREACHABLE, result.output
+        )
