--- a/src/balsamreach/budget/budgets.py
+++ b/src/balsamreach/budget/budgets.py
@@ -1,4 +1,4 @@
-"""The budgets of all teams at one router: reserve, bill, draw and settle."""
+"""Budgets of all teams at one router: reserve, bill, draw and settle."""
 
 import random
 
@@ -35,26 +35,27 @@
 
 @attrs.define
 class Budgets:
-    """Admits requests against allotments and records what they used.
+    """Reserves tokens for requests and records what they used.
 
     Parameters
     ----------
     service : TableService
-        Where accounts, allotments and bills are kept.
+        Service that stores accounts, allotments and bills.
     incarnation : str
-        Identity of this start of the router.
+        Identifies this run of the router.
     cfg : BudgetSettings
         Sizes and intervals.
     clock : Clock
-        Time for rates and intervals.
+        Clock for rates and intervals.
     net : PeerNet or None
-        The other routers.
+        The other routers; None for a router without peers.
     address : str
-        Address that peers reach this router by; empty if it may change.
+        Address at which peers reach this router; empty if it may change
+        with each start.
     rng : Random
-        Jitter, loan ids and the order of lenders.
+        Source of jitter, loan ids and the order of lenders.
     metrics : Metrics
-        Counts and shows what happens.
+        Counters and gauges.
     """
 
     service: TableService
@@ -73,7 +74,7 @@
     _shutdown: BudgetShutdown = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Put the parts together."""
+        """Create the components."""
         lenient = self.cfg.posture == _LENIENT
         incarnations = Incarnations(
             self.service,
@@ -143,7 +144,7 @@
 
     @property
     def closed(self) -> BudgetFault | None:
-        """Why this router spends nothing any more, None while it does."""
+        """Why this router stopped spending tokens, None while it spends."""
         return self.book.closed
 
     @property
@@ -158,75 +159,81 @@
 
     @property
     def repeated_bills(self) -> int:
-        """Number of bills for requests that were billed already."""
+        """Number of dropped bills whose request already had a bill."""
         return self.recorder.repeated
 
     async def reserve(
         self, team: str, tokens: int
     ) -> Reservation | BudgetFault:
-        """Set a request's worst case aside before it runs.
+        """Reserve the maximum of tokens that a request can use.
 
         Parameters
         ----------
         team : str
             Team that pays.
         tokens : int
-            Most tokens the request can use.
+            Maximum of tokens that the request can use.
 
         Returns
         -------
         Reservation or BudgetFault
-            A fault means that nothing was set aside; it comes at once if
-            waiting can't help, and else within ``draw_wait``.
+            A fault means that nothing was reserved; it is returned at once if
+            waiting can't help, otherwise within ``draw_wait``.
         """
-        refused = self.recorder.refusal(self.cfg.bills_limit)
-        if refused is None and self._wakeup.is_due():
-            refused = await self._wakeup.check() or self.recorder.refusal(
+        fault = self.recorder.refusal(self.cfg.bills_limit)
+        if fault is None and self._wakeup.is_due():
+            fault = await self._wakeup.check() or self.recorder.refusal(
                 self.cfg.bills_limit
             )
-        if refused is not None:
-            return _refuse(self.metrics, refused)
+        if fault is not None:
+            return _count_refusal(self.metrics, fault)
         ledger = self.book.ledger(team)
         reservation = self.recorder.reserve(ledger, tokens)
         if reservation is not None:
             return reservation
         obtained = await self._obtainer.obtain(ledger, tokens)
         if isinstance(obtained, BudgetFault):
-            return _refuse(self.metrics, obtained)
-        # While this waited, bills may have piled up or a successor may have
-        # taken over; what was true before the wait is looked at again.
-        refused = self.recorder.refusal(self.cfg.bills_limit)
-        if refused is not None:
+            return _count_refusal(self.metrics, obtained)
+        # During the wait, too many bills may have accumulated or a successor
+        # may have taken over, so the state is checked again.
+        fault = self.recorder.refusal(self.cfg.bills_limit)
+        if fault is not None:
             self.release(obtained)
-            return _refuse(self.metrics, refused)
+            return _count_refusal(self.metrics, fault)
         return obtained
 
     def release(self, reservation: Reservation) -> None:
-        """Give back what a request that did not run had set aside."""
+        """Release the reservation of a request that did not run."""
         self.recorder.release(reservation)
 
     def bill(self, reservation: Reservation, bill: Bill) -> None:
-        """Bill a request; the rest of its reservation is free again."""
+        """Bill a request; the rest of its reservation is released."""
         self.recorder.bill(reservation, bill)
 
     async def secure(self) -> None:
-        """Wait a bounded time until a peer has the bills made by now."""
+        """Wait, with a timeout, until a peer has copies of all new bills."""
         if self.upkeep.peers is not None:
             await self.upkeep.peers.copier.secure()
 
     async def flush(self) -> BudgetFault | None:
-        """Record waiting bills until none wait or the service is away."""
+        """Record waiting bills; return the fault if that failed."""
         return await self.recorder.flush()
 
     async def leave(self) -> bool:
-        """Record all bills and give all allotments back, for good."""
+        """Record all bills and close all allotments, for a shutdown.
+
+        Returns
+        -------
+        bool
+            Whether everything was recorded and closed.
+        """
         return await self._shutdown.leave()
 
     async def run(self) -> None:
-        """Do what is due beside serving requests, until cancelled."""
+        """Run the background tasks until cancelled."""
         await self.upkeep.run(self.cfg.flush_interval, self._wakeup)
 
 
-def _refuse(metrics: Metrics, fault: BudgetFault) -> BudgetFault:
+def _count_refusal(metrics: Metrics, fault: BudgetFault) -> BudgetFault:
     metrics.count(REFUSALS, reason=fault.code)
     return fault
--- a/src/balsamreach/budget/ending.py
+++ b/src/balsamreach/budget/ending.py
@@ -12,10 +12,10 @@
 from balsamreach.budget.auditor import CLAIM_PREFIX, CLAIMED
 from balsamreach.budget.classifying import insert_bills
 from balsamreach.budget.faults import (
+    CLAIM_NOT_OPEN,
     EXHAUSTED,
     NO_ACCOUNT,
     NO_ALLOTMENT,
-    NOT_OPEN,
     BudgetFault,
 )
 from balsamreach.budget.incarnations import unchanged_check
@@ -61,7 +61,7 @@
         Returns
         -------
         BudgetFault or None
-            NOT_OPEN if there is no such claim or it already has a bill;
+            CLAIM_NOT_OPEN if there is no such claim or it already has a bill;
             EXHAUSTED if the account has too few free tokens; NO_ACCOUNT if
             there is no account; NO_ALLOTMENT if the platform is unavailable.
         """
@@ -116,10 +116,14 @@
 def _check_claim(bill: Bill, rows: tuple[Row, ...]) -> BudgetFault | None:
     claim, stored, account = rows
     if claim.value is None:
-        return NOT_OPEN.because(f'there is no claim for {bill.team}/{bill.key}')
+        return CLAIM_NOT_OPEN.because(
+            f'there is no claim for {bill.team}/{bill.key}'
+        )
     if stored.value is not None:
         billed = stored.value['tokens']
-        return NOT_OPEN.because(f'the claim is billed already, {billed} tokens')
+        return CLAIM_NOT_OPEN.because(
+            f'the claim is billed already, {billed} tokens'
+        )
     if account.value is None:
         return NO_ACCOUNT.because(f'team {bill.team} has no account')
     free = decode_account(account.value).free
--- a/src/balsamreach/budget/faults.py
+++ b/src/balsamreach/budget/faults.py
@@ -1,4 +1,4 @@
-"""Sentinel errors of the budget layer."""
+"""Fault values of the budget layer."""
 
 import attrs
 
@@ -12,37 +12,42 @@
     Parameters
     ----------
     retry_after : float
-        Seconds after which asking again makes sense; 0 for never.
+        Seconds after which a retry makes sense; 0 if it never does.
     """
 
     retry_after: float = attrs.field(default=0, eq=False)
 
 
-#: The account has less left than the request may need.
+#: The account has fewer free tokens than the request may need.
 EXHAUSTED = BudgetFault('budget_exhausted')
-#: This router's allotment is used up and the account cannot be reached.
+#: This router's allotment is used up and the account is unavailable.
 NO_ALLOTMENT = BudgetFault('no_allotment', retry_after=2)
-#: Too many bills wait in memory for the table service.
+#: Too many bills wait in memory to be recorded.
 BILLS_FULL = BudgetFault('bills_full', retry_after=5)
-#: This incarnation's allotments were taken over; it must not spend.
+#: A successor closed this incarnation's allotments; it must not spend tokens.
 TAKEN_OVER = BudgetFault('taken_over', retry_after=1)
 #: The team has no account.
 NO_ACCOUNT = BudgetFault('no_account')
-#: Too many routers draw on the account at this moment.
+#: Commits on the account fail because too many routers write to it.
 CONTENDED = BudgetFault('account_contended', retry_after=1)
-#: The host list still shows a router that is said to be dead.
+#: The host list still contains a router that is to be released as dead.
 STILL_LISTED = BudgetFault('still_listed')
-#: The request has no claim, or has its bill.
-NOT_OPEN = BudgetFault('claim_not_open')
-#: This router is shutting down and has given its allotments back.
-LEFT = BudgetFault('router_left', retry_after=1)
+#: The request has no claim, or already has a bill.
+CLAIM_NOT_OPEN = BudgetFault('claim_not_open')
+#: This router is shutting down and has closed its allotments.
+ROUTER_LEFT = BudgetFault('router_left', retry_after=1)
 
 
 def too_little(team: str) -> BudgetFault:
-    """Return that too little of a team's budget is left for a request.
+    """Return the fault for a team with too few tokens left for a request.
 
-    How much is left isn't said: part of it is held by routers, and a figure
-    that leaves it out would tell a caller less than what a smaller request
-    could still have.
+    The fault does not state how many tokens are left. Routers hold part of
+    them, so the account's figure would be lower than what a smaller request
+    could still get.
+
+    Parameters
+    ----------
+    team : str
+        Name of the team.
     """
     return EXHAUSTED.because(f'team {team} has too few tokens left')
--- a/src/balsamreach/budget/peer_parts.py
+++ b/src/balsamreach/budget/peer_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a router's budgets that work with the other routers."""
+"""The components of a router's budgets that use the peer network."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class PeerParts:
-    """What works with the other routers."""
+    """Components that use the peer network."""
 
     loans: Loans
     sender: CopySender
@@ -33,18 +33,18 @@
     rng: random.Random,
     limit: int,
 ) -> PeerParts:
-    """Put them together.
+    """Create the components that use the peer network.
 
     Parameters
     ----------
     net : PeerNet
         The other routers.
     recorder, sizing, takeover
-        Parts of this router that they work with.
+        Components of this router that they use.
     rng : Random
-        Loan ids and the order of lenders.
+        Source of loan ids and the order of lenders.
     limit : int
-        Most copies of bills that are kept for others.
+        Maximum number of bill copies kept for other routers.
     """
     book, metrics = recorder.book, recorder.metrics
     sender = CopySender(net)
--- a/src/balsamreach/budget/recorder.py
+++ b/src/balsamreach/budget/recorder.py
@@ -75,9 +75,7 @@
         # A request that ran must be billed. When no more bills may wait, new
         # requests are refused, so that none runs without being billed.
         if self.waiting >= limit:
-            return BILLS_FULL.because(
-                'too many bills wait for the table service'
-            )
+            return BILLS_FULL.because('bills wait for the table service')
         return None
 
     def reserve(self, ledger: Ledger, tokens: int) -> Reservation | None:
--- a/src/balsamreach/budget/shutdown.py
+++ b/src/balsamreach/budget/shutdown.py
@@ -9,7 +9,7 @@
 from balsamreach.budget.closing import MAX_COMMIT_BILLS
 from balsamreach.budget.closing_plan import ClosingResult, ClosingSpec
 from balsamreach.budget.copies import CopyKeeper, CopySender
-from balsamreach.budget.faults import LEFT, TAKEN_OVER, BudgetFault
+from balsamreach.budget.faults import ROUTER_LEFT, TAKEN_OVER, BudgetFault
 from balsamreach.budget.ledger import Ledger
 from balsamreach.budget.moves import Move
 from balsamreach.budget.recorder import BillRecorder
@@ -59,7 +59,7 @@
         await self._pass_on_copies()
         if self.book.closed is None:
             # From now on no tokens are spent or lent.
-            self.book.closed = LEFT
+            self.book.closed = ROUTER_LEFT
         for ledgers in _batches(tuple(self.book.ledgers.values())):
             fault = await self._close_allotments(ledgers)
             if fault is not None:
--- a/src/balsamreach/budget/wakeup.py
+++ b/src/balsamreach/budget/wakeup.py
@@ -1,4 +1,4 @@
-"""Notices that this process was paused, and asks what it still holds."""
+"""Detects that this process was paused and verifies its allotments."""
 
 import asyncio
 
@@ -12,34 +12,34 @@
 from balsamreach.services.base import Row, TableService
 from balsamreach.services.faults import PlatformFault
 
-#: Seconds between two looks at the clock.
-BEAT_S = 1
-#: A longer gap means that the process did not run meanwhile.
+#: Seconds between two ticks.
+TICK_INTERVAL_S = 1
+#: A longer gap between two ticks, in seconds, counts as a pause of the process.
 PAUSE_S = 5
-_MOST_ROWS = 200
+_MAX_READ_KEYS = 200
 
 
 @attrs.define
 class Wakeup:
-    """Holds new requests back after a pause until the rows are read again.
+    """Makes the router verify its allotments after a pause.
 
-    A paused process believes what it believed. Its allotments may have been
-    closed meanwhile, and what it spends then is not covered. Recorded spend
-    stays within the budget without this check; the check keeps the process
-    from serving what it could no longer bill.
+    After a pause the state in memory may be outdated: a successor may have
+    closed the allotments, and tokens spent then are not covered. Recorded
+    spend stays within the budget without this check; the check keeps the
+    process from serving requests that it could no longer bill.
 
     Parameters
     ----------
     service : TableService
-        Where the allotments are.
+        Service that stores the allotments.
     book : Book
         This router's ledgers.
     incarnations : Incarnations
-        Tells whether another one serves our address.
+        Tells whether another incarnation serves this router's address.
     clock : Clock
-        Shows the pause.
+        Clock that shows pauses.
     strict : bool
-        Whether to refuse requests while the rows can't be read.
+        Whether to refuse requests while the allotments can't be read.
     """
 
     service: TableService
@@ -48,71 +48,72 @@
     clock: Clock
     strict: bool
     pauses: int = 0
-    _beat_at: float = 0
-    _unchecked: bool = False
-    _asked_at: float = -PAUSE_S
+    _last_tick: float = 0
+    _needs_check: bool = False
+    _last_check: float = -PAUSE_S
 
     def __attrs_post_init__(self) -> None:
-        """Begin with a beat now."""
-        self._beat_at = self.clock.now()
+        """Set the time of the first tick."""
+        self._last_tick = self.clock.now()
 
-    def beat(self) -> None:
-        """Look at the clock."""
+    def tick(self) -> None:
+        """Compare the time with the last tick to detect a pause."""
         now = self.clock.now()
-        if now - self._beat_at > PAUSE_S:
-            self._unchecked = True
+        if now - self._last_tick > PAUSE_S:
+            self._needs_check = True
             self.pauses += 1
-        self._beat_at = now
+        self._last_tick = now
 
     def is_due(self) -> bool:
-        """Return whether the allotments have to be looked at again."""
-        self.beat()
-        return self._unchecked
+        """Return whether the allotments have to be verified."""
+        self.tick()
+        return self._needs_check
 
     async def check(self) -> BudgetFault | None:
-        """Read the allotments again after a pause.
+        """Verify the allotments after a pause.
 
         Returns
         -------
         BudgetFault or None
-            TAKEN_OVER if one of them was closed. NO_ALLOTMENT if they can't
-            be read and the posture is strict.
+            TAKEN_OVER if an allotment was closed or another router serves
+            the address; NO_ALLOTMENT if that could not be checked and the
+            posture is strict.
         """
         now = self.clock.now()
-        if now - self._asked_at < BEAT_S:
-            return self._not_known()
-        self._asked_at = now
-        fault = await asyncio.shield(asyncio.ensure_future(self._read()))
+        if now - self._last_check < TICK_INTERVAL_S:
+            return self._unverified_fault()
+        self._last_check = now
+        fault = await asyncio.shield(asyncio.ensure_future(self._verify()))
         if fault == TAKEN_OVER:
             self.book.note(fault)
             return fault
         if fault is not None:
-            return self._not_known()
-        self._unchecked = False
+            return self._unverified_fault()
+        self._needs_check = False
         return None
 
-    def _not_known(self) -> BudgetFault | None:
-        if self.strict and self._unchecked:
-            return NO_ALLOTMENT.because('paused; allotments not read again')
+    def _unverified_fault(self) -> BudgetFault | None:
+        if self.strict and self._needs_check:
+            return NO_ALLOTMENT.because('paused; allotments not read again yet')
         return None
 
-    async def _read(self) -> BudgetFault | None:
+    async def _verify(self) -> BudgetFault | None:
         me = self.incarnations
         if me.entered and await me.is_gone(me.address, me.incarnation) is True:
             return TAKEN_OVER.because('another router has our address')
-        held = [
+        keys = [
             allotment_key(me.incarnation, ledger.team)
             for ledger in self.book.ledgers.values()
             if ledger.seq
         ]
-        for start in range(0, len(held), _MOST_ROWS):
+        for start in range(0, len(keys), _MAX_READ_KEYS):
             rows = await self.service.read(
-                tuple(held[start : start + _MOST_ROWS]),
+                tuple(keys[start : start + _MAX_READ_KEYS]),
             )
             if isinstance(rows, PlatformFault):
                 return NO_ALLOTMENT.because(f'table service: {rows.code}')
             if any(_is_closed(row) for row in rows):
-                return TAKEN_OVER.because('an allotment of ours was closed')
+                return TAKEN_OVER.because('an allotment was closed')
         return None
 
 
