--- a/src/balsamreach/budget/closing.py
+++ b/src/balsamreach/budget/closing.py
@@ -95,7 +95,7 @@
                 return NO_ALLOTMENT.because(f'table service: {outcome.code}')
         return NO_ALLOTMENT.because('too many commit conflicts on the account')
 
-    async def close_all(
+    async def close_with_bills(
         self,
         closing: ClosingSpec,
         bills: tuple[Bill, ...],
--- a/src/balsamreach/budget/copies.py
+++ b/src/balsamreach/budget/copies.py
@@ -323,7 +323,7 @@
             if copy.team == team
         )
         closing = ClosingSpec(maker, team)
-        outcome = await self.closer.close_all(closing, bills)
+        outcome = await self.closer.close_with_bills(closing, bills)
         if isinstance(outcome, BudgetFault):
             return
         report_takeover(self.metrics, closing, outcome)
--- a/src/balsamreach/budget/reclaiming.py
+++ b/src/balsamreach/budget/reclaiming.py
@@ -97,13 +97,17 @@
         if not all(clear):
             return False
         answered = {member.incarnation for member in others}
-        return await self._all_answered(lender, {me.incarnation, *answered})
+        return await self._no_other_borrowers(
+            lender, {me.incarnation, *answered}
+        )
 
     async def _ask(self, member: Member, lender: str) -> bool:
         answer = await self.net.ask(member.incarnation, LenderAsk(lender))
         return isinstance(answer, LenderGone) and answer.clear
 
-    async def _all_answered(self, lender: str, answered: set[str]) -> bool:
+    async def _no_other_borrowers(
+        self, lender: str, answered: set[str]
+    ) -> bool:
         rows = await scan_all(self.stranded.service, ROUTER_PREFIX)
         if isinstance(rows, PlatformFault):
             return False
--- a/src/balsamreach/budget/recorder.py
+++ b/src/balsamreach/budget/recorder.py
@@ -188,7 +188,7 @@
     async def _charge_account(self, ledger: Ledger) -> BudgetFault | None:
         bills = tuple(ledger.waiting)
         closing = ClosingSpec(self.settler.incarnation, ledger.team)
-        outcome = await self.closer.close_all(closing, bills)
+        outcome = await self.closer.close_with_bills(closing, bills)
         if isinstance(outcome, BudgetFault):
             return outcome
         unpaid = {bill.ordinal for bill in outcome.unpaid}
--- a/src/balsamreach/budget/shutdown.py
+++ b/src/balsamreach/budget/shutdown.py
@@ -121,7 +121,7 @@
         # allotment is closed in a commit of its own.
         for ledger in ledgers:
             bills = tuple(ledger.waiting)
-            team_outcome = await closer.close_all(
+            team_outcome = await closer.close_with_bills(
                 self._closing_spec(ledger), bills
             )
             if isinstance(team_outcome, BudgetFault):
