--- a/src/balsamreach/budget/peer_parts.py
+++ b/src/balsamreach/budget/peer_parts.py
@@ -1,14 +1,14 @@
-"""The parts of a router's budgets that work with the other routers."""
+"""The components of a router's budgets that use the peer network."""
 
 import random
 
 import attrs
 
-from balsamreach.budget.copies import Keeper, Sender
-from balsamreach.budget.copying import Copying
+from balsamreach.budget.copies import CopyKeeper, CopySender
+from balsamreach.budget.copying import BillCopier
 from balsamreach.budget.loans import Loans
 from balsamreach.budget.reclaiming import Reclaimer
-from balsamreach.budget.recorder import Recorder
+from balsamreach.budget.recorder import BillRecorder
 from balsamreach.budget.sizing import Sizing
 from balsamreach.budget.takeover import Takeover
 from balsamreach.peers.base import PeerNet
@@ -16,43 +16,43 @@
 
 @attrs.frozen
 class PeerParts:
-    """What works with the other routers."""
+    """Components that use the peer network."""
 
     loans: Loans
-    sender: Sender
-    keeper: Keeper
-    copying: Copying
+    sender: CopySender
+    keeper: CopyKeeper
+    copier: BillCopier
     reclaimer: Reclaimer
 
 
 def make_peer_parts(
     net: PeerNet,
-    recorder: Recorder,
+    recorder: BillRecorder,
     sizing: Sizing,
     takeover: Takeover,
     rng: random.Random,
     limit: int,
 ) -> PeerParts:
-    """Put them together.
+    """Create the components that use the peer network.
 
     Parameters
     ----------
     net : PeerNet
         The other routers.
     recorder, sizing, takeover
-        Parts of this router that they work with.
+        Components of this router that they use.
     rng : Random
-        Loan ids and the order of lenders.
+        Source of loan ids and the order of lenders.
     limit : int
-        Most copies of bills that are kept for others.
+        Maximum number of bill copies kept for other routers.
     """
     book, metrics = recorder.book, recorder.metrics
-    sender = Sender(net)
-    keeper = Keeper(
+    sender = CopySender(net)
+    keeper = CopyKeeper(
         net,
         takeover.closer,
         takeover.incarnations,
-        takeover.leftovers,
+        takeover.stranded,
         metrics,
         limit,
     )
@@ -61,6 +61,6 @@
         loans,
         sender,
         keeper,
-        Copying(recorder, sender, keeper, book.clock),
-        Reclaimer(net, takeover.leftovers, loans, keeper, metrics),
+        BillCopier(recorder, sender, keeper, book.clock),
+        Reclaimer(net, takeover.stranded, loans, keeper, metrics),
     )
