--- a/src/balsamreach/routing/adaptive.py
+++ b/src/balsamreach/routing/adaptive.py
@@ -1,4 +1,4 @@
-"""How many requests a target takes at once, found from its latencies."""
+"""Limit on the requests at one target, adapted to its first-byte times."""
 
 import math
 
@@ -6,110 +6,113 @@
 
 from balsamreach.targets.registry import LoadReport
 
-_START = 16
-_LEAST = 1
-#: Requests whose fastest first byte is taken for one measurement.
-_WINDOW = 8
-#: A first byte this many times slower than the best means a queue.
+_INITIAL_LIMIT = 16
+_MIN_LIMIT = 1
+#: Number of requests of which the fastest first byte makes one sample.
+_SAMPLE_SIZE = 8
+#: A fastest first byte above this multiple of the best, plus the slack, means
+#: that requests queue at the target.
 _TOLERANCE = 2
 _SLACK = 0.005
-_CUT = 0.9
-_DEEPEST_CUT = 0.5
-#: Growth for each report that shows no queue although the limit was met.
-_STEP = 0.25
-#: The best latency forgets this share with each window, so that a target
-#: which became slower for good is not held down for ever.
-_FORGET = 0.02
+_SMALLEST_DECREASE = 0.9
+_LARGEST_DECREASE = 0.5
+#: Increase per report that shows no queue although the limit was reached.
+_INCREASE = 0.25
+#: Share by which the best latency moves towards each slower sample, so that a
+#: target that became slower for good is not limited forever.
+_BEST_DRIFT = 0.02
 
 
 @attrs.define(weakref_slot=False)
 class AdaptiveLimit:
     """Additive increase and multiplicative decrease on first-byte times.
 
-    The measure is the fastest of several first bytes. Long prompts and
-    cache misses make single ones slow, but a standing queue delays all.
+    A sample is the fastest of several first bytes. Long prompts and cache
+    misses slow down single requests, but a standing queue delays all.
 
     Parameters
     ----------
     limit : float
         Requests allowed at once now.
     best : float
-        Lowest first-byte time of late, in seconds; 0 before the first.
+        Lowest recent first-byte time in seconds; 0 before the first sample.
     """
 
-    limit: float = _START
+    limit: float = _INITIAL_LIMIT
     best: float = 0
     _fastest: float = math.inf
-    _taken: int = 0
-    _was_full: bool = False
-    _cut_at: float = 0
-    _told: bool = False
+    _observed: int = 0
+    _limit_reached: bool = False
+    _decreased_at: float = 0
+    _reports_slots: bool = False
 
-    def observe(self, first_byte: float, busy: int, now: float) -> None:
-        """Take the time to the first byte of a request that ended well.
+    def observe(self, first_byte: float, in_progress: int, now: float) -> None:
+        """Add the first-byte time of a request that completed normally.
 
         Parameters
         ----------
         first_byte : float
             Seconds from sending to the first byte.
-        busy : int
-            Requests in progress when it was sent, itself included.
+        in_progress : int
+            Requests in progress when it was sent, including itself.
         now : float
             Monotonic seconds.
         """
         self._fastest = min(self._fastest, first_byte)
-        self._was_full = self._was_full or busy + 1 >= self.limit
-        self._taken += 1
-        if self._told or self._taken < _WINDOW:
+        self._limit_reached = (
+            self._limit_reached or in_progress + 1 >= self.limit
+        )
+        self._observed += 1
+        if self._reports_slots or self._observed < _SAMPLE_SIZE:
             return
-        self._judge(now)
-        self._taken = 0
+        self._evaluate_sample(now)
+        self._observed = 0
         self._fastest = math.inf
-        self._was_full = False
+        self._limit_reached = False
 
-    def reported(self, report: LoadReport, now: float) -> None:
-        """Take a target's own word on its queue, which beats guessing.
+    def apply_report(self, report: LoadReport, now: float) -> None:
+        """Apply a load report, which replaces first-byte samples.
 
         Parameters
         ----------
         report : LoadReport
-            A new report.
+            A new report; without slots, first-byte samples stay in use.
         now : float
             Monotonic seconds.
         """
-        self._told = report.slots > 0
-        # A report taken before the last cut shows the queue that the cut was
-        # meant for. Cutting again for it would take the limit to the floor
-        # the later reports come, and leave the target half idle.
-        if not self._told or report.taken_at <= self._cut_at:
+        self._reports_slots = report.slots > 0
+        # A report taken before the last decrease shows the queue that caused
+        # it. Decreasing again for each late report would take the limit to its
+        # minimum and leave the target half idle.
+        if not self._reports_slots or report.taken_at <= self._decreased_at:
             return
         if report.queued:
-            busy = report.running + report.queued
-            self._cut(report.running / busy, now)
-        elif self._was_full:
-            self.limit += _STEP
-        self._was_full = False
-
-    def overloaded(self, now: float) -> None:
-        """Take a target's word that it is full."""
-        if now - self._cut_at >= self.best:
-            self._cut(_CUT, now)
-
-    def _judge(self, now: float) -> None:
+            in_progress = report.running + report.queued
+            self._decrease(report.running / in_progress, now)
+        elif self._limit_reached:
+            self.limit += _INCREASE
+        self._limit_reached = False
+
+    def target_overloaded(self, now: float) -> None:
+        """Decrease the limit because the target rejected a request as full."""
+        if now - self._decreased_at >= self.best:
+            self._decrease(_SMALLEST_DECREASE, now)
+
+    def _evaluate_sample(self, now: float) -> None:
         if not self.best or self._fastest < self.best:
             self.best = self._fastest
         else:
-            self.best += (self._fastest - self.best) * _FORGET
-        most = _TOLERANCE * self.best + _SLACK
-        if self._fastest <= most:
-            self.limit += self._was_full
-        elif now - self._cut_at >= self._fastest:
-            # All requests that stood in one queue come back slow together.
-            # If each of them cut the limit, one burst would take it to the
-            # floor; so one latency's time must pass between two cuts.
-            self._cut(most / self._fastest, now)
-
-    def _cut(self, part: float, now: float) -> None:
-        self._cut_at = now
-        part = min(_CUT, max(_DEEPEST_CUT, part))
-        self.limit = max(_LEAST, self.limit * part)
+            self.best += (self._fastest - self.best) * _BEST_DRIFT
+        threshold = _TOLERANCE * self.best + _SLACK
+        if self._fastest <= threshold:
+            self.limit += self._limit_reached
+        elif now - self._decreased_at >= self._fastest:
+            # All requests of one queue come back slow together. If each of
+            # them decreased the limit, one burst would take it to its minimum,
+            # so one first-byte time has to pass between two decreases.
+            self._decrease(threshold / self._fastest, now)
+
+    def _decrease(self, factor: float, now: float) -> None:
+        self._decreased_at = now
+        factor = min(_SMALLEST_DECREASE, max(_LARGEST_DECREASE, factor))
+        self.limit = max(_MIN_LIMIT, self.limit * factor)
--- a/src/balsamreach/routing/admission.py
+++ b/src/balsamreach/routing/admission.py
@@ -145,7 +145,7 @@
 
     def _refuse_back_off(self, line: Line, pool: Pool) -> None:
         """Refuse all that wait where no target takes requests."""
-        refusal = pool.refuse(self.clock.now())
+        refusal = pool.check_back_off(self.clock.now())
         waiter = line.queue.peek() if refusal is not None else None
         while waiter is not None:
             line.queue.remove(waiter)
--- a/src/balsamreach/routing/affinity.py
+++ b/src/balsamreach/routing/affinity.py
@@ -1,4 +1,4 @@
-"""Chooses the target that likely holds the prompt's prefix in its cache."""
+"""Policy that prefers targets with the prompt's prefix in their cache."""
 
 import itertools
 from collections.abc import Iterator
@@ -6,55 +6,64 @@
 import attrs
 
 from balsamreach.routing.choice import Choice, Chooser, TwoChoices
-from balsamreach.routing.hints import Hints, hash_blocks
+from balsamreach.routing.criteria import Criteria
+from balsamreach.routing.hints import CacheHints, hash_blocks
 from balsamreach.routing.pools import Group
-from balsamreach.routing.want import Want
 from balsamreach.targets.cache_feed import CacheNews
 
-#: Blocks that decide a prompt's place on the ring.
-_ROOT = 4
-#: A member may carry this much more than the mean before others are asked.
-_BOUND = 1.0
-_SLACK = 0.5
-_MOST_STEPS = 4
+#: Number of leading blocks that determine a prompt's position on the ring.
+_RING_BLOCKS = 4
+#: A member is skipped if its load exceeds this multiple of the mean, plus the
+#: slack.
+_LOAD_BOUND = 1.0
+_LOAD_SLACK = 0.5
+_MAX_RING_STEPS = 4
 
 
 @attrs.define
 class Affinity(Chooser):
-    """Goes to the likely holder of the prefix unless it is overloaded."""
+    """Chooses a likely holder of the prefix unless it is overloaded.
 
-    hints: Hints = attrs.field(factory=Hints)
-    _spread: TwoChoices = attrs.field(init=False)
+    Parameters
+    ----------
+    hints : CacheHints
+        Likely holders of prompt blocks.
+    """
+
+    hints: CacheHints = attrs.field(factory=CacheHints)
+    _fallback: TwoChoices = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._spread = TwoChoices(self.rng)
+        self._fallback = TwoChoices(self.rng)
 
-    def choose(self, want: Want, group: Group, now: float) -> Choice:
-        """Return a holder, the next on the ring, or the less loaded."""
-        blocks = hash_blocks(want.prefix)
+    def choose(self, criteria: Criteria, group: Group, now: float) -> Choice:
+        """Return a holder, else a ring member, else a less loaded member."""
+        blocks = hash_blocks(criteria.prefix)
         if not blocks:
-            return self._spread.choose(want, group, now)
-        bound = _BOUND * group.mean_load(self.rng, now) + _SLACK
+            return self._fallback.choose(criteria, group, now)
+        bound = _LOAD_BOUND * group.mean_load(self.rng, now) + _LOAD_SLACK
         for index in self._candidates(blocks, group):
-            open_now = group.is_open(index, now, want)
-            if open_now and group.load(index, now) <= bound:
+            available = group.is_available(index, now, criteria)
+            if available and group.load(index, now) <= bound:
                 self._remember(blocks, group, index)
                 return index
-        return self._spread.choose(want, group, now)
+        return self._fallback.choose(criteria, group, now)
 
-    def learn(self, target: str, news: CacheNews) -> None:
-        """Take in what a target's cache stored and evicted."""
-        self.hints.take(target, news)
+    def apply_cache_events(self, target: str, news: CacheNews) -> None:
+        """Apply a target's prefix cache events to the hints."""
+        self.hints.apply(target, news)
 
     def _candidates(self, blocks: list[int], group: Group) -> Iterator[int]:
-        root = blocks[min(_ROOT, len(blocks)) - 1]
-        ring = list(itertools.islice(group.ring.walk(root), _MOST_STEPS))
-        found = map(group.find, self.hints.deepest(blocks))
+        ring_key = blocks[min(_RING_BLOCKS, len(blocks)) - 1]
+        ring = list(
+            itertools.islice(group.ring.walk(ring_key), _MAX_RING_STEPS)
+        )
+        found = map(group.find, self.hints.deepest_holders(blocks))
         holders = [index for index in found if index is not None]
         if not holders:
             return iter(ring)
-        # Among holders those on the ring go first: the other routers, which
-        # may know of other holders, would choose them as well.
+        # Holders on the ring go first, as other routers would choose them too,
+        # even if they know of other holders.
         return itertools.chain(
             [index for index in ring if index in holders],
             [index for index in holders if index not in ring],
@@ -62,4 +71,4 @@
         )
 
     def _remember(self, blocks: list[int], group: Group, index: int) -> None:
-        self.hints.stored(blocks[-1], group.members[index].name)
+        self.hints.add(blocks[-1], group.members[index].name)
--- a/src/balsamreach/routing/ask.py
+++ b/src/balsamreach/routing/ask.py
@@ -1,4 +1,4 @@
-"""What the routing layer is asked for: a slot for one request."""
+"""A request for a slot, as the routing layer sees it."""
 
 import attrs
 
@@ -7,24 +7,24 @@
 
 @attrs.frozen
 class Ask:
-    """One request as admission sees it.
+    """One request that needs a slot at a target.
 
     Parameters
     ----------
     team : str
-        Team that calls.
+        Team that sent the request.
     pool : tuple of str
-        Kind and name of what it wants.
+        Kind and name of the model or service.
     fingerprint : str
         Hash of team, path and body.
     prefix : bytes
         Leading part of the prompt.
     weight : float
-        The team's share of contended targets.
+        The team's weight in the fair queue.
     cost : float
-        What it counts in the queue, in the pool's own unit.
+        Cost in the fair queue, in a unit of the pool's own.
     deadline : float
-        Monotonic seconds by which the answer must be whole.
+        Monotonic seconds by which the answer must be complete.
     idempotent : bool
         Whether the request may run more than once.
     """
--- a/src/balsamreach/routing/breaker.py
+++ b/src/balsamreach/routing/breaker.py
@@ -1,11 +1,11 @@
-"""Suspends a target that fails repeatedly, and lets one probe through."""
+"""Circuit breaker that suspends a failing target and lets one probe pass."""
 
 import random
 
 import attrs
 
-_FIRST_PAUSE = 1.0
-_LONGEST_PAUSE = 30.0
+_INITIAL_PAUSE = 1.0
+_MAX_PAUSE = 30.0
 _JITTER = 0.25
 
 
@@ -16,36 +16,40 @@
     Parameters
     ----------
     threshold : int
-        Failures in a row that open it.
-    until : float
-        Monotonic seconds up to which no request passes.
+        Consecutive failures that open it.
+    open_until : float
+        Monotonic seconds before which no request passes.
+    consecutive_failures : int
+        Failures since the last success.
+    times_opened : int
+        How often it has opened since the last success; 0 means closed.
     """
 
     threshold: int
-    until: float = 0
-    failures: int = 0
-    opened: int = 0
+    open_until: float = 0
+    consecutive_failures: int = 0
+    times_opened: int = 0
     _probing: bool = False
 
     @property
     def open(self) -> bool:
-        """Whether it has opened and no probe has succeeded since."""
-        return self.opened > 0
+        """Whether it has opened and no request has succeeded since."""
+        return self.times_opened > 0
 
     def passes(self, now: float) -> bool:
         """Return whether a request may be sent now."""
-        if not self.opened:
+        if not self.times_opened:
             return True
-        return now >= self.until and not self._probing
+        return now >= self.open_until and not self._probing
 
     def begin(self) -> None:
-        """Take note that a request is being sent."""
-        self._probing = self.opened > 0
+        """Record that a request is being sent, as a probe if this is open."""
+        self._probing = self.times_opened > 0
 
     def succeed(self) -> None:
-        """Take note of a request that ended well."""
-        self.failures = 0
-        self.opened = 0
+        """Record a success and close the breaker."""
+        self.consecutive_failures = 0
+        self.times_opened = 0
         self._probing = False
 
     def fail(
@@ -55,7 +59,7 @@
         *,
         certain: bool = False,
     ) -> bool:
-        """Take note of a failure; True if it opened the breaker anew.
+        """Record a failure and return whether it opened the breaker.
 
         Parameters
         ----------
@@ -64,22 +68,22 @@
         rng : random.Random
             Source of the jitter.
         certain : bool
-            Whether one failure is enough, as where nobody listens.
+            Whether one failure is enough, as for a refused connection.
         """
-        self.failures += self.threshold if certain else 1
-        if self.opened and not self._probing:
-            # Requests that were under way when the breaker opened tell
-            # nothing new; counting them would stretch the pause needlessly.
+        self.consecutive_failures += self.threshold if certain else 1
+        if self.times_opened and not self._probing:
+            # Requests sent before the breaker opened give no new information;
+            # counting them would extend the pause needlessly.
             return False
-        if not self.opened and self.failures < self.threshold:
+        if not self.times_opened and self.consecutive_failures < self.threshold:
             return False
-        pause = min(_LONGEST_PAUSE, _FIRST_PAUSE * 2**self.opened)
-        # Routers that saw the same failure must not probe all at once.
-        self.until = now + pause * (1 + _JITTER * rng.random())
-        self.opened += 1
+        pause = min(_MAX_PAUSE, _INITIAL_PAUSE * 2**self.times_opened)
+        # Jitter keeps routers that saw the same failure from probing at once.
+        self.open_until = now + pause * (1 + _JITTER * rng.random())
+        self.times_opened += 1
         self._probing = False
         return True
 
     def release_probe(self) -> None:
-        """Take note of a request that ended without telling anything."""
+        """Record the end of a request that neither succeeded nor failed."""
         self._probing = False
--- a/src/balsamreach/routing/feedback.py
+++ b/src/balsamreach/routing/feedback.py
@@ -1,4 +1,4 @@
-"""What the end of an exchange teaches about its target and its request."""
+"""Updates health, limits and quarantine when an exchange ends."""
 
 import logging
 import random
@@ -30,20 +30,20 @@
 
 @attrs.define(eq=False)
 class Feedback:
-    """Tells breakers, adaptive limits and the quarantine of each end.
+    """Passes the outcome of each exchange to the parts that learn from it.
 
     Parameters
     ----------
     quarantine : Quarantine
-        Learns who was at a target that crashed.
+        Tracks which requests were at a target that crashed.
     clock : Clock
-        Time.
+        Clock of the router.
     rng : random.Random
-        Jitter of suspensions.
+        Source of the jitter of suspensions.
     metrics : Metrics
-        Counters.
+        Metrics of the router.
     hedges : HedgeDelays
-        Learns the usual time to the first byte.
+        Tracks first-byte times.
     """
 
     quarantine: Quarantine
@@ -53,28 +53,28 @@
     hedges: HedgeDelays
 
     def sent(self, slot: Slot) -> None:
-        """Take note that a request is being sent."""
+        """Record that a request is being sent."""
         slot.sent(self.clock.now())
         self.quarantine.crashes.started(slot.ask.fingerprint, slot.state.name)
 
     def ended(self, slot: Slot) -> None:
-        """Take note of how an exchange ended."""
+        """Record the outcome of an exchange."""
         if slot.verdict == Verdict.UNUSED:
             slot.state.breaker.release_probe()
             return
         self.metrics.count(_VERDICTS, verdict=slot.verdict.value)
-        self._tell_quarantine(slot)
-        self._tell_breaker(slot)
+        self._update_quarantine(slot)
+        self._update_breaker(slot)
         if slot.verdict == Verdict.DECLINED:
-            slot.state.limit.overloaded(self.clock.now())
+            slot.state.limit.target_overloaded(self.clock.now())
         if slot.verdict == Verdict.GOOD and slot.first_at:
             first_byte = slot.first_at - slot.sent_at
             now = self.clock.now()
-            slot.state.limit.observe(first_byte, slot.busy, now)
+            slot.state.limit.observe(first_byte, slot.in_progress, now)
             self.hedges.observe(slot.ask.pool, first_byte)
             self.metrics.observe(_FIRST_BYTE, first_byte)
 
-    def _tell_quarantine(self, slot: Slot) -> None:
+    def _update_quarantine(self, slot: Slot) -> None:
         fingerprint = slot.ask.fingerprint
         name = slot.state.name
         if slot.verdict == Verdict.BROKEN:
@@ -91,7 +91,7 @@
         if slot.verdict == Verdict.REFUSED:
             self.quarantine.refused(name)
 
-    def _tell_breaker(self, slot: Slot) -> None:
+    def _update_breaker(self, slot: Slot) -> None:
         breaker = slot.state.breaker
         if slot.verdict in {Verdict.GOOD, Verdict.DECLINED}:
             breaker.succeed()
--- a/src/balsamreach/routing/granted.py
+++ b/src/balsamreach/routing/granted.py
@@ -1,4 +1,4 @@
-"""Shares of teams' limits that a home has granted, and their age."""
+"""Shares of teams' limits granted by a home router, and their expiry."""
 
 from collections.abc import Mapping
 
@@ -9,70 +9,72 @@
 
 
 @attrs.frozen
-class Opening:
-    """Share of a team that is far from its limit, and so is not named.
+class DefaultShare:
+    """Share of a team that a grant omits, as it is far from its limit.
 
     Parameters
     ----------
     growth : float
-        Multiple of what is wanted.
-    even : float
-        Part of the even share, besides.
+        Multiple of the demand.
+    even_part : float
+        Part of the even share that is added.
     """
 
     growth: float
     even: float
 
     def share(self, wanted: float, even: float) -> float:
-        """Return the share of one that wants a part of the limit."""
+        """Return the share for a given demand, both as parts of the limit."""
         return self.growth * wanted + self.even * even
 
 
-#: From a home, and from a root. A root leaves more, since demand in a zone
-#: moves between its words; with the same from both, homes named the share of
-#: nearly each team in each answer.
-FROM_HOME = Opening(1.3, 0.5)
-FROM_ROOT = Opening(1.5, 0.6)
+#: Defaults in grants of a home and of a root. The root's are larger because
+#: demand in a zone changes between the home's reports; with the same values
+#: for both, homes had to list nearly every team in every answer.
+HOME_DEFAULT = DefaultShare(1.3, 0.5)
+ROOT_DEFAULT = DefaultShare(1.5, 0.6)
 
-#: Intervals for which a share stays in force without a new one.
-_HOLD = 4
-#: Intervals after which nothing but the even share is left.
-_FADED = 8
+#: Intervals for which a share stays in force without a new grant.
+_HOLD_INTERVALS = 4
+#: Intervals after which the share has decayed to the even share.
+_DECAY_END_INTERVALS = 8
 
 
 @attrs.define
-class Granted:
-    """Shares from one home.
+class GrantedShares:
+    """Shares granted by one home or root.
 
     Parameters
     ----------
-    opening : Opening
-        Share where the home names none.
+    default : DefaultShare
+        Share of teams that a grant omits.
     window : int
-        Number of the newest word to the home.
-    asked : dict of int to int
-        What that word wanted, in millionths of the limits.
+        Window number of the newest demand report sent.
+    requested : dict of int to int
+        Demand in that report by team, in millionths of the limits.
+    granted_at : float
+        Monotonic seconds of the newest grant.
     """
 
-    opening: Opening
+    default: DefaultShare
     window: int = 0
-    asked: Mapping[int, int] = attrs.field(factory=dict)
-    at: float = float('-inf')
-    _answered: Mapping[int, int] = attrs.field(factory=dict)
+    requested: Mapping[int, int] = attrs.field(factory=dict)
+    granted_at: float = float('-inf')
+    _granted_demand: Mapping[int, int] = attrs.field(factory=dict)
     _shares: dict[int, float] = attrs.field(factory=dict)
 
-    def ask(self, window: int, parts: Mapping[int, int]) -> None:
-        """Take note of a word that goes to the home."""
+    def record_request(self, window: int, parts: Mapping[int, int]) -> None:
+        """Record a demand report that is being sent."""
         self.window = window
-        self.asked = parts
+        self.requested = parts
 
-    def take(self, shares: RateShares, now: float) -> bool:
-        """Take the home's answer; False if it answers an earlier word."""
+    def apply_answer(self, shares: RateShares, now: float) -> bool:
+        """Apply a grant; False if it answers an earlier report."""
         if shares.window != self.window:
             return False
-        self._answered = self.asked
-        self._shares = {one.team: one.part / MILLION for one in shares.parts}
-        self.at = now
+        self._granted_demand = self.requested
+        self._shares = {part.team: part.part / MILLION for part in shares.parts}
+        self.granted_at = now
         return True
 
     def share(
@@ -87,22 +89,31 @@
         Parameters
         ----------
         team : int
-            The team.
+            Hash of the team's name.
         even : float
-            Share without a grant: that of so many among all routers.
+            Share without a grant: an even part for each router or zone.
         now : float
             Monotonic seconds.
         interval : float
-            Seconds between two words to the home.
+            Seconds between two demand reports.
         """
-        if team not in self._answered:
+        if team not in self._granted_demand:
             return even
-        wanted = self._answered[team] / MILLION
-        share = self._shares.get(team, self.opening.share(wanted, even))
+        wanted = self._granted_demand[team] / MILLION
+        share = self._shares.get(team, self.default.share(wanted, even))
         # A home that dies or is cut off grants its routers' shares to nobody
-        # else for some seconds. Kept for longer, old shares and the new
-        # home's would pass the rate; given up at once, a team would be
-        # refused within its rate until the next home has heard everyone.
-        late = (now - self.at) / interval - _HOLD
-        faded = min(1, max(0, late / (_FADED - _HOLD)))
-        return share + (even - share) * faded
+        # else for some seconds. If shares were kept longer, old ones and those
+        # of the next home would add up to more than the rate; if they ended at
+        # once, a team would be refused within its rate until the next home has
+        # every router's demand.
+        intervals_past_hold = (
+            now - self.granted_at
+        ) / interval - _HOLD_INTERVALS
+        decayed = min(
+            1,
+            max(
+                0,
+                intervals_past_hold / (_DECAY_END_INTERVALS - _HOLD_INTERVALS),
+            ),
+        )
+        return share + (even - share) * decayed
--- a/src/balsamreach/routing/hedges.py
+++ b/src/balsamreach/routing/hedges.py
@@ -1,4 +1,4 @@
-"""When a second attempt of a slow idempotent request is worth its load."""
+"""Delay before a slow idempotent request gets a second attempt."""
 
 from collections import deque
 
@@ -6,17 +6,17 @@
 
 from balsamreach.routing.pools import PoolKey
 
-_REMEMBERED = 200
-#: Answers that must have been seen before slow is told from usual.
-_FEWEST = 20
-_SHARE = 0.98
-#: A hedge sooner than this would cost more than it saves.
-_FLOOR = 0.05
+_MAX_SAMPLES = 200
+#: Samples needed before a delay can be computed.
+_MIN_SAMPLES = 20
+_QUANTILE = 0.98
+#: Hedging sooner than this costs more than it saves.
+_MIN_DELAY = 0.05
 
 
 @attrs.define
 class HedgeDelays:
-    """The usual time to the first byte, by model or service.
+    """Hedge delays from recent first-byte times, by model or service.
 
     Parameters
     ----------
@@ -28,16 +28,16 @@
     _times: dict[PoolKey, deque[float]] = attrs.field(factory=dict)
 
     def observe(self, pool: PoolKey, first_byte: float) -> None:
-        """Take note of the time that an attempt's first byte took."""
+        """Add the first-byte time of an attempt, in seconds."""
         if not self.enabled:
             return
-        times = self._times.setdefault(pool, deque(maxlen=_REMEMBERED))
+        times = self._times.setdefault(pool, deque(maxlen=_MAX_SAMPLES))
         times.append(first_byte)
 
     def delay(self, pool: PoolKey) -> float:
-        """Return after how many seconds to hedge; 0 for not at all."""
+        """Return the seconds before a hedge; 0 means no hedge."""
         times = self._times.get(pool, ())
-        if len(times) < _FEWEST:
+        if len(times) < _MIN_SAMPLES:
             return 0
         ordered = sorted(times)
-        return max(_FLOOR, ordered[int(_SHARE * len(ordered))])
+        return max(_MIN_DELAY, ordered[int(_QUANTILE * len(ordered))])
--- a/src/balsamreach/routing/hints.py
+++ b/src/balsamreach/routing/hints.py
@@ -1,4 +1,4 @@
-"""Names of a prompt's blocks, and which target likely caches them."""
+"""Hashes of prompt blocks and the targets that likely cache them."""
 
 from collections import OrderedDict
 
@@ -7,57 +7,60 @@
 
 from balsamreach.targets.cache_feed import CacheNews
 
-#: Bytes of prompt that one block of an engine's cache holds.
+#: Prompt bytes per block of an engine's cache.
 BLOCK_BYTES = 64
-#: Blocks hashed at most; deeper ones tell targets apart no better.
-_DEEPEST = 64
-_MOST_HINTS = 20_000
-#: Holders remembered of a block.
-_MOST_HOLDERS = 4
-_HEX = 16
-_LARGEST = 2**64
+#: Largest number of blocks hashed; deeper ones distinguish targets no better.
+_MAX_HASHED_BLOCKS = 64
+_MAX_HINTS = 20_000
+#: Holders kept per block.
+_MAX_HOLDERS = 4
+_HEX_BASE = 16
+_HASH_LIMIT = 2**64
 
 
 def hash_blocks(prefix: bytes) -> list[int]:
-    """Return the hash of each full block together with all before it."""
+    """Return a hash for each full block, covering all blocks up to it."""
     digest = xxhash.xxh3_64()
-    update, read = digest.update, digest.intdigest
-    full = min(len(prefix) // BLOCK_BYTES, _DEEPEST)
+    update, current_hash = digest.update, digest.intdigest
+    full = min(len(prefix) // BLOCK_BYTES, _MAX_HASHED_BLOCKS)
     hashes = []
     for start in range(0, full * BLOCK_BYTES, BLOCK_BYTES):
         update(prefix[start : start + BLOCK_BYTES])
-        hashes.append(read())
+        hashes.append(current_hash())
     return hashes
 
 
-def read_name(block: str) -> int | None:
-    """Return the hash that an engine names a block by.
+def parse_block_hash(block: str) -> int | None:
+    """Parse the name that an engine gives a block.
 
-    None for a name of another form: the engine names blocks in its own way,
-    such as over token ids, and its events then say nothing here.
+    Returns
+    -------
+    int or None
+        The block's hash; None for a name in another format, as from an
+        engine that hashes token ids. Its cache events can't be used.
     """
     try:
-        name = int(block, _HEX)
+        name = int(block, _HEX_BASE)
     except ValueError:
         return None
-    return name if 0 <= name < _LARGEST else None
+    return name if 0 <= name < _HASH_LIMIT else None
 
 
 @attrs.define
-class Hints:
-    """Which targets were last seen to hold a block; bounded, may be wrong.
+class CacheHints:
+    """Bounded record of the targets that were last seen to hold a block.
 
-    Own requests and targets' cache events both feed it. A gap in the
-    events leaves hints that are no longer true: they cost a cache miss,
-    and the next request through the target puts them right.
+    Updated by own requests and by targets' cache events. After a gap in the
+    events some hints are wrong: each costs a cache miss, and the next request
+    to the target corrects it.
 
     Parameters
     ----------
-    most : int
-        Blocks remembered; the one stored longest ago goes first.
+    max_blocks : int
+        Blocks kept; the one stored longest ago is dropped first.
     """
 
-    most: int = _MOST_HINTS
+    max_blocks: int = _MAX_HINTS
     _holders: OrderedDict[int, tuple[str, ...]] = attrs.field(
         factory=OrderedDict,
     )
@@ -66,55 +69,56 @@
         """Return the names of a block's likely holders, newest first."""
         return self._holders.get(block, ())
 
-    def deepest(self, blocks: list[int]) -> tuple[str, ...]:
-        """Return the holders of the longest part of a prompt held at all."""
+    def deepest_holders(self, blocks: list[int]) -> tuple[str, ...]:
+        """Return the holders of the longest cached prefix of a prompt."""
         for block in reversed(blocks):
             names = self._holders.get(block)
             if names is not None:
                 return names
         return ()
 
-    def stored(self, block: int, target: str) -> None:
-        """Take note that a target holds a block."""
+    def add(self, block: int, target: str) -> None:
+        """Record that a target holds a block."""
         others = self._without(block, target)
-        self._holders[block] = (target, *others)[:_MOST_HOLDERS]
+        self._holders[block] = (target, *others)[:_MAX_HOLDERS]
         self._holders.move_to_end(block)
-        if len(self._holders) > self.most:
+        if len(self._holders) > self.max_blocks:
             self._holders.popitem(last=False)
 
-    def evicted(self, block: int, target: str) -> None:
-        """Take note that a target let a block go."""
+    def remove(self, block: int, target: str) -> None:
+        """Record that a target no longer holds a block."""
         others = self._without(block, target)
         if others:
             self._holders[block] = others
         else:
             self._holders.pop(block, None)
 
-    def forget(self, target: str, most: int | None = None) -> None:
-        """Forget a target's oldest hints, or all, as after its restart."""
+    def forget_target(self, target: str, count: int | None = None) -> None:
+        """Drop a target's oldest hints, or all of them if no count is given."""
         lost = [
             block for block, names in self._holders.items() if target in names
         ]
-        for block in lost[:most]:
-            self.evicted(block, target)
+        for block in lost[:count]:
+            self.remove(block, target)
 
-    def take(self, target: str, news: CacheNews) -> None:
-        """Take in what a target's cache stored and evicted."""
+    def apply(self, target: str, news: CacheNews) -> None:
+        """Apply a target's cache events."""
         if news.anew:
-            self.forget(target)
+            self.forget_target(target)
         if news.missing:
-            # Evictions may be among what is missing. Hints that stayed would
-            # lead requests to an engine that let their prefix go, seen as a
-            # falling hit rate; as many of the oldest are the likeliest gone.
-            self.forget(target, news.missing)
+            # The missing events may include evictions. Stale hints would send
+            # requests to an engine that no longer has their prefix and lower
+            # the hit rate, so as many of the oldest hints, the most likely to
+            # be evicted, are dropped.
+            self.forget_target(target, news.missing)
         for event in news.events:
-            block = read_name(event.block)
+            block = parse_block_hash(event.block)
             if block is None:
                 continue
             if event.stored:
-                self.stored(block, target)
+                self.add(block, target)
             else:
-                self.evicted(block, target)
+                self.remove(block, target)
 
     def _without(self, block: int, target: str) -> tuple[str, ...]:
         names = self._holders.get(block, ())
--- a/src/balsamreach/routing/picking.py
+++ b/src/balsamreach/routing/picking.py
@@ -1,4 +1,4 @@
-"""Finds a target with room: own zone first, others where it is full."""
+"""Picks a target with a free slot, from the own zone first."""
 
 import random
 
@@ -7,30 +7,31 @@
 from balsamreach.clock import Clock
 from balsamreach.routing.ask import Ask
 from balsamreach.routing.choice import Chooser
+from balsamreach.routing.criteria import Criteria
 from balsamreach.routing.pools import Pool, Pools
 from balsamreach.routing.state import TargetState
-from balsamreach.routing.want import Want
 
-#: Load over the mean of all zones from which a request leaves its zone.
-_SPILL = 1.5
+#: A request leaves its zone if the load of the local choice exceeds this
+#: multiple of the mean over all zones, plus the slack.
+_SPILL_RATIO = 1.5
 _SPILL_SLACK = 2.0
-_NOBODY: frozenset[str] = frozenset()
+_NO_NAMES: frozenset[str] = frozenset()
 
 
 @attrs.define(eq=False)
 class Picker:
-    """Takes slots at targets and gives them back.
+    """Takes and releases slots at targets.
 
     Parameters
     ----------
     pools : Pools
         Targets by model and service.
     chooser : Chooser
-        The policy of choice.
+        Policy that chooses among a group's members.
     clock : Clock
-        Time.
+        Clock of the router.
     rng : random.Random
-        For samples of loads.
+        Source of the samples of loads.
     """
 
     pools: Pools
@@ -42,14 +43,14 @@
         self,
         ask: Ask,
         pool: Pool,
-        tried: frozenset[str] = _NOBODY,
+        tried: frozenset[str] = _NO_NAMES,
     ) -> TargetState | None:
-        """Return a target with a slot taken, None if none has room."""
+        """Return a target with a slot taken, None if no target is available."""
         now = self.clock.now()
-        want = Want(ask.prefix, tried, ask.idempotent)
-        state = self._choose(want, pool, now)
+        criteria = Criteria(ask.prefix, tried, ask.idempotent)
+        state = self._choose(criteria, pool, now)
         if state is not None:
-            state.take(now)
+            state.take_slot(now)
         return state
 
     def release(
@@ -58,37 +59,37 @@
         ask: Ask | None,
         now: float,
     ) -> None:
-        """Give a slot back; no ask if it was never used."""
-        state.free(now)
-        if ask is None or state.alone == ask.fingerprint:
-            state.alone = ''
+        """Release a slot; ``ask`` is None if the slot was never used."""
+        state.release_slot(now)
+        if ask is None or state.reserved_for == ask.fingerprint:
+            state.reserved_for = ''
 
     def _choose(
         self,
-        want: Want,
+        criteria: Criteria,
         pool: Pool,
         now: float,
     ) -> TargetState | None:
-        if pool.near is not None:
-            index = self.chooser.choose(want, pool.near, now)
-            if index is not None and not self._spills(pool, index, now):
-                return pool.near.members[index]
+        if pool.local is not None:
+            index = self.chooser.choose(criteria, pool.local, now)
+            if index is not None and not self._should_spill(pool, index, now):
+                return pool.local.members[index]
         group = pool.everyone
-        index = self.chooser.choose(want, group, now)
+        index = self.chooser.choose(criteria, group, now)
         if index is None and group.all_suspended():
-            # With every target suspended there is nothing left to spare, and
-            # a pool whose requests may not be used as probes would never
-            # find out that its targets are back.
-            desperate = attrs.evolve(want, desperate=True)
-            index = self.chooser.choose(desperate, group, now)
+            # If every breaker is open, avoiding suspended targets gains
+            # nothing, and a pool whose requests may not be used as probes
+            # would never detect that its targets are back.
+            relaxed = attrs.evolve(criteria, ignore_breakers=True)
+            index = self.chooser.choose(relaxed, group, now)
         return None if index is None else group.members[index]
 
-    def _spills(self, pool: Pool, index: int, now: float) -> bool:
-        assert pool.near is not None
-        load = pool.near.load(index, now)
-        # No mean is below zero, and below this bound nothing need be known
-        # of the other zones at all.
+    def _should_spill(self, pool: Pool, index: int, now: float) -> bool:
+        assert pool.local is not None
+        load = pool.local.load(index, now)
+        # The mean is never negative, so below this load the other zones need
+        # not be looked at.
         if load <= _SPILL_SLACK:
             return False
         mean = pool.everyone.mean_load(self.rng, now)
-        return load > _SPILL * mean + _SPILL_SLACK
+        return load > _SPILL_RATIO * mean + _SPILL_SLACK
--- a/src/balsamreach/routing/policies.py
+++ b/src/balsamreach/routing/policies.py
@@ -1,4 +1,4 @@
-"""The policies of choice by the names that settings give them."""
+"""Target choice policies by their names in the settings."""
 
 import random
 
@@ -21,5 +21,5 @@
 
 
 def make_chooser(policy: str, rng: random.Random) -> Chooser:
-    """Return the policy of a name that the settings have checked."""
+    """Return the policy of a given name, which the settings have validated."""
     return POLICIES[policy](rng)
--- a/src/balsamreach/routing/pools.py
+++ b/src/balsamreach/routing/pools.py
@@ -1,4 +1,4 @@
-"""Targets grouped by the model or service that they serve."""
+"""Pools: targets grouped by the model or service that they serve."""
 
 import bisect
 import functools
@@ -12,20 +12,20 @@
 from balsamreach.config.settings import RoutingSettings
 from balsamreach.routing import faults
 from balsamreach.routing.breaker import Breaker
+from balsamreach.routing.criteria import Criteria
 from balsamreach.routing.faults import RoutingFault
 from balsamreach.routing.ring import Ring, make_ring
 from balsamreach.routing.state import TargetState
-from balsamreach.routing.want import Want
 from balsamreach.table.rows import ENGINE, TargetRow
 from balsamreach.targets.registry import Target, Targets
 
-_DRAWS = 8
-#: Members looked at, at least, for the mean load of a large group.
-_SAMPLE = 16
-#: Others' mean load is worked out anew after this many seconds.
-_MEAN_AGE = 0.25
+_MAX_DRAWS = 8
+#: Smallest number of members sampled for the mean load of a large group.
+_MIN_SAMPLE_SIZE = 16
+#: Seconds after which the mean load from other routers is recomputed.
+_MEAN_LIFETIME = 0.25
 
-#: Kind and name: ('engine', model) or ('service', service).
+#: Kind and name: ``('engine', model)`` or ``('service', service)``.
 PoolKey = tuple[str, str]
 
 
@@ -36,85 +36,97 @@
     Parameters
     ----------
     members : tuple of TargetState
-        Targets of weight above zero.
+        The targets, all with a weight above zero.
     weights : tuple of float
         Their weights in this pool.
+    ring : Ring
+        Consistent hash ring of the members.
+    next_index : int
+        Where round robin continues.
     """
 
     members: tuple[TargetState, ...]
     weights: tuple[float, ...]
     ring: Ring = attrs.field(init=False)
-    turn: int = 0
-    _steps: array = attrs.field(init=False)
-    _places: dict[str, int] = attrs.field(init=False)
-    _mean: float = 0
-    _mean_at: float = float('-inf')
+    next_index: int = 0
+    _cumulative_weights: array = attrs.field(init=False)
+    _indices: dict[str, int] = attrs.field(init=False)
+    _others_mean: float = 0
+    _others_mean_at: float = float('-inf')
 
     def __attrs_post_init__(self) -> None:
         names = [state.name for state in self.members]
         self.ring = make_ring(names, self.weights)
-        self._steps = array('d', itertools.accumulate(self.weights))
-        self._places = {name: place for place, name in enumerate(names)}
+        self._cumulative_weights = array(
+            'd', itertools.accumulate(self.weights)
+        )
+        self._indices = {name: index for index, name in enumerate(names)}
 
     def find(self, name: str) -> int | None:
         """Return the index of a member, None if it is not in the group."""
-        return self._places.get(name)
+        return self._indices.get(name)
 
     def draw(self, rng: random.Random) -> int:
         """Return the index of a member drawn by weight."""
-        spot = rng.random() * self._steps[-1]
-        found = bisect.bisect_right(self._steps, spot)
+        point = rng.random() * self._cumulative_weights[-1]
+        found = bisect.bisect_right(self._cumulative_weights, point)
         return min(found, len(self.members) - 1)
 
-    def draw_open(
+    def draw_available(
         self,
         rng: random.Random,
         now: float,
-        want: Want,
+        criteria: Criteria,
     ) -> int | None:
-        """Return the index of a member with room, drawn by weight."""
-        for _ in range(_DRAWS):
+        """Return the index of an available member, drawn by weight."""
+        for _ in range(_MAX_DRAWS):
             index = self.draw(rng)
-            if self.is_open(index, now, want):
+            if self.is_available(index, now, criteria):
                 return index
-        able = self.open_ones(now, want)
-        if not able:
+        available = self.available_indices(now, criteria)
+        if not available:
             return None
-        weights = [self.weights[index] for index in able]
-        return rng.choices(able, weights)[0]
+        weights = [self.weights[index] for index in available]
+        return rng.choices(available, weights)[0]
 
-    def open_ones(self, now: float, want: Want) -> Sequence[int]:
-        """Return the indices of all members with room."""
+    def available_indices(
+        self, now: float, criteria: Criteria
+    ) -> Sequence[int]:
+        """Return the indices of all available members."""
         everyone = range(len(self.members))
-        return [index for index in everyone if self.is_open(index, now, want)]
+        return [
+            index
+            for index in everyone
+            if self.is_available(index, now, criteria)
+        ]
 
-    def is_open(self, index: int, now: float, want: Want) -> bool:
-        """Return whether a member has room and may be chosen."""
+    def is_available(self, index: int, now: float, criteria: Criteria) -> bool:
+        """Return whether a member has a free slot and may be chosen."""
         state = self.members[index]
-        if state.name in want.tried:
+        if state.name in criteria.tried:
             return False
-        if want.desperate:
+        if criteria.ignore_breakers:
             return state.has_slot(now)
-        if state.breaker.open and not want.probes:
+        if state.breaker.open and not criteria.may_probe:
             return False
         return state.has_slot(now) and state.breaker.passes(now)
 
     def all_suspended(self) -> bool:
-        """Return whether no member is known to work."""
+        """Return whether the breaker of every member is open."""
         return all(state.breaker.open for state in self.members)
 
-    def retry_at(self, now: float) -> float | None:
-        """Return when the first member takes requests by its own word.
+    def earliest_retry(self, now: float) -> float | None:
+        """Return when the first member that backed off accepts requests again.
 
         Parameters
         ----------
         now : float
-            Monotonic seconds; what lies before it is returned as it is found.
+            Monotonic seconds. Once a time is past, it is returned as is.
 
         Returns
         -------
         float or None
-            Monotonic seconds; None where all members leave.
+            Monotonic seconds; None if all members are leaving.
         """
         first = None
         for state in self.members:
@@ -127,29 +139,30 @@
         return first
 
     def load(self, index: int, now: float) -> float:
-        """Return a member's likely load in relation to its weight."""
+        """Return a member's estimated load divided by its weight."""
         weight = self.weights[index]
-        mean = self._mean_others(now) * weight
+        mean = self._mean_others_load(now) * weight
         state = self.members[index]
-        # A target that warms up would look idle beside the others and take
-        # more than its growing share, seen as slow answers after a restart.
+        # A target that warms up looks idle next to the others. Without this
+        # correction it would get more than its growing share and answer slowly
+        # after a restart.
         weight *= state.target.warm_share(now)
-        return state.likely_load(mean, now) / weight
+        return state.estimated_load(mean, now) / weight
 
     def mean_load(self, rng: random.Random, now: float) -> float:
-        """Return the load per weight, of a sample where there are many."""
-        step = max(1, len(self.members) // _SAMPLE)
+        """Return the mean load per weight, sampled in large groups."""
+        step = max(1, len(self.members) // _MIN_SAMPLE_SIZE)
         first = int(rng.random() * step)
         held = sum(state.held for state in self.members[first::step])
         weight = sum(self.weights[first::step])
-        return held / weight + self._mean_others(now)
+        return held / weight + self._mean_others_load(now)
 
-    def _mean_others(self, now: float) -> float:
-        if now - self._mean_at >= _MEAN_AGE:
-            self._mean_at = now
-            others = sum(state.others for state in self.members)
-            self._mean = others / self._steps[-1]
-        return self._mean
+    def _mean_others_load(self, now: float) -> float:
+        if now - self._others_mean_at >= _MEAN_LIFETIME:
+            self._others_mean_at = now
+            other_requests = sum(state.other_requests for state in self.members)
+            self._others_mean = other_requests / self._cumulative_weights[-1]
+        return self._others_mean
 
 
 @attrs.define(eq=False)
@@ -158,25 +171,28 @@
 
     Parameters
     ----------
-    near : Group or None
-        Those of this router's zone, where there are some but not all.
+    local : Group or None
+        Targets in this router's zone; None if there are none or if all
+        targets are in this zone.
     """
 
-    near: Group | None
+    local: Group | None
     _targets: Sequence[Target]
-    _make: Callable[[Sequence[Target]], Group]
+    _make_group: Callable[[Sequence[Target]], Group]
     _everyone: Group | None = None
 
     def __len__(self) -> int:
         """Return the number of targets."""
         return len(self._targets)
 
-    def refuse(self, now: float) -> RoutingFault | None:
-        """Return a refusal if all targets back off, by when the first ends."""
-        near = None if self.near is None else self.near.retry_at(now)
-        if near is not None and near <= now:
+    def check_back_off(self, now: float) -> RoutingFault | None:
+        """Return a refusal with a retry time if all targets back off."""
+        local_retry = (
+            None if self.local is None else self.local.earliest_retry(now)
+        )
+        if local_retry is not None and local_retry <= now:
             return None
-        first = self.everyone.retry_at(now)
+        first = self.everyone.earliest_retry(now)
         if first is None or first <= now:
             return None
         return faults.TARGETS_BACK_OFF.after(
@@ -186,30 +202,30 @@
 
     @property
     def everyone(self) -> Group:
-        """All of them; made when a request first leaves the zone.
+        """All targets; created when a request first leaves the zone.
 
-        Most requests never do, and what is kept of the thousands of targets
-        of other zones would be several times what the own zone needs.
+        Most requests stay in their zone, and the state of thousands of targets
+        in other zones would take several times the memory of the local ones.
         """
         if self._everyone is None:
-            self._everyone = self._make(self._targets)
+            self._everyone = self._make_group(self._targets)
         return self._everyone
 
 
 @attrs.define(eq=False)
 class Pools:
-    """All pools, which follow the registry row by row.
+    """All pools, kept up to date with the registry row by row.
 
     Parameters
     ----------
     cfg : RoutingSettings
         Threshold of the breakers.
     targets : Targets
-        The registry.
+        Registry of targets.
     zone : str
         Availability zone of this router.
     states : dict of str to TargetState
-        What is known of targets that requests could go to so far.
+        State of each target in a group that has been created.
     """
 
     cfg: RoutingSettings
@@ -220,13 +236,13 @@
     _pools: dict[PoolKey, Pool] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Take what the registry has and follow it from now on."""
+        """Add the registered targets and subscribe to changes."""
         for target in self.targets.by_name.values():
-            self._follow(None, target)
-        self.targets.watchers.append(self._follow)
+            self._on_change(None, target)
+        self.targets.watchers.append(self._on_change)
 
     def find(self, key: PoolKey) -> Pool | None:
-        """Return the pool of a model or service, None if nobody serves it."""
+        """Return the pool of a model or service, None if nothing serves it."""
         pool = self._pools.get(key)
         if pool is None and key in self._members:
             pool = self._build(key)
@@ -234,35 +250,42 @@
         return pool
 
     def held(self, key: PoolKey) -> int:
-        """Return the slots held at the targets of a pool."""
+        """Return the number of slots held at the targets of a pool."""
         members = self._members.get(key, ())
         known = filter(None, map(self.states.get, members))
         return sum(state.held for state in known)
 
     def serves(self, service: str, key: PoolKey) -> bool:
-        """Return whether a service's targets are among those of a pool."""
+        """Return whether a pool contains targets of a service."""
         members = self._members.get(key, {}).values()
-        return any(one.row.service == service for one in members)
+        return any(target.row.service == service for target in members)
 
     def keys_of(self, row: TargetRow) -> Iterator[PoolKey]:
-        """Yield the pools that a target belongs to."""
+        """Yield the keys of the pools that a target belongs to."""
         if row.kind == ENGINE:
             for model in row.models:
                 yield (ENGINE, model)
         else:
             yield (row.kind, row.service)
 
-    def _follow(self, before: TargetRow | None, target: Target | None) -> None:
-        known = None
+    def _on_change(
+        self, before: TargetRow | None, target: Target | None
+    ) -> None:
+        state = None
         if before is not None:
-            known = self.states.get(before.name)
-        stands = known is None or known.target is target
-        if not stands:
-            self.states.pop(known.name)
+            state = self.states.get(before.name)
+        keeps_state = state is None or state.target is target
+        if not keeps_state:
+            self.states.pop(state.name)
         row = None if target is None else target.row
-        if stands and before and row and _place(before) == _place(row):
-            # Groups read everything else from the row in force. At 10,000
-            # targets a pause of one would otherwise cost its pools.
+        if (
+            keeps_state
+            and before
+            and row
+            and _pool_fields(before) == _pool_fields(row)
+        ):
+            # Groups read all other fields from the current row. Without this
+            # check, pausing one of 10,000 targets would rebuild its pools.
             return
         if before is not None:
             self._remove(before)
@@ -283,21 +306,25 @@
             self._members.setdefault(key, {})[target.name] = target
 
     def _build(self, key: PoolKey) -> Pool:
-        every = tuple(self._members[key].values())
-        local = [one for one in every if one.row.zone == self.zone]
+        targets = tuple(self._members[key].values())
+        local = [target for target in targets if target.row.zone == self.zone]
         make = functools.partial(self._make_group, key)
-        if len(local) in {0, len(every)}:
-            return Pool(None, every, make, make(every))
-        return Pool(make(local), every, make)
+        if len(local) in {0, len(targets)}:
+            return Pool(None, targets, make, make(targets))
+        return Pool(make(local), targets, make)
 
     def _make_group(self, key: PoolKey, targets: Sequence[Target]) -> Group:
-        weighed = [(one, _weight(key, one.row)) for one in targets]
-        weighed = [pair for pair in weighed if pair[1] > 0] or [
-            (one, one.row.weight) for one in targets
+        weighted = [
+            (target, _pool_weight(key, target.row)) for target in targets
+        ]
+        weighted = [pair for pair in weighted if pair[1] > 0] or [
+            (target, target.row.weight) for target in targets
         ]
         return Group(
-            tuple(self._state_of(one) for one, _weight_here in weighed),
-            tuple(weight for _one, weight in weighed),
+            tuple(
+                self._state_of(target) for target, _member_weight in weighted
+            ),
+            tuple(weight for _one, weight in weighted),
         )
 
     def _state_of(self, target: Target) -> TargetState:
@@ -309,8 +336,8 @@
         return state
 
 
-def _place(row: TargetRow) -> tuple[object, ...]:
-    """Return what of a row decides its state, pools and part in them."""
+def _pool_fields(row: TargetRow) -> tuple[object, ...]:
+    """Return the fields of a row that determine its state and its pools."""
     return (
         row.address,
         row.kind,
@@ -321,5 +348,5 @@
     )
 
 
-def _weight(key: PoolKey, row: TargetRow) -> float:
+def _pool_weight(key: PoolKey, row: TargetRow) -> float:
     return row.weight * row.models.get(key[1], 1)
--- a/src/balsamreach/routing/probation.py
+++ b/src/balsamreach/routing/probation.py
@@ -61,13 +61,13 @@
             )
         emptied = await self._wait_empty(state, until - self.clock.now())
         if not emptied:
-            state.alone = ''
+            state.reserved_for = ''
             self._next_turn()
             return faults.DEADLINE_UNMEETABLE.after(
                 1,
                 'no target came free for the request to run alone',
             )
-        state.take(self.clock.now())
+        state.take_slot(self.clock.now())
         return state
 
     def freed(self, state: TargetState) -> None:
@@ -75,7 +75,7 @@
         event = self._empty.get(state)
         if event is not None and not state.held:
             event.set()
-        if not state.alone:
+        if not state.reserved_for:
             self._next_turn()
 
     async def _wait_turn(self, until: float) -> bool:
@@ -117,7 +117,7 @@
         except asyncio.CancelledError:
             # The caller went away. The target would otherwise stay closed
             # to everyone, which shows as a target without requests.
-            state.alone = ''
+            state.reserved_for = ''
             self._next_turn()
             raise
         finally:
@@ -143,9 +143,9 @@
         key = xxhash.xxh3_64_intdigest(ask.fingerprint.encode())
         for step, index in enumerate(group.ring.walk(key)):
             state = group.members[index]
-            usable = state.takes_work(now) and state.name not in tried
+            usable = state.accepts_requests(now) and state.name not in tried
             if usable:
-                state.alone = ask.fingerprint
+                state.reserved_for = ask.fingerprint
                 return state
             if step >= _MOST_STEPS:
                 break
@@ -153,5 +153,5 @@
 
 
 def _is_crowded(group: Group) -> bool:
-    kept = sum(bool(state.alone) for state in group.members)
+    kept = sum(bool(state.reserved_for) for state in group.members)
     return kept * _PART >= len(group.members)
--- a/src/balsamreach/routing/rate_groups.py
+++ b/src/balsamreach/routing/rate_groups.py
@@ -6,7 +6,12 @@
 import xxhash
 
 from balsamreach.routing.demands import MILLION, Demands, Told
-from balsamreach.routing.granted import FROM_HOME, FROM_ROOT, Granted, Opening
+from balsamreach.routing.granted import (
+    HOME_DEFAULT,
+    ROOT_DEFAULT,
+    DefaultShare,
+    GrantedShares,
+)
 from balsamreach.wire.rates import RateDemands, RatePart, RateShares
 
 #: Groups of teams; each has a home in every zone.
@@ -107,8 +112,8 @@
         )
 
     @property
-    def _opening(self) -> Opening:
-        return FROM_ROOT if self.level == TO_ROOT else FROM_HOME
+    def _opening(self) -> DefaultShare:
+        return ROOT_DEFAULT if self.level == TO_ROOT else HOME_DEFAULT
 
 
 @attrs.define
@@ -128,8 +133,12 @@
     """
 
     number: int
-    granted: Granted = attrs.field(factory=partial(Granted, FROM_HOME))
-    zone_granted: Granted = attrs.field(factory=partial(Granted, FROM_ROOT))
+    granted: GrantedShares = attrs.field(
+        factory=partial(GrantedShares, HOME_DEFAULT)
+    )
+    zone_granted: GrantedShares = attrs.field(
+        factory=partial(GrantedShares, ROOT_DEFAULT)
+    )
     home: Collector = attrs.field(init=False)
     root: Collector = attrs.field(init=False)
     told_at: float = float('-inf')
@@ -144,7 +153,7 @@
     @property
     def telling(self) -> bool:
         """Whether any team of the group wants a share here."""
-        return bool(self.granted.asked)
+        return bool(self.granted.requested)
 
     @property
     def key(self) -> str:
--- a/src/balsamreach/routing/rate_homes.py
+++ b/src/balsamreach/routing/rate_homes.py
@@ -59,7 +59,7 @@
     def hurry(self, team: int, part: int) -> bool:
         """Have demand told before the interval's end if it has grown."""
         group = self._group(team)
-        grown = part > _GROWN * group.granted.asked.get(team, 0)
+        grown = part > _GROWN * group.granted.requested.get(team, 0)
         group.urgent = group.urgent or grown
         return grown
 
@@ -104,13 +104,17 @@
         group = self._groups[message.group % GROUPS]
         to_zone = message.level == TO_ROOT
         granted = group.zone_granted if to_zone else group.granted
-        taken = granted.take(message, now)
+        taken = granted.apply_answer(message, now)
         self.post.note('granted' if taken else 'late')
         if to_zone and taken and group.home.demands is not None:
             for holder in group.home.demands.urgent():
                 self._answer(group, holder, TO_HOME)
         if not to_zone:
-            ages = [now - one.granted.at for one in self._groups if one.telling]
+            ages = [
+                now - one.granted.granted_at
+                for one in self._groups
+                if one.telling
+            ]
             oldest = min(_OLDEST, max(ages, default=0))
             self.post.show(heard=message.routers, age=oldest)
 
@@ -137,7 +141,7 @@
             urgent=group.urgent,
             parts=rate_groups.as_parts(parts),
         )
-        group.granted.ask(message.window, parts)
+        group.granted.record_request(message.window, parts)
         group.told_at = now
         group.urgent = False
         home = self.post.net.home(group.key)
@@ -159,7 +163,7 @@
             urgent=group.home.due,
             parts=rate_groups.as_parts(parts),
         )
-        group.zone_granted.ask(message.window, parts)
+        group.zone_granted.record_request(message.window, parts)
         group.zone_told_at = now
         group.home.due = False
         self.post.send(self._root(group), message, self.take_demands)
--- a/src/balsamreach/routing/retries.py
+++ b/src/balsamreach/routing/retries.py
@@ -1,40 +1,40 @@
-"""How many retries there may be, and how long to wait before one."""
+"""Retry budget and backoff."""
 
 import random
 
 import attrs
 
-_RESERVE = 10
-_MOST = 100
-_FIRST_DELAY = 0.05
-_LONGEST_DELAY = 1.0
+_INITIAL_TOKENS = 10
+_MAX_TOKENS = 100
+_BASE_DELAY = 0.05
+_MAX_DELAY = 1.0
 
 
 @attrs.define
 class RetryBudget:
-    """A token bucket that first attempts fill and retries empty.
+    """A token bucket filled by first attempts and emptied by retries.
 
-    Each router keeps to the share for its own first attempts, so the fleet
-    as a whole keeps to it too, without a message.
+    Each router limits retries to a share of its own first attempts, so the
+    whole fleet stays within that share without communicating.
 
     Parameters
     ----------
     share : float
-        Retries allowed for each first attempt.
+        Retries allowed per first attempt.
     tokens : float
-        Retries allowed now; a few at the start, so that a quiet router's
-        first failure can be retried.
+        Retries allowed now. Above zero at the start, so that the first
+        failure at a router with little traffic can be retried.
     """
 
     share: float
-    tokens: float = _RESERVE
+    tokens: float = _INITIAL_TOKENS
 
     def deposit(self) -> None:
-        """Take note of a first attempt."""
-        self.tokens = min(_MOST, self.tokens + self.share)
+        """Add the share of one first attempt."""
+        self.tokens = min(_MAX_TOKENS, self.tokens + self.share)
 
     def withdraw(self) -> bool:
-        """Return whether a retry or hedge may be sent; it is counted."""
+        """Use a token for a retry or hedge; False if there is none."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -42,14 +42,14 @@
 
 
 def backoff(attempt: int, rng: random.Random) -> float:
-    """Return the seconds to wait before a retry, fully jittered.
+    """Return the seconds to wait before a retry, with full jitter.
 
     Parameters
     ----------
     attempt : int
-        Attempts that failed so far, from 1 on.
+        Number of failed attempts, from 1 on.
     rng : random.Random
         Source of the jitter.
     """
-    longest = min(_LONGEST_DELAY, _FIRST_DELAY * 2 ** (attempt - 1))
-    return rng.random() * longest
+    max_delay = min(_MAX_DELAY, _BASE_DELAY * 2 ** (attempt - 1))
+    return rng.random() * max_delay
--- a/src/balsamreach/routing/routing.py
+++ b/src/balsamreach/routing/routing.py
@@ -1,4 +1,4 @@
-"""All routing decisions of one router, behind a few calls for a request."""
+"""The routing decisions of one router, one method per step of a request."""
 
 import random
 
@@ -27,35 +27,35 @@
 from balsamreach.targets.registry import Targets
 from balsamreach.telemetry.metrics import Metrics
 
-_TICK = 0.25
+_TICK_INTERVAL = 0.25
 _RETRIES = 'balsamreach_retries_total'
 _RETRIES_REFUSED = 'balsamreach_retries_refused_total'
 
 
 @attrs.define(eq=False, kw_only=True)
 class Routing:
-    """Limits, queues, choice, retries and quarantine of one router.
+    """Team limits, queues, target choice, retries and quarantine of one router.
 
     Parameters
     ----------
     limits : TeamLimits
-        Limits of teams' rows.
+        Concurrency and rate limits of teams.
     admission : Admission
-        Queues and choice.
+        Queues and target choice.
     quarantine : Quarantine
-        Requests that crash targets.
+        Keeps out requests that crash targets.
     feedback : Feedback
-        Learns from the end of each exchange.
+        Updates target health and quarantine when an exchange ends.
     retries : RetryBudget
-        How many retries there may be.
+        Bounds the number of retries and hedges.
     hedges : HedgeDelays
-        When a second attempt is worth its load.
+        Delay after which a second attempt is worth its load.
     clock : Clock
-        Time.
+        Clock of the router.
     rng : random.Random
-        Jitter of retries.
+        Source of the jitter of retries.
     metrics : Metrics
-        Counters.
+        Metrics of the router.
     """
 
     limits: TeamLimits
@@ -69,9 +69,9 @@
     metrics: Metrics
 
     def refuse(self, key: PoolKey) -> RoutingFault | None:
-        """Return a refusal if no target of a pool takes requests now."""
+        """Return a refusal if every target of a pool backs off, else None."""
         pool = self.admission.picker.pools.find(key)
-        return None if pool is None else pool.refuse(self.clock.now())
+        return None if pool is None else pool.check_back_off(self.clock.now())
 
     async def enter(self, ask: Ask) -> Slot | RoutingFault:
         """Return a slot for a request's first attempt, or a refusal."""
@@ -85,14 +85,14 @@
             state = await self.admission.enter(ask)
         if isinstance(state, TargetState):
             self.retries.deposit()
-        return self._slot(state, ask)
+        return self._make_slot(state, ask)
 
     async def again(
         self,
         ask: Ask,
         tried: frozenset[str],
     ) -> Slot | RoutingFault:
-        """Return a slot at another target, within the retry budget."""
+        """Return a slot at an untried target, within the retry budget."""
         refusal = self.quarantine.check(ask.fingerprint)
         refusal = refusal or self.refuse(ask.pool)
         if refusal is not None:
@@ -103,37 +103,41 @@
         if self.quarantine.must_run_alone(ask.fingerprint):
             state = await self._run_alone(ask, tried)
         else:
-            state = self._pick_other(ask, tried)
+            state = self._pick_untried(ask, tried)
         if isinstance(state, TargetState):
             self.metrics.count(_RETRIES)
         else:
             self.retries.tokens += 1
-        return self._slot(state, ask)
+        return self._make_slot(state, ask)
 
     def hedge(
         self,
         ask: Ask,
         tried: frozenset[str],
     ) -> Slot | RoutingFault:
-        """Return a slot beside a slow attempt, within the retry budget.
+        """Return a slot for a hedge request, within the retry budget.
 
-        A request that is suspected of crashing targets is never at two at
-        once: both could be lost before either is known to be.
+        A suspect is never hedged: it could crash both targets before either
+        crash is known.
         """
         if self.quarantine.check(ask.fingerprint) is not None:
-            return faults.ALL_BUSY.because('the request is held back')
+            return faults.ALL_BUSY.because(
+                'the request is held back as a suspect or quarantined'
+            )
         if self.quarantine.must_run_alone(ask.fingerprint):
-            return faults.ALL_BUSY.because('the request runs alone')
+            return faults.ALL_BUSY.because(
+                'the request runs alone, so it is not hedged'
+            )
         if not self.retries.withdraw():
             self.metrics.count(_RETRIES_REFUSED)
             return faults.ALL_BUSY.because('the retry budget is used up')
-        state = self._pick_other(ask, tried)
+        state = self._pick_untried(ask, tried)
         if not isinstance(state, TargetState):
             self.retries.tokens += 1
-        return self._slot(state, ask)
+        return self._make_slot(state, ask)
 
     def waiting(self, service: str) -> int:
-        """Return how many requests wait here that a service could serve."""
+        """Return the number of queued requests that a service could serve."""
         pools = self.admission.picker.pools
         return sum(
             line.queue.waiting
@@ -142,27 +146,27 @@
         )
 
     def learn_cache(self, target: str, news: CacheNews) -> None:
-        """Take in what a target's prefix cache stored and evicted."""
-        self.admission.picker.chooser.learn(target, news)
+        """Apply a target's prefix cache events to the choice of targets."""
+        self.admission.picker.chooser.apply_cache_events(target, news)
 
     def leave(self, slot: Slot) -> None:
-        """Give a slot back and learn from how its exchange ended."""
+        """Release a slot and record how its exchange ended."""
         self.feedback.ended(slot)
-        held = self.clock.now() - slot.taken_at
-        self.admission.leave(slot.state, slot.ask, held)
+        held_for = self.clock.now() - slot.taken_at
+        self.admission.leave(slot.state, slot.ask, held_for)
 
     async def run(self) -> None:
-        """Follow time until cancelled."""
+        """Call the periodic work until cancelled."""
         while True:
-            await self.clock.sleep(_TICK)
+            await self.clock.sleep(_TICK_INTERVAL)
             self.tick()
             self.limits.tick()
 
     def tick(self) -> None:
-        """Do what time alone brings about; called several times a second.
+        """Expire breaks, check pending crashes and serve the queues.
 
-        Targets that recover, come back or are added make room that no
-        request's end announces.
+        Called several times a second: targets that recover, return or are
+        added free capacity without any request ending.
         """
         states = self.admission.picker.pools.states
         self.quarantine.crashes.expire(self.clock.now())
@@ -173,13 +177,13 @@
                 self.quarantine.reported(name, incarnation)
         self.admission.pump_all()
 
-    def _pick_other(
+    def _pick_untried(
         self,
         ask: Ask,
         tried: frozenset[str],
     ) -> TargetState | RoutingFault:
-        # A retry does not queue: while others wait, it would only take the
-        # place of a request that has not run at all.
+        # A retry does not queue: it would take the place of a request that has
+        # not run yet.
         picker = self.admission.picker
         pool = picker.pools.find(ask.pool)
         state = None if pool is None else picker.pick(ask, pool, tried)
@@ -198,7 +202,7 @@
         probation = self.admission.probation
         return await probation.enter(ask, pool.everyone, tried)
 
-    def _slot(
+    def _make_slot(
         self,
         state: TargetState | RoutingFault,
         ask: Ask,
@@ -216,22 +220,22 @@
     metrics: Metrics,
     net: PeerNet | None = None,
 ) -> Routing:
-    """Put the routing of one router together.
+    """Create the routing of one router.
 
     Parameters
     ----------
     cfg : Settings
         The router's settings.
     targets : Targets
-        The registry.
+        Registry of targets.
     clock : Clock
-        Time.
+        Clock of the router.
     rng : random.Random
-        Source of all draws.
+        Source of all randomness.
     metrics : Metrics
-        Counters.
+        Metrics of the router.
     net : PeerNet, optional
-        Other routers.
+        Connections to other routers.
     """
     pools = Pools(cfg.routing, targets, cfg.host.zone)
     chooser = make_chooser(cfg.routing.policy, rng)
--- a/src/balsamreach/routing/slot.py
+++ b/src/balsamreach/routing/slot.py
@@ -1,4 +1,4 @@
-"""A request's hold on a target, and how its exchange there ended."""
+"""A request's slot at a target, and the outcome of the exchange there."""
 
 import enum
 
@@ -11,25 +11,25 @@
 
 
 class Verdict(enum.Enum):
-    """How an exchange with a target ended."""
+    """Outcome of an exchange with a target."""
 
     #: The request was not sent.
     UNUSED = 'unused'
-    #: The exchange ended in order.
+    #: The exchange completed normally.
     GOOD = 'good'
-    #: No connection was made.
+    #: The connection could not be established.
     REFUSED = 'refused'
-    #: The target said that it did not run the request.
+    #: The target reported that it did not run the request.
     DECLINED = 'declined'
     #: The target answered with a server error.
     FAILED = 'failed'
-    #: The connection broke without an orderly end.
+    #: The connection broke before the answer was complete.
     BROKEN = 'broken'
-    #: Nothing came although the connection stood.
+    #: The target sent nothing although the connection was up.
     SILENT = 'silent'
-    #: It was slow, and a second target answered first.
+    #: A hedge at another target answered first.
     OUTRUN = 'outrun'
-    #: This router broke it off itself.
+    #: This router cancelled the exchange.
     ABANDONED = 'abandoned'
 
 
@@ -40,18 +40,21 @@
     Parameters
     ----------
     state : TargetState
-        The target.
+        State of the target.
     ask : Ask
         The request.
     clock : Clock
-        Time.
+        Clock of the router.
     taken_at, sent_at, first_at : float
-        Monotonic seconds of the grant, the sending and the first byte; 0
-        for not yet.
-    busy : int
-        Own requests at the target when it was sent, itself included.
+        Monotonic seconds at which the slot was taken, the request was sent
+        and the first byte arrived; 0 if that has not happened.
+    in_progress : int
+        Slots of this router at the target when the request was sent,
+        including this one.
+    incarnation : str
+        Incarnation of the target when the request was sent.
     verdict : Verdict
-        How it ended.
+        Outcome of the exchange.
     """
 
     state: TargetState
@@ -60,22 +63,22 @@
     taken_at: float
     sent_at: float = 0
     first_at: float = 0
-    busy: int = 0
+    in_progress: int = 0
     incarnation: str = ''
     verdict: Verdict = Verdict.UNUSED
 
     @property
     def target(self) -> Target:
-        """The target in the registry."""
+        """The target's entry in the registry."""
         return self.state.target
 
     def first_byte_came(self) -> None:
-        """Take note of the first byte of the answer."""
+        """Record the arrival of the first byte of the answer."""
         self.first_at = self.clock.now()
 
     def sent(self, now: float) -> None:
-        """Take note that the request is being sent."""
+        """Record that the request is being sent."""
         self.sent_at = now
-        self.busy = self.state.held
+        self.in_progress = self.state.held
         self.incarnation = self.target.report.incarnation
         self.verdict = Verdict.ABANDONED
--- a/src/balsamreach/routing/state.py
+++ b/src/balsamreach/routing/state.py
@@ -1,4 +1,4 @@
-"""What this router knows of one target's load and health."""
+"""One router's view of the load and health of a target."""
 
 import math
 from array import array
@@ -9,129 +9,137 @@
 from balsamreach.routing.breaker import Breaker
 from balsamreach.targets.registry import LoadReport, Target
 
-#: Own requests are remembered in steps of this many seconds, for as long as
-#: a report may be under way.
-_STEP = 0.05
-_REACH = 15.0
-#: Age in seconds at which a report has lost most of its worth.
-_TRUST = 1.5
+#: The number of own requests is recorded in steps of ``_HISTORY_STEP`` seconds
+#: for ``_HISTORY_SPAN`` seconds, as long as a report may be under way.
+_HISTORY_STEP = 0.05
+_HISTORY_SPAN = 15.0
+#: Seconds in which the weight of a load report falls to 1/e.
+_REPORT_TIME_CONSTANT = 1.5
 
 
 @attrs.define(eq=False, weakref_slot=False)
 class TargetState:
-    """One target as the choice sees it.
+    """Load and health of one target, as used by the choice.
 
     Parameters
     ----------
     target : Target
-        The target in the registry.
+        The target's entry in the registry.
+    breaker : Breaker
+        Circuit breaker of the target.
+    limit : AdaptiveLimit
+        Limit on own requests at the target.
     held : int
-        Slots that requests of this router hold, sent or about to be.
-    alone : str
-        Fingerprint of the suspect that it is kept free for, if any.
-    others : int
-        Requests of other routers at the newest report.
+        Slots held by requests of this router, sent or about to be sent.
+    reserved_for : str
+        Fingerprint of the suspect that the target is reserved for, or empty.
+    other_requests : int
+        Requests of other routers at the time of the newest report.
     """
 
     target: Target
     breaker: Breaker
     limit: AdaptiveLimit = attrs.field(factory=AdaptiveLimit)
     held: int = 0
-    alone: str = ''
-    others: int = 0
-    _read: LoadReport | None = None
-    # Moments and the slots held since then, in turn: one small array. With
-    # pairs of objects every target that was ever used kept 13 KB.
-    _past: array | None = None
+    reserved_for: str = ''
+    other_requests: int = 0
+    _last_report: LoadReport | None = None
+    # Times and the number of slots held since then, alternating in one array.
+    # As pairs of objects, each target that was ever used took 13 KB.
+    _held_history: array | None = None
 
     @property
     def name(self) -> str:
         """Name of the target."""
         return self.target.name
 
-    def take(self, now: float) -> None:
-        """Hold a slot."""
-        self._follow_report(now)
+    def take_slot(self, now: float) -> None:
+        """Take a slot."""
+        self._apply_report(now)
         self.held += 1
         self.breaker.begin()
-        self._note(now)
+        self._record_held(now)
 
-    def free(self, now: float) -> None:
-        """Give a slot back."""
-        self._follow_report(now)
+    def release_slot(self, now: float) -> None:
+        """Release a slot."""
+        self._apply_report(now)
         self.held -= 1
-        self._note(now)
+        self._record_held(now)
 
     def load(self, now: float) -> float:
-        """Return own requests plus those of others at the last report.
+        """Return own requests plus those of others at the newest report.
 
-        A report is late, and counts this router's requests of that moment.
-        They are taken off, so that neither requests sent since the report
-        are missed nor those that ended since are counted.
+        A report arrives late and includes this router's requests at the time
+        it was taken. They are subtracted, so that requests sent since are
+        counted and requests that have ended since are not.
         """
-        self._follow_report(now)
-        return self.held + self.others
+        self._apply_report(now)
+        return self.held + self.other_requests
 
-    def likely_load(self, mean_others: float, now: float) -> float:
-        """Return the load, trusting an old report less than a new one.
+    def estimated_load(self, mean_others: float, now: float) -> float:
+        """Return the estimated load, giving old reports less weight.
 
-        What others had there some seconds ago has mostly ended by now, and
-        other routers have gone where it was quiet. The older the report,
-        the more the mean over all targets is the better guess.
+        Most requests that other routers had there some seconds ago have ended,
+        and those routers have sent new ones to idle targets. The older the
+        report, the better the mean over all targets is as an estimate.
 
         Parameters
         ----------
         mean_others : float
-            Others' requests at a target of this weight on average.
+            Mean number of other routers' requests at a target of this weight.
         now : float
             Monotonic seconds.
         """
-        self._follow_report(now)
+        self._apply_report(now)
         age = now - self.target.report.taken_at
-        trust = math.exp(-age / _TRUST)
-        return self.held + mean_others + (self.others - mean_others) * trust
+        weight = math.exp(-age / _REPORT_TIME_CONSTANT)
+        return (
+            self.held
+            + mean_others
+            + (self.other_requests - mean_others) * weight
+        )
 
     def has_slot(self, now: float) -> bool:
-        """Return whether it has room for one more request."""
-        self._follow_report(now)
-        most = min(self.target.row.concurrency, int(self.limit.limit))
-        most = int(most * self.target.warm_share(now))
-        return self.held < max(1, most) and self.takes_work(now)
-
-    def takes_work(self, now: float) -> bool:
-        """Return whether it is there to be sent requests."""
+        """Return whether there is room for one more request."""
+        self._apply_report(now)
+        capacity = min(self.target.row.concurrency, int(self.limit.limit))
+        capacity = int(capacity * self.target.warm_share(now))
+        return self.held < max(1, capacity) and self.accepts_requests(now)
+
+    def accepts_requests(self, now: float) -> bool:
+        """Return whether the target may be sent requests at all."""
         target = self.target
         suspended = max(target.suspended_until, target.retry_at) > now
-        return not (self.alone or target.leaving or suspended)
+        return not (self.reserved_for or target.leaving or suspended)
 
-    def _follow_report(self, now: float) -> None:
+    def _apply_report(self, now: float) -> None:
         report = self.target.report
-        if report is self._read:
+        if report is self._last_report:
             return
-        self._read = report
+        self._last_report = report
         reported = report.running + report.queued
         own = self._held_at(report.taken_at)
-        self.others = max(0, reported - own)
-        self.limit.reported(report, now)
-
-    def _note(self, now: float) -> None:
-        past = self._past
-        if past is None:
-            past = array('d')
-            self._past = past
-        if past and now - past[-2] < _STEP:
-            past[-1] = self.held
+        self.other_requests = max(0, reported - own)
+        self.limit.apply_report(report, now)
+
+    def _record_held(self, now: float) -> None:
+        history = self._held_history
+        if history is None:
+            history = array('d')
+            self._held_history = history
+        if history and now - history[-2] < _HISTORY_STEP:
+            history[-1] = self.held
             return
-        past.extend((now, self.held))
-        # Each report is read before the next change at the latest, so what
-        # lies farther back is asked for no more; but what held when the
-        # reach begins is.
-        while len(past) > 2 and past[2] < now - _REACH:
-            del past[:2]
+        history.extend((now, self.held))
+        # A report is applied before the next change at the latest, so older
+        # entries are not needed. The entry in force at the start of the span
+        # is kept.
+        while len(history) > 2 and history[2] < now - _HISTORY_SPAN:
+            del history[:2]
 
     def _held_at(self, moment: float) -> int:
-        past = self._past or ()
-        for place in range(len(past) - 2, -1, -2):
-            if past[place] <= moment:
-                return int(past[place + 1])
+        history = self._held_history or ()
+        for index in range(len(history) - 2, -1, -2):
+            if history[index] <= moment:
+                return int(history[index + 1])
         return 0
--- a/tests/routing_node.py
+++ b/tests/routing_node.py
@@ -1,4 +1,4 @@
-"""One router's routing over a few targets, for tests of its parts."""
+"""The routing parts of one router, for tests of the routing layer."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 def make_rows(count=4, zone='zone-a', **fields):
-    """Return rows of engines that serve one model."""
+    """Return rows of engines that serve ``MODEL``."""
     return [
         TargetRow(
             name=f'{zone}-engine-{number}',
@@ -30,7 +30,7 @@
 
 
 class Node:
-    """One router's routing, its clock and its targets."""
+    """The routing of one router, with a fake clock and a few targets."""
 
     def __init__(self, rows=None, net=None, clock=None, options=()):
         self.clock = clock or FakeClock()
@@ -49,12 +49,12 @@
 
     @property
     def picker(self):
-        """What chooses targets."""
+        """The router's picker of targets."""
         return self.routing.admission.picker
 
     @property
     def quarantine(self):
-        """What keeps requests from running."""
+        """The router's quarantine."""
         return self.routing.quarantine
 
     def ask(self, fingerprint='a', team='team', **fields):
@@ -63,13 +63,13 @@
         return Ask(team, (ENGINE, MODEL), fingerprint, **fields)
 
     async def send(self, **fields):
-        """Return the slot of a request that has been sent."""
+        """Enter a request, record it as sent and return its slot."""
         slot = await self.routing.enter(self.ask(**fields))
         self.routing.feedback.sent(slot)
         return slot
 
     def end(self, slot, verdict=Verdict.GOOD):
-        """End a request's exchange."""
+        """End a request's exchange with a verdict."""
         slot.verdict = verdict
         self.routing.leave(slot)
 
--- a/tests/test_routing_choice.py
+++ b/tests/test_routing_choice.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a target: load, weights, zones and prefixes."""
+"""Tests of target choice: load, weights, zones and prefix affinity."""
 
 import unittest
 from collections import Counter
@@ -13,8 +13,8 @@
 _PROMPT = b'a' * 640
 
 
-class SharesTest(unittest.TestCase):
-    """Models' shares of ``auto`` requests."""
+class WeightedSplitTest(unittest.TestCase):
+    """Splits of ``auto`` requests between models."""
 
     def test_counts_stay_within_one_pick_of_the_weights(self):
         shares = Shares()
@@ -24,7 +24,7 @@
             counts[shares.pick('team', weights)] += 1
             self.assertLessEqual(abs(counts['a'] - 0.7 * number), 1)
 
-    def test_owners_are_bounded_and_weight_zero_is_never_picked(self):
+    def test_owners_are_bounded_and_weight_zero_is_not_picked(self):
         shares = Shares(most_owners=10)
         for number in range(100):
             picked = shares.pick(f'team-{number}', {'a': 0, 'b': 1})
@@ -32,11 +32,11 @@
         self.assertEqual(len(shares._credits), 10)
 
 
-class PolicyTest(unittest.IsolatedAsyncioTestCase):
-    """What holds for every policy."""
+class EveryPolicyTest(unittest.IsolatedAsyncioTestCase):
+    """Properties of every policy."""
 
     @parameterized.expand(sorted(POLICIES))
-    async def test_full_leaving_and_tried_targets_get_nothing(self, policy):
+    async def test_full_leaving_and_tried_targets_are_not_chosen(self, policy):
         rows = make_rows(4, concurrency=3)
         node = Node(rows, options=(f'routing.policy={policy}',))
         node.targets.by_name[rows[0].name].mark_leaving('start-1')
@@ -55,7 +55,7 @@
             node.picker.pick(ask, pool, tried),
         )
 
-    async def test_rows_that_change_are_followed(self):
+    async def test_removed_target_is_not_chosen(self):
         node = Node(make_rows(2))
         await node.send()
         node.targets.update(make_rows(1))
@@ -63,18 +63,17 @@
         self.assertEqual(names, {'zone-a-engine-0'})
 
 
-class LoadTest(unittest.IsolatedAsyncioTestCase):
-    """Late reports, corrected by what this router has done since."""
+class LoadReportTest(unittest.IsolatedAsyncioTestCase):
+    """Corrections of late load reports."""
 
-    async def test_own_requests_are_not_counted_twice_nor_after_their_end(
+    async def test_late_report_is_corrected_for_own_requests(
         self,
     ):
-        """A late report is read as of its own time.
+        """A late load report is applied as of the time it was taken.
 
-        Symptom: an idle target is avoided, or a busy one gets more.
-        Sequence: four requests are sent, a report is taken, they end, the
-        report arrives two seconds late.
-        Cause: the report counts requests that have ended since.
+        Four requests are running when a report is taken; they end before it
+        arrives two seconds later. If they were still counted as load, an idle
+        target would be avoided, or a busy one would get more requests.
         """
         node = Node(make_rows(1))
         slots = [await node.send() for _ in range(4)]
@@ -88,12 +87,11 @@
         state.target.report = LoadReport(running=6, slots=8, taken_at=taken_at)
         self.assertEqual(state.load(node.clock.now()), 2)
 
-    async def test_old_reports_are_trusted_less(self):
-        """The word of some seconds ago does not send everybody one way.
+    async def test_old_reports_have_less_weight(self):
+        """Old load reports have less influence on the choice.
 
-        Symptom: with late reports all routers crowd the same target.
-        Sequence: a report two seconds old shows one target idle.
-        Cause: what stood there then has long ended.
+        A report that is two seconds old shows one target idle. If all routers
+        trusted it fully, all would send to the same target.
         """
         node = Node(make_rows(2))
         now = node.clock.now()
@@ -109,12 +107,11 @@
         gap = group.load(1, now + 2) - group.load(0, now + 2)
         self.assertLess(gap, 8 / 3)
 
-    async def test_warming_target_carries_its_share_only(self):
-        """A host that just came back gets no rush of requests.
+    async def test_warming_target_gets_less_than_its_share(self):
+        """A target that has just restarted gets less than its full share.
 
-        Symptom: slow answers at a host in the first seconds after a start.
-        Sequence: it restarts, is idle, and its cache is empty.
-        Cause: an idle target draws all choices that weigh load alone.
+        It is idle and its cache is empty. By load alone it would get all
+        requests and answer slowly in its first seconds.
         """
         node = Node(make_rows(8), options=('routing.policy=two_choices',))
         target = node.targets.by_name['zone-a-engine-0']
@@ -127,9 +124,9 @@
 
 
 class ZoneTest(unittest.IsolatedAsyncioTestCase):
-    """The own zone first, others where it is full or loaded."""
+    """The own zone comes first, others only if it is full or overloaded."""
 
-    async def test_own_zone_is_preferred_until_it_is_loaded(self):
+    async def test_own_zone_is_preferred_until_it_is_overloaded(self):
         rows = [*make_rows(2), *make_rows(2, zone='zone-b')]
         node = Node(rows)
         zones = []
@@ -139,16 +136,16 @@
         self.assertEqual(set(zones[:4]), {'zone-a'})
         self.assertIn('zone-b', zones)
 
-    async def test_other_zone_serves_where_the_own_one_is_gone(self):
+    async def test_other_zone_is_used_if_own_zone_is_off(self):
         node = Node([*make_rows(1, state='off'), *make_rows(1, zone='zone-b')])
         slot = await node.send()
         self.assertEqual(slot.target.row.zone, 'zone-b')
 
 
 class AffinityTest(unittest.IsolatedAsyncioTestCase):
-    """Prompts with the same beginning go to the same target."""
+    """Prompts with the same prefix go to the same target."""
 
-    async def test_routers_agree_without_a_message(self):
+    async def test_routers_choose_the_same_target(self):
         nodes = [Node(make_rows(8)) for _ in range(3)]
         for number in range(20):
             prefix = f'{number:064}'.encode() * 5
@@ -157,12 +154,11 @@
             for node, slot in zip(nodes, slots, strict=True):
                 node.end(slot)
 
-    async def test_popular_prefix_spreads_before_it_overloads(self):
-        """One prompt that everybody sends does not drown its target.
+    async def test_popular_prefix_is_spread_over_targets(self):
+        """A prefix shared by all requests does not overload one target.
 
-        Symptom: one target has a long queue, the others are idle.
-        Sequence: all requests begin with the same prompt.
-        Cause: affinity without regard to load.
+        All requests begin with the same prompt. Affinity that ignored the load
+        would fill one target's queue while the others are idle.
         """
         node = Node(make_rows(8))
         for number in range(32):
--- a/tests/test_routing_hints.py
+++ b/tests/test_routing_hints.py
@@ -1,4 +1,4 @@
-"""Tests of the hints that cache events and own requests give."""
+"""Tests of cache hints from cache events and own requests."""
 
 import json
 import unittest
@@ -7,7 +7,7 @@
 from parameterized import parameterized
 
 from balsamreach.gateway.prompts import measure_prompt
-from balsamreach.routing.hints import Hints, hash_blocks, read_name
+from balsamreach.routing.hints import CacheHints, hash_blocks, parse_block_hash
 from balsamreach.standins.engine_cache import blocks_of
 from balsamreach.standins.engine_text import cached_text_of
 from balsamreach.targets.cache_feed import CacheFeed, CacheNews
@@ -27,101 +27,100 @@
 }
 
 
-def _events(names, start=1, *, stored=True):
+def _events(block_names, start=1, *, stored=True):
     return tuple(
         CacheEvent(start + place, name, stored=stored)
-        for place, name in enumerate(names)
+        for place, name in enumerate(block_names)
     )
 
 
-class NamesTest(unittest.TestCase):
-    """Blocks have the same name at the engine and at the router."""
+class BlockNamesTest(unittest.TestCase):
+    """Engines and routers give a block the same name."""
 
-    def test_engine_and_router_name_blocks_alike(self):
-        """Cache events are taken in and never lead a request anywhere.
+    def test_engine_and_router_hash_blocks_alike(self):
+        """An engine and a router hash the same prompt to the same names.
 
-        Symptom: events arrive, the prefix hit rate is that of the ring.
-        Sequence: an engine names blocks; a router hashes the same prompt.
-        Cause: they hash other text, or in another way.
+        If they hashed different text, or in a different way, cache events
+        would be applied but never match a prompt, and the prefix hit rate
+        would be that of the hash ring.
         """
         prefix = measure_prompt(json.loads(json.dumps(_BODY)), 0).prefix
-        names = [read_name(one) for one in blocks_of(cached_text_of(_BODY))]
-        self.assertGreater(len(names), 9)
-        self.assertEqual(names, hash_blocks(prefix))
+        block_names = [
+            parse_block_hash(one) for one in blocks_of(cached_text_of(_BODY))
+        ]
+        self.assertGreater(len(block_names), 9)
+        self.assertEqual(block_names, hash_blocks(prefix))
 
     @parameterized.expand(['', 'token-17', '-1', f'1{0:016}'])
-    def test_other_names_say_nothing(self, name):
-        self.assertIsNone(read_name(name))
-        hints = Hints()
-        hints.take('engine-0', CacheNews(_events([name])))
-        self.assertEqual(hints.deepest([0, 1, 17]), ())
+    def test_unknown_name_formats_are_ignored(self, name):
+        self.assertIsNone(parse_block_hash(name))
+        hints = CacheHints()
+        hints.apply('engine-0', CacheNews(_events([name])))
+        self.assertEqual(hints.deepest_holders([0, 1, 17]), ())
 
 
-class HintsTest(unittest.TestCase):
-    """What is known of targets' caches, and what is doubted."""
+class CacheHintsTest(unittest.TestCase):
+    """Hints after stores, evictions, gaps and restarts."""
 
-    def test_stored_evicted_and_bounded(self):
-        hints = Hints(most=2)
-        hints.take('a', CacheNews(_events('123')))
-        hints.take('b', CacheNews(_events('3')))
+    def test_store_evict_and_bound(self):
+        hints = CacheHints(max_blocks=2)
+        hints.apply('a', CacheNews(_events('123')))
+        hints.apply('b', CacheNews(_events('3')))
         self.assertEqual(hints.holders(1), ())
-        self.assertEqual(hints.deepest([2, 3, 4]), ('b', 'a'))
-        hints.take('b', CacheNews(_events('3', stored=False)))
+        self.assertEqual(hints.deepest_holders([2, 3, 4]), ('b', 'a'))
+        hints.apply('b', CacheNews(_events('3', stored=False)))
         self.assertEqual(hints.holders(3), ('a',))
-        hints.take('b', CacheNews(_events('2', stored=False)))
+        hints.apply('b', CacheNews(_events('2', stored=False)))
         self.assertEqual(hints.holders(2), ('a',))
 
-    def test_gap_drops_as_many_of_the_oldest(self):
-        """Requests follow a prefix to an engine that evicted it.
+    def test_gap_drops_as_many_of_the_oldest_hints(self):
+        """A gap in the events drops as many of the target's oldest hints.
 
-        Symptom: the hit rate falls after a burst of events.
-        Sequence: the engine's log overflows between two questions.
-        Cause: evictions are among the events that were lost.
+        An engine's event log overflows between two polls and evictions are
+        lost. Stale hints would send requests to an engine that evicted their
+        prefix, and the hit rate would fall after each burst.
         """
-        hints, feed = Hints(), CacheFeed()
-        told = CacheEvents(4, _events('123'))
-        hints.take('a', feed.take(told))
+        hints, feed = CacheHints(), CacheFeed()
+        reported = CacheEvents(4, _events('123'))
+        hints.apply('a', feed.take(reported))
         gap = feed.take(CacheEvents(7, _events('4', start=6)))
-        hints.take('a', gap)
+        hints.apply('a', gap)
         held = [bool(hints.holders(block)) for block in (1, 2, 3, 4)]
         self.assertEqual(held, [False, False, True, True])
         self.assertEqual((gap.missing, feed.gaps), (2, 1))
 
     @parameterized.expand([('restart seen',), ('numbers begin anew',)])
-    def test_restart_forgets_the_old_cache(self, how):
-        """Prompts go to an engine whose cache was lost with its restart.
+    def test_restart_drops_earlier_hints(self, cause):
+        """A restart of an engine drops the hints from before it.
 
-        Symptom: misses at one engine for as long as it is not full anew.
-        Sequence: blocks are stored, the engine restarts and tells others.
-        Cause: blocks of the earlier start are still believed to be there.
+        Otherwise prompts would go to an engine that lost its cache, and miss
+        until it has filled again.
         """
-        hints, feed = Hints(), CacheFeed()
-        hints.take('a', feed.take(CacheEvents(9, _events('123'))))
-        hints.stored(1, 'b')
-        if how == 'restart seen':
+        hints, feed = CacheHints(), CacheFeed()
+        hints.apply('a', feed.take(CacheEvents(9, _events('123'))))
+        hints.add(1, 'b')
+        if cause == 'restart seen':
             feed.restart()
-        hints.take('a', feed.take(CacheEvents(2, _events('5'))))
+        hints.apply('a', feed.take(CacheEvents(2, _events('5'))))
         held = [hints.holders(block) for block in (1, 2, 5)]
         self.assertEqual(held, [('b',), (), ('a',)])
 
-    def test_doubled_events_are_taken_once(self):
+    def test_duplicate_events_are_ignored(self):
         feed = CacheFeed()
-        told = CacheEvents(3, _events('12'))
-        feed.take(told)
-        self.assertEqual(feed.take(told), CacheNews())
+        reported = CacheEvents(3, _events('12'))
+        feed.take(reported)
+        self.assertEqual(feed.take(reported), CacheNews())
 
 
-class FollowTest(unittest.IsolatedAsyncioTestCase):
-    """From an engine's events to the choice of a target."""
+class CacheFollowerTest(unittest.IsolatedAsyncioTestCase):
+    """From an engine's cache events to the choice of a target."""
 
     @parameterized.expand([(60, 1), (61, 0)])
-    async def test_engines_too_many_to_follow_are_not_asked(self, count, asks):
-        """Requests follow hints that have long gone out of date.
+    async def test_too_many_engines_are_not_polled(self, count, polls):
+        """Cache events are not polled if there are too many engines.
 
-        Symptom: in a large zone the hit rate is below that without hints.
-        Sequence: two engines a second are asked, so each of hundreds
-        once in minutes; prompts go where their blocks were then.
-        Cause: old hints count as much as new ones.
+        Two engines are polled per second, so with hundreds each is polled once
+        in minutes. Hints that old lead to a lower hit rate than none.
         """
         node = Node(make_rows(count))
         client = mock.AsyncMock()
@@ -133,15 +132,15 @@
             node.metrics,
         )
         await follower.ask_next()
-        self.assertEqual(client.cache_events.await_count, asks)
+        self.assertEqual(client.cache_events.await_count, polls)
 
-    async def test_conversation_follows_events_of_another_router(self):
-        """Each turn of a conversation computes the whole prompt anew.
+    async def test_request_follows_cache_filled_by_another_router(self):
+        """A request goes to an engine whose cache another router has filled.
 
-        Symptom: slow first tokens although an idle engine holds the prompt.
-        Sequence: the first turn ran at an engine off the ring, through
-        another router; the second turn is longer and comes to this one.
-        Cause: this router does not know of that engine's cache.
+        The first turn of a conversation ran through another router, at an
+        engine that is not first on the ring. Without its cache events, each
+        turn would compute the whole prompt again although an idle engine has
+        it cached.
         """
         rows = make_rows(8)
         node = Node(rows)
@@ -149,8 +148,8 @@
         first = await Node(rows).send(prefix=prefix)
         other = next(row for row in rows if row.name != first.target.name)
         client = FakeTargets(node.clock)
-        names = [f'{name:016x}' for name in hash_blocks(prefix)]
-        client.events[other.address] = CacheEvents(9, _events(names))
+        block_names = [f'{name:016x}' for name in hash_blocks(prefix)]
+        client.events[other.address] = CacheEvents(9, _events(block_names))
         follower = CacheFollower(
             node.cfg,
             node.targets,
--- a/tests/test_routing_pools.py
+++ b/tests/test_routing_pools.py
@@ -1,4 +1,4 @@
-"""Tests of pools that follow the registry row by row."""
+"""Tests of pools that follow the registry, and of the load history."""
 
 import random
 import unittest
@@ -35,13 +35,13 @@
     )
 
 
-def _seen(pools):
-    """Return what a choice would see, in an order of its own."""
-    return {key: _seen_pool(pools.find(key)) for key in _KEYS}
+def _members_and_weights(pools):
+    """Return the members and weights of all pools, ignoring their order."""
+    return {key: _group_members(pools.find(key)) for key in _KEYS}
 
 
-def _seen_pool(pool):
-    groups = (pool.everyone, pool.near) if pool else ()
+def _group_members(pool):
+    groups = (pool.everyone, pool.local) if pool else ()
     return [
         {
             (state.name, repr(state.target.row), weight)
@@ -52,30 +52,30 @@
     ]
 
 
-class FollowingTest(unittest.TestCase):
-    """Rows that come, change and go one by one."""
+class RegistryChangesTest(unittest.TestCase):
+    """Rows that are added, changed and removed one by one."""
 
     @parameterized.expand(((1,), (2,), (3,)))
-    def test_pools_are_what_they_would_be_if_made_anew(self, seed):
-        """An edit leaves no pool behind.
+    def test_updated_pools_equal_rebuilt_pools(self, seed):
+        """Incremental updates lead to the same pools as a fresh build.
 
-        Symptom: a target out of rotation still gets requests of one model,
-        or one that came back gets none.
-        Sequence: rows come, change and go in any order, pools in use.
-        Cause: a change of a row was followed in some of its pools only.
+        Rows are added, changed and removed in any order while pools are in
+        use. If a change reached only some of a target's pools, a target out of
+        rotation would still get requests for one model, or a returned one
+        none.
         """
         rng = random.Random(seed)
         targets = Targets()
         pools = Pools(_CFG, targets, 'zone-a')
         for _ in range(300):
             name = f'target-{rng.randrange(6)}'
-            gone = rng.randrange(5) == 0
-            targets.put({name: None if gone else _row(rng, name)})
-            anew = Targets()
-            anew.update(one.row for one in targets.by_name.values())
+            removed = rng.randrange(5) == 0
+            targets.put({name: None if removed else _row(rng, name)})
+            rebuilt = Targets()
+            rebuilt.update(one.row for one in targets.by_name.values())
             self.assertEqual(
-                _seen(pools),
-                _seen(Pools(_CFG, anew, 'zone-a')),
+                _members_and_weights(pools),
+                _members_and_weights(Pools(_CFG, rebuilt, 'zone-a')),
             )
             for state in pools.states.values():
                 self.assertIs(state.target, targets.by_name[state.name])
@@ -88,37 +88,39 @@
             ('models', {'models': ('model-b',)}, False),
         )
     )
-    def test_only_pools_that_change_are_made_anew(self, _name, change, stays):
+    def test_only_affected_pools_are_rebuilt(
+        self, _name, changed_fields, is_kept
+    ):
         rows = make_rows(3)
         node = Node(rows)
         find = node.picker.pools.find
         pool = find((ENGINE, MODEL))
-        held = node.state(rows[0].name)
-        held.take(node.clock.now())
-        edited = attrs.evolve(rows[0], **change)
+        state = node.state(rows[0].name)
+        state.take_slot(node.clock.now())
+        edited = attrs.evolve(rows[0], **changed_fields)
         node.targets.put({edited.name: edited})
-        self.assertIs(find((ENGINE, MODEL)) is pool, stays)
-        self.assertIs(node.picker.pools.states[edited.name], held)
+        self.assertIs(find((ENGINE, MODEL)) is pool, is_kept)
+        self.assertIs(node.picker.pools.states[edited.name], state)
 
-    def test_other_zones_cost_nothing_until_a_request_goes_there(self):
+    def test_other_zones_take_no_state_until_a_request_goes_there(self):
         node = Node([*make_rows(2), *make_rows(50, zone='zone-b')])
         node.picker.pick(node.ask(), node.picker.pools.find((ENGINE, MODEL)))
         self.assertEqual(len(node.picker.pools.states), 2)
 
 
-class PastTest(unittest.TestCase):
-    """The memory of own requests is short, and long enough for a report."""
+class HeldHistoryTest(unittest.TestCase):
+    """The history of own requests is bounded and covers late reports."""
 
-    def test_late_report_is_read_as_of_its_own_time(self):
+    def test_late_report_is_applied_as_of_its_own_time(self):
         targets = Targets()
         targets.update(make_rows(1))
         target = targets.by_name['zone-a-engine-0']
         state = TargetState(target, Breaker(5))
         for second in range(1000):
-            state.take(second)
-            state.free(second + 0.5)
-        self.assertLess(len(state._past), 100)
-        state.take(1000)
+            state.take_slot(second)
+            state.release_slot(second + 0.5)
+        self.assertLess(len(state._held_history), 100)
+        state.take_slot(1000)
         target.report = LoadReport(running=1, taken_at=990.2)
         self.assertEqual(state.load(1001), 1)
         target.report = LoadReport(running=1, taken_at=990.7)
--- a/tests/test_routing_quarantine.py
+++ b/tests/test_routing_quarantine.py
@@ -147,7 +147,7 @@
         for name in suspects:
             alone = await node.send(fingerprint=name)
             self.assertEqual(alone.state.held, 1)
-            self.assertEqual(alone.state.alone, name)
+            self.assertEqual(alone.state.reserved_for, name)
             node.end(alone)
             self.assertFalse(quarantine.must_run_alone(name))
         await self.crash(node)
--- a/tests/test_routing_rates.py
+++ b/tests/test_routing_rates.py
@@ -10,7 +10,7 @@
 
 from balsamreach.routing import fleet_rates
 from balsamreach.routing.demands import Demands, Told
-from balsamreach.routing.granted import FROM_HOME, Granted
+from balsamreach.routing.granted import HOME_DEFAULT, GrantedShares
 from balsamreach.routing.limits import TeamLimits
 from balsamreach.routing.rate_groups import (
     INTERVAL,
@@ -298,12 +298,12 @@
         ),
     )
     def test_share_shrinks_with_its_age(self, _name, age, share):
-        granted = Granted(FROM_HOME)
-        granted.ask(2, {_TEAM: 800_000})
+        granted = GrantedShares(HOME_DEFAULT)
+        granted.record_request(2, {_TEAM: 800_000})
         late = RateShares(TO_HOME, 0, 1, 1, (RatePart(_TEAM, 100),))
-        self.assertFalse(granted.take(late, 0))
+        self.assertFalse(granted.apply_answer(late, 0))
         answer = RateShares(TO_HOME, 0, 2, 1, (RatePart(_TEAM, 900_000),))
-        self.assertTrue(granted.take(answer, 0))
+        self.assertTrue(granted.apply_answer(answer, 0))
         found = granted.share(_TEAM, 0.1, age, INTERVAL)
         self.assertAlmostEqual(found, share)
 
--- a/tests/test_routing_retries.py
+++ b/tests/test_routing_retries.py
@@ -1,4 +1,4 @@
-"""Tests of the retry budget, suspensions and adaptive limits."""
+"""Tests of the retry budget, circuit breakers and adaptive limits."""
 
 import random
 import unittest
@@ -14,15 +14,14 @@
 from tests.routing_node import Node, make_rows
 
 
-class BudgetTest(unittest.IsolatedAsyncioTestCase):
-    """Retries never multiply a failure."""
+class RetryBudgetTest(unittest.IsolatedAsyncioTestCase):
+    """The retry budget bounds the load from retries."""
 
-    async def test_attempts_stay_within_the_share_when_all_fails(self):
-        """An outage of all targets is not made worse.
+    async def test_retries_stay_within_budget_when_all_targets_fail(self):
+        """Retries stay within their share of attempts when every target fails.
 
-        Symptom: targets that come back are drowned by retries.
-        Sequence: every attempt fails for a thousand requests.
-        Cause: each request retries as often as it may.
+        Each of a thousand requests fails at every target. Unlimited retries
+        would overload targets that come back.
         """
         node = Node(make_rows(8))
         attempts = 0
@@ -39,9 +38,11 @@
         self.assertLessEqual(attempts, 1000 * 1.1 + 10)
         self.assertGreater(attempts, 1000)
 
-    def test_pauses_grow_and_are_jittered(self):
+    def test_backoff_grows_and_is_jittered(self):
         rng = random.Random(1)
-        pauses = [[backoff(num, rng) for _ in range(200)] for num in (1, 3)]
+        pauses = [
+            [backoff(attempt, rng) for _ in range(200)] for attempt in (1, 3)
+        ]
         self.assertLess(max(pauses[0]), 0.05)
         self.assertGreater(max(pauses[1]), 0.15)
         self.assertLess(min(pauses[1]), 0.01)
@@ -54,10 +55,10 @@
 
 
 class BreakerTest(unittest.IsolatedAsyncioTestCase):
-    """Targets that fail are left alone and probed."""
+    """Failing targets are suspended and probed."""
 
     @parameterized.expand([(Verdict.FAILED, 5), (Verdict.REFUSED, 1)])
-    async def test_failures_suspend(self, verdict, number):
+    async def test_consecutive_failures_suspend_a_target(self, verdict, number):
         node = Node(make_rows(2))
         state = None
         failures = 0
@@ -73,12 +74,11 @@
         names = {(await node.send()).target.name for _ in range(5)}
         self.assertNotIn(state.name, names)
 
-    def test_one_probe_passes_and_decides(self):
-        """A target that comes back is not flooded.
+    def test_only_one_probe_passes(self):
+        """Only one probe passes when the pause of an open breaker ends.
 
-        Symptom: a target fails again as soon as it is back.
-        Sequence: its pause is over and many requests wait.
-        Cause: all of them are sent at once.
+        Many requests wait when a pause is over. If all were sent at once, a
+        target that has just recovered would fail again.
         """
         rng = random.Random(1)
         breaker = Breaker(1)
@@ -93,7 +93,7 @@
         breaker.succeed()
         self.assertTrue(breaker.passes(4))
 
-    async def test_single_runs_probe_no_failing_target(self):
+    async def test_non_idempotent_requests_are_not_used_as_probes(self):
         node = Node(make_rows(2))
         slot = await node.send()
         node.end(slot, Verdict.REFUSED)
@@ -102,13 +102,13 @@
             other = await node.send(idempotent=False, fingerprint=str(number))
             self.assertNotEqual(other.target.name, slot.target.name)
 
-    async def test_suspensions_are_ignored_where_nobody_is_left(self):
-        """One lost connection does not shut a service of one worker.
+    async def test_suspensions_are_ignored_if_all_targets_are_suspended(self):
+        """Suspensions are ignored if every target is suspended.
 
-        Symptom: a service refuses everything though its worker is back.
-        Sequence: its only worker refuses one connection; then only
-        non-idempotent requests come, which may not be probes.
-        Cause: a suspension ends by a probe alone.
+        A service's only worker refuses one connection. Then only
+        non-idempotent requests arrive, which may not be probes, and a
+        suspension ends only by a probe: the service would refuse all requests
+        although its worker is back.
         """
         node = Node(make_rows(1))
         slot = await node.send()
@@ -117,35 +117,34 @@
         self.assertEqual(again.target.name, slot.target.name)
 
 
-class AdaptiveTest(unittest.TestCase):
-    """The limit finds what a target takes."""
+class AdaptiveLimitTest(unittest.TestCase):
+    """The adaptive limit follows a target's capacity."""
 
-    def test_late_reports_of_one_queue_cut_once(self):
-        """The later the reports, the fewer the cuts.
+    def test_late_reports_of_one_queue_decrease_the_limit_once(self):
+        """Late reports of the same queue decrease the limit only once.
 
-        Symptom: with late reports a target stands half idle.
-        Sequence: four reports of the same queue arrive after the cut.
-        Cause: each of them cut the limit again.
+        Four reports of one queue arrive after the limit was decreased for it.
+        If each decreased it again, the target would be half idle.
         """
         limit = AdaptiveLimit()
         for second in range(1, 5):
             report = LoadReport(running=8, queued=8, slots=8, taken_at=second)
-            limit.reported(report, second + 5)
+            limit.apply_report(report, second + 5)
         self.assertEqual(limit.limit, 8)
 
-    def test_slow_single_answers_are_no_queue(self):
-        """Long prompts beside short ones do not shrink the limit.
+    def test_single_slow_answers_do_not_decrease_the_limit(self):
+        """Long prompts among short ones do not decrease the limit.
 
-        Symptom: a target's limit sinks to one under a mixed load.
-        Sequence: half of the requests have prompts ten times as long.
-        Cause: each slow first byte is taken for a queue.
+        Half of the requests have prompts ten times as long. If each slow first
+        byte counted as a queue, the limit would fall to one under a mixed
+        load.
         """
         limit = AdaptiveLimit()
         for number in range(800):
             limit.observe(0.5 if number % 3 else 0.05, 4, number)
         self.assertGreaterEqual(limit.limit, 16)
 
-    def test_standing_queue_shrinks_and_room_grows_the_limit(self):
+    def test_queue_decreases_and_spare_capacity_increases_the_limit(self):
         limit = AdaptiveLimit()
         for number in range(80):
             limit.observe(0.05, 16, number)
