--- a/src/balsamreach/routing/admission.py
+++ b/src/balsamreach/routing/admission.py
@@ -1,4 +1,4 @@
-"""Lets requests in: each gets a target, a place in the queue or a refusal."""
+"""Admission: a request gets a target, a place in a queue or a refusal."""
 
 import asyncio
 from collections import OrderedDict
@@ -11,7 +11,7 @@
 from balsamreach.routing.ask import Ask
 from balsamreach.routing.fair_queue import FairQueue, Waiter
 from balsamreach.routing.faults import RoutingFault
-from balsamreach.routing.pacing import Pacing
+from balsamreach.routing.pacing import HoldTimes
 from balsamreach.routing.picking import Picker
 from balsamreach.routing.pools import Pool, PoolKey
 from balsamreach.routing.probation import Probation
@@ -22,44 +22,52 @@
 _WAITED = 'balsamreach_queue_wait_seconds'
 _REFUSALS = 'balsamreach_admission_refusals_total'
 
-#: Part of the time left that a new request may be expected to wait.
-_QUEUE_PART = 0.5
+#: Part of a new request's remaining time that its expected wait may take.
+_MAX_WAIT_SHARE = 0.5
 
 Outcome = TargetState | RoutingFault
 
 
 @attrs.define(eq=False)
-class Line:
-    """The queue of one pool and how fast it moves.
+class PoolQueue:
+    """The queue of one pool, with estimates of how fast it moves.
 
     Parameters
     ----------
     key : tuple of str
-        The pool.
+        Key of the pool.
+    queue : FairQueue
+        Waiting requests.
+    hold_times : HoldTimes
+        How long requests of the pool hold their slots.
+    grants : dict of Waiter to asyncio.Future
+        Futures that receive the outcome of waiting requests.
     """
 
     key: PoolKey
     queue: FairQueue = attrs.field(factory=FairQueue)
-    pacing: Pacing = attrs.field(factory=Pacing)
+    hold_times: HoldTimes = attrs.field(factory=HoldTimes)
     grants: dict[Waiter, asyncio.Future] = attrs.field(factory=dict)
 
 
 @attrs.define(eq=False)
 class Admission:
-    """Grants slots at targets, in fair turns where there are too few.
+    """Grants slots at targets, through fair queues if there are too few.
 
     Parameters
     ----------
     cfg : RoutingSettings
-        Bounds of the queues.
+        Limits of the queues.
     picker : Picker
-        Finds a target with room.
+        Picks targets with a free slot.
     probation : Probation
         Runs suspects alone.
     clock : Clock
-        Time.
+        Clock of the router.
     metrics : Metrics
-        Counters.
+        Metrics of the router.
+    pool_queues : dict of tuple to PoolQueue
+        Queues by the key of their pool.
     """
 
     cfg: RoutingSettings
@@ -67,10 +75,12 @@
     probation: Probation
     clock: Clock
     metrics: Metrics
-    lines: OrderedDict[PoolKey, Line] = attrs.field(factory=OrderedDict)
+    pool_queues: OrderedDict[PoolKey, PoolQueue] = attrs.field(
+        factory=OrderedDict
+    )
 
     async def enter(self, ask: Ask) -> Outcome:
-        """Return a target with a slot held, at once or in fair turn.
+        """Return a target with a slot taken, after queueing if necessary.
 
         Parameters
         ----------
@@ -80,87 +90,91 @@
         Returns
         -------
         TargetState or RoutingFault
-            A slot that must be given back, or why the request must not
-            run; a refusal comes as soon as it is certain.
+            The target, whose slot must be released, or a refusal, which is
+            returned as soon as it is certain.
         """
         pool = self.picker.pools.find(ask.pool)
         if pool is None:
             return faults.NO_TARGET.because(f'no target serves {ask.pool[1]}')
-        line = self._line(ask.pool)
-        if not line.queue.waiting:
+        pool_queue = self._queue_of(ask.pool)
+        if not pool_queue.queue.waiting:
             state = self.picker.pick(ask, pool)
             if state is not None:
                 return state
-        refusal = self._refuse_early(ask, line, pool)
+        refusal = self._refuse_early(ask, pool_queue, pool)
         if refusal is None:
-            return await self._wait(ask, line)
+            return await self._wait(ask, pool_queue)
         self.metrics.count(_REFUSALS, why=refusal.code)
         return refusal
 
-    def leave(self, state: TargetState, ask: Ask, seconds: float) -> None:
-        """Give a slot back and let those who wait have it.
+    def release(self, state: TargetState, ask: Ask, seconds: float) -> None:
+        """Release a slot and serve the queues that wait for it.
 
         Parameters
         ----------
         state : TargetState
-            Where the slot was held.
+            Target at which the slot was held.
         ask : Ask
-            The request that held it.
+            Request that held the slot.
         seconds : float
-            How long it was held.
+            How long the slot was held.
         """
         now = self.clock.now()
         self.picker.release(state, ask, now)
-        self._line(ask.pool).pacing.left(seconds)
-        self.pump(state)
+        self._queue_of(ask.pool).hold_times.add(seconds)
+        self.serve_queues_of(state)
 
-    def pump(self, state: TargetState) -> None:
+    def serve_queues_of(self, state: TargetState) -> None:
         """Serve the queues of all pools that a target belongs to."""
         self.probation.freed(state)
         for key in self.picker.pools.keys_of(state.target.row):
-            line = self.lines.get(key)
-            if line is not None and line.queue.waiting:
-                self._serve(line)
+            pool_queue = self.pool_queues.get(key)
+            if pool_queue is not None and pool_queue.queue.waiting:
+                self._serve_queue(pool_queue)
 
-    def pump_all(self) -> None:
-        """Serve every queue; for room that no request's end has made."""
-        for line in tuple(self.lines.values()):
-            if line.queue.waiting:
-                self._serve(line)
+    def serve_all_queues(self) -> None:
+        """Serve all queues, for slots freed other than by a request's end."""
+        for pool_queue in tuple(self.pool_queues.values()):
+            if pool_queue.queue.waiting:
+                self._serve_queue(pool_queue)
 
-    def _serve(self, line: Line) -> None:
-        pool = self.picker.pools.find(line.key)
-        waiter = line.queue.peek()
+    def _serve_queue(self, pool_queue: PoolQueue) -> None:
+        pool = self.picker.pools.find(pool_queue.key)
+        waiter = pool_queue.queue.peek()
         while waiter is not None and pool is not None:
-            if self._is_late(waiter, line):
-                waiter = line.queue.peek()
+            if self._refuse_if_late(waiter, pool_queue):
+                waiter = pool_queue.queue.peek()
                 continue
             state = self.picker.pick(waiter.ask, pool)
             if state is None:
-                self._refuse_back_off(line, pool)
+                self._refuse_all_if_backing_off(pool_queue, pool)
                 return
-            line.queue.remove(waiter, served=True)
-            line.grants[waiter].set_result(state)
-            waiter = line.queue.peek()
+            pool_queue.queue.remove(waiter, served=True)
+            pool_queue.grants[waiter].set_result(state)
+            waiter = pool_queue.queue.peek()
 
-    def _refuse_back_off(self, line: Line, pool: Pool) -> None:
-        """Refuse all that wait where no target takes requests."""
+    def _refuse_all_if_backing_off(
+        self, pool_queue: PoolQueue, pool: Pool
+    ) -> None:
+        """Refuse all waiting requests if every target backs off."""
         refusal = pool.check_back_off(self.clock.now())
-        waiter = line.queue.peek() if refusal is not None else None
+        waiter = pool_queue.queue.peek() if refusal is not None else None
         while waiter is not None:
-            line.queue.remove(waiter)
-            line.grants[waiter].set_result(refusal)
-            waiter = line.queue.peek()
+            pool_queue.queue.remove(waiter)
+            pool_queue.grants[waiter].set_result(refusal)
+            waiter = pool_queue.queue.peek()
 
-    def _is_late(self, waiter: Waiter, line: Line) -> bool:
-        """Refuse a request that would not end in time if it began now."""
-        left = waiter.ask.deadline - self.clock.now()
-        if left >= line.pacing.seconds:
+    def _refuse_if_late(self, waiter: Waiter, pool_queue: PoolQueue) -> bool:
+        """Refuse a request that could not end in time if it started now."""
+        time_left = waiter.ask.deadline - self.clock.now()
+        if time_left >= pool_queue.hold_times.mean:
             return False
-        line.queue.remove(waiter)
-        line.grants[waiter].set_result(
+        pool_queue.queue.remove(waiter)
+        pool_queue.grants[waiter].set_result(
             faults.DEADLINE_UNMEETABLE.after(
-                max(1, self._wait_for(line, line.queue.waiting)),
+                max(
+                    1, self._estimate_wait(pool_queue, pool_queue.queue.waiting)
+                ),
                 'too little time is left to answer the request',
             ),
         )
@@ -169,58 +183,65 @@
     def _refuse_early(
         self,
         ask: Ask,
-        line: Line,
+        pool_queue: PoolQueue,
         pool: Pool,
     ) -> RoutingFault | None:
         now = self.clock.now()
-        wait = self._wait_for(line, line.queue.ahead(ask))
-        left = ask.deadline - now - line.pacing.needed()
-        # The estimate strays, and a request that is refused after a long
-        # wait is worse off than one refused at once; so the queue is kept
-        # well within what would just do.
-        if wait > _QUEUE_PART * min(left, self.cfg.deadline):
+        wait = self._estimate_wait(
+            pool_queue, pool_queue.queue.estimate_ahead(ask)
+        )
+        time_left = ask.deadline - now - pool_queue.hold_times.likely_max()
+        # The estimate is inexact, and a refusal after a long wait is worse
+        # than an immediate one, so only part of the remaining time may be
+        # spent waiting.
+        if wait > _MAX_WAIT_SHARE * min(time_left, self.cfg.deadline):
             return faults.DEADLINE_UNMEETABLE.after(
-                self._wait_for(line, line.queue.waiting),
+                self._estimate_wait(pool_queue, pool_queue.queue.waiting),
                 'the queue is too long for the deadline',
             )
-        most = self.cfg.queue_limit * len(pool)
-        if line.queue.waiting < most:
+        max_waiting = self.cfg.queue_limit * len(pool)
+        if pool_queue.queue.waiting < max_waiting:
             return None
-        return self._make_room(ask, line)
+        return self._evict_waiter(ask, pool_queue)
 
-    def _make_room(self, ask: Ask, line: Line) -> RoutingFault | None:
-        """Refuse the newest request of the team that waits the most."""
-        wait = self._wait_for(line, line.queue.waiting)
-        fault = faults.QUEUE_FULL.after(max(wait, 1), 'the queue is full')
-        victim = line.queue.longest()
-        own = line.queue.backlog(ask.team) / ask.weight
-        # A team that floods would otherwise keep the queue full, and every
-        # other team would be refused in its place. One would notice by
-        # queue_full refusals of teams with next to nothing waiting.
+    def _evict_waiter(
+        self, ask: Ask, pool_queue: PoolQueue
+    ) -> RoutingFault | None:
+        """Evict the newest request of the team with the longest backlog."""
+        wait = self._estimate_wait(pool_queue, pool_queue.queue.waiting)
+        refusal = faults.QUEUE_FULL.after(max(wait, 1), 'the queue is full')
+        victim = pool_queue.queue.newest_of_longest()
+        own_backlog = pool_queue.queue.backlog(ask.team) / ask.weight
+        # Otherwise one team could keep the queue full, and all other teams
+        # would get queue_full refusals with almost nothing waiting.
         if victim is None or victim.ask.team == ask.team:
-            return fault
-        theirs = line.queue.backlog(victim.ask.team) / victim.ask.weight
-        if theirs <= own + 1 / ask.weight:
-            return fault
-        line.queue.remove(victim)
-        line.grants[victim].set_result(fault)
+            return refusal
+        victim_backlog = (
+            pool_queue.queue.backlog(victim.ask.team) / victim.ask.weight
+        )
+        if victim_backlog <= own_backlog + 1 / ask.weight:
+            return refusal
+        pool_queue.queue.remove(victim)
+        pool_queue.grants[victim].set_result(refusal)
         return None
 
-    async def _wait(self, ask: Ask, line: Line) -> Outcome:
-        began = self.clock.now()
-        left = min(self.cfg.deadline, ask.deadline - began)
+    async def _wait(self, ask: Ask, pool_queue: PoolQueue) -> Outcome:
+        started_at = self.clock.now()
+        time_left = min(self.cfg.deadline, ask.deadline - started_at)
         waiter = Waiter(ask)
         grant = asyncio.get_running_loop().create_future()
-        line.grants[waiter] = grant
-        line.queue.push(waiter)
-        self.metrics.gauge(_WAITING, line.queue.waiting, pool=line.key[1])
+        pool_queue.grants[waiter] = grant
+        pool_queue.queue.push(waiter)
+        self.metrics.gauge(
+            _WAITING, pool_queue.queue.waiting, pool=pool_queue.key[1]
+        )
         try:
-            outcome = await self._await_grant(grant, left, line)
+            outcome = await self._await_grant(grant, time_left, pool_queue)
         finally:
-            line.queue.remove(waiter)
-            line.grants.pop(waiter)
-        waited = self.clock.now() - began
-        self.metrics.observe(_WAITED, waited, pool=line.key[1])
+            pool_queue.queue.remove(waiter)
+            pool_queue.grants.pop(waiter)
+        wait_time = self.clock.now() - started_at
+        self.metrics.observe(_WAITED, wait_time, pool=pool_queue.key[1])
         if isinstance(outcome, RoutingFault):
             self.metrics.count(_REFUSALS, why=outcome.code)
         return outcome
@@ -228,34 +249,34 @@
     async def _await_grant(
         self,
         grant: asyncio.Future,
-        left: float,
-        line: Line,
+        time_left: float,
+        pool_queue: PoolQueue,
     ) -> Outcome:
         try:
-            await asyncio.wait((grant,), timeout=left)
+            await asyncio.wait((grant,), timeout=time_left)
         except asyncio.CancelledError:
-            # A caller can go away in the moment between the grant and this
-            # task running. The slot would be held for ever and the target
-            # would seem ever fuller, until it got nothing more.
+            # A caller can be cancelled between the grant and the next run of
+            # this task. If the slot were not released, it would stay taken,
+            # and the target would look ever fuller until it got no requests.
             if grant.done() and isinstance(grant.result(), TargetState):
                 self.picker.release(grant.result(), None, self.clock.now())
-                self.pump(grant.result())
+                self.serve_queues_of(grant.result())
             raise
         if grant.done():
             return grant.result()
-        wait = self._wait_for(line, line.queue.waiting)
+        wait = self._estimate_wait(pool_queue, pool_queue.queue.waiting)
         return faults.DEADLINE_UNMEETABLE.after(
             max(wait, 1),
             'no target had room in time',
         )
 
-    def _wait_for(self, line: Line, ahead: int) -> float:
-        held = self.picker.pools.held(line.key)
-        return line.pacing.wait(ahead, held)
+    def _estimate_wait(self, pool_queue: PoolQueue, ahead: int) -> float:
+        held = self.picker.pools.held(pool_queue.key)
+        return pool_queue.hold_times.estimate_wait(ahead, held)
 
-    def _line(self, key: PoolKey) -> Line:
-        line = self.lines.get(key)
-        if line is None:
-            line = Line(key)
-            self.lines[key] = line
-        return line
+    def _queue_of(self, key: PoolKey) -> PoolQueue:
+        pool_queue = self.pool_queues.get(key)
+        if pool_queue is None:
+            pool_queue = PoolQueue(key)
+            self.pool_queues[key] = pool_queue
+        return pool_queue
--- a/src/balsamreach/routing/demands.py
+++ b/src/balsamreach/routing/demands.py
@@ -1,38 +1,38 @@
-"""Demand for teams' rates as it was told, and the shares it earns."""
+"""Reported demand for teams' rate limits, and the shares it gets."""
 
 from collections import OrderedDict
 
 import attrs
 
-#: Parts of a limit are told in millionths.
+#: Parts of a limit are sent in millionths.
 MILLION = 1_000_000
-#: Part of a budget that is left, evenly, to those without demand.
+#: Part of a budget kept for those without demand, split evenly.
 RESERVE = 0.05
 
 
 @attrs.define
-class Told:
-    """The newest word of one holder.
+class DemandReport:
+    """The newest demand report of one reporter.
 
     Parameters
     ----------
     incarnation : str
-        Who sent it.
+        Incarnation of the router that sent it.
     window : int
-        Its number; the sender's next word has a higher one.
-    expires : float
-        Monotonic seconds after which it counts no more.
+        Sequence number; the sender's next report has a higher one.
+    expires_at : float
+        Monotonic seconds after which the report is ignored.
     routers : int
-        Routers it speaks for.
+        Number of routers that the report covers.
     parts : dict of int to int
-        Wanted part of each team's limit, in millionths.
+        Demand by team, in millionths of the team's limit.
     urgent : bool
-        Whether the holder refuses requests meanwhile.
+        Whether requests are refused until an answer arrives.
     """
 
     incarnation: str
     window: int
-    expires: float
+    expires_at: float
     routers: int
     parts: dict[int, int]
     urgent: bool = False
@@ -40,98 +40,105 @@
 
 @attrs.define
 class Demands:
-    """Words of several holders, such as the routers of a zone.
+    """The newest demand reports of several reporters.
 
-    Sums are kept up with each word, so that an answer needs one look-up
-    for each team, whatever the number of holders.
+    A reporter is a router of a zone, or a whole zone. Totals are updated with
+    each report, so an answer takes one look-up per team, whatever the number
+    of reporters.
 
     Parameters
     ----------
-    began_at : float
-        Monotonic seconds of the first word.
+    first_report_at : float
+        Monotonic seconds of the first report.
     routers : int
-        Routers that the words which count now speak for.
+        Number of routers that the current reports cover.
     """
 
-    began_at: float
+    first_report_at: float
     routers: int = 0
-    _told: OrderedDict[str, Told] = attrs.field(factory=OrderedDict)
-    _sums: dict[int, int] = attrs.field(factory=dict)
-
-    def put(self, holder: str, told: Told) -> bool:
-        """Take a word; False if the same sender's newer one is known."""
-        known = self._told.get(holder)
-        same = known is not None and known.incarnation == told.incarnation
-        if known is not None and same and known.window >= told.window:
+    _reports: OrderedDict[str, DemandReport] = attrs.field(factory=OrderedDict)
+    _totals: dict[int, int] = attrs.field(factory=dict)
+
+    def put(self, reporter: str, report: DemandReport) -> bool:
+        """Add a report; False if a newer one of the same sender is known."""
+        previous = self._reports.get(reporter)
+        same = (
+            previous is not None and previous.incarnation == report.incarnation
+        )
+        if previous is not None and same and previous.window >= report.window:
             return False
-        self._drop(holder)
-        self._told[holder] = told
-        self._add(told, 1)
+        self._remove(reporter)
+        self._reports[reporter] = report
+        self._add(report, 1)
         return True
 
-    def find(self, holder: str) -> Told | None:
-        """Return a holder's newest word."""
-        return self._told.get(holder)
+    def find(self, reporter: str) -> DemandReport | None:
+        """Return a reporter's newest report."""
+        return self._reports.get(reporter)
 
-    def urgent(self) -> tuple[str, ...]:
-        """Return the holders that wait for more; they count as served."""
-        holders = [name for name, told in self._told.items() if told.urgent]
-        for name in holders:
-            self._told[name].urgent = False
-        return tuple(holders)
+    def take_urgent(self) -> tuple[str, ...]:
+        """Return the reporters of urgent reports and mark these as answered."""
+        reporters = [
+            name for name, report in self._reports.items() if report.urgent
+        ]
+        for name in reporters:
+            self._reports[name].urgent = False
+        return tuple(reporters)
 
     def expire(self, now: float) -> None:
-        """Let go of holders that have been silent for too long."""
-        silent = [
-            holder for holder, told in self._told.items() if told.expires < now
+        """Remove reports that have expired."""
+        expired = [
+            reporter
+            for reporter, report in self._reports.items()
+            if report.expires_at < now
         ]
-        for holder in silent:
-            self._drop(holder)
+        for reporter in expired:
+            self._remove(reporter)
 
-    def sums(self) -> dict[int, int]:
-        """Return the wanted part of each team's limit, in millionths."""
-        return dict(self._sums)
+    def demand_by_team(self) -> dict[int, int]:
+        """Return the total demand by team, in millionths of its limit."""
+        return dict(self._totals)
 
-    def total(self, team: int) -> float:
-        """Return the part of its limit that a team wants in all."""
-        return self._sums.get(team, 0) / MILLION
+    def total_demand(self, team: int) -> float:
+        """Return a team's total demand as a part of its limit."""
+        return self._totals.get(team, 0) / MILLION
 
-    def share(self, told: Told, team: int, budget: float) -> float:
-        """Return the share of a team's limit for one holder.
+    def share(self, report: DemandReport, team: int, budget: float) -> float:
+        """Return one reporter's share of a team's limit.
 
-        Each gets what it wants while the budget lasts, and else in
-        proportion. Half of the rest goes by what is wanted, so that it can
-        grow, and half to all evenly. The shares of all holders sum up to
-        the budget.
+        Each reporter gets its demand if the budget suffices, otherwise a
+        proportional part. Half of the rest is split by demand, so that it can
+        grow, and half evenly. The shares of all reporters add up to the
+        budget.
 
         Parameters
         ----------
-        told : Told
-            The holder's word, one of those that count.
+        report : DemandReport
+            The reporter's report, one of those kept here.
         team : int
-            The team.
+            Hash of the team's name.
         budget : float
-            Part of the limit that all holders have together.
+            Part of the limit to split among all reporters.
         """
-        wanted = told.parts.get(team, 0) / MILLION
-        total = self.total(team)
-        kept = (1 - RESERVE) * budget
-        fitting = min(1, kept / total) if total else 1
-        rest = max(budget - total, RESERVE * budget)
-        even = told.routers / self.routers
-        grown = wanted / total if total else even
-        return wanted * fitting + rest * (grown + even) / 2
-
-    def _drop(self, holder: str) -> None:
-        known = self._told.pop(holder, None)
-        if known is not None:
-            self._add(known, -1)
-
-    def _add(self, told: Told, sign: int) -> None:
-        self.routers += sign * told.routers
-        for team, part in told.parts.items():
-            total = self._sums.get(team, 0) + sign * part
-            if total > 0:
-                self._sums[team] = total
+        wanted = report.parts.get(team, 0) / MILLION
+        total_demand = self.total_demand(team)
+        available = (1 - RESERVE) * budget
+        granted_part = min(1, available / total_demand) if total_demand else 1
+        unclaimed = max(budget - total_demand, RESERVE * budget)
+        even = report.routers / self.routers
+        proportional = wanted / total_demand if total_demand else even
+        return wanted * granted_part + unclaimed * (proportional + even) / 2
+
+    def _remove(self, reporter: str) -> None:
+        previous = self._reports.pop(reporter, None)
+        if previous is not None:
+            self._add(previous, -1)
+
+    def _add(self, report: DemandReport, sign: int) -> None:
+        self.routers += sign * report.routers
+        for team, part in report.parts.items():
+            total_demand = self._totals.get(team, 0) + sign * part
+            if total_demand > 0:
+                self._totals[team] = total_demand
             else:
-                self._sums.pop(team, None)
+                self._totals.pop(team, None)
--- a/src/balsamreach/routing/fair_queue.py
+++ b/src/balsamreach/routing/fair_queue.py
@@ -1,4 +1,4 @@
-"""Waiting requests in an order that is fair to teams by their weights."""
+"""A queue of requests that is fair to teams by their weights."""
 
 import heapq
 import itertools
@@ -16,98 +16,108 @@
     Parameters
     ----------
     ask : Ask
-        What it asks for.
-    tag : float
+        The request.
+    start_tag : float
         Virtual time at which its turn starts.
-    gone : bool
-        Whether it was granted, refused or gave up.
+    removed : bool
+        Whether it was granted, refused or cancelled.
     """
 
     ask: Ask
-    tag: float = 0
-    gone: bool = False
+    start_tag: float = 0
+    removed: bool = False
 
 
 @attrs.define(eq=False)
 class FairQueue:
     """Start-time fair queueing over teams.
 
-    A team's requests are spaced by their cost over the team's weight; the
-    earliest start is served next. A team that was idle starts at the
-    present virtual time, so it neither saves up turns nor waits behind
-    the backlog of another.
+    A team's requests are spaced by their cost divided by the team's weight;
+    the earliest start tag is served next. A team that was idle starts at the
+    current virtual time, so it has no saved turns and doesn't wait behind the
+    backlog of another team.
+
+    Parameters
+    ----------
+    waiting : int
+        Number of waiting requests.
     """
 
     waiting: int = 0
-    _virtual: float = 0
+    _virtual_time: float = 0
     _heap: list[tuple[float, int, Waiter]] = attrs.field(factory=list)
-    _finish: dict[str, float] = attrs.field(factory=dict)
-    _teams: dict[str, deque[Waiter]] = attrs.field(factory=dict)
-    _numbers: itertools.count = attrs.field(factory=itertools.count)
+    _finish_tags: dict[str, float] = attrs.field(factory=dict)
+    _by_team: dict[str, deque[Waiter]] = attrs.field(factory=dict)
+    _sequence: itertools.count = attrs.field(factory=itertools.count)
 
     def push(self, waiter: Waiter) -> None:
         """Add a request."""
         ask = waiter.ask
-        waiter.tag = max(self._virtual, self._finish.get(ask.team, 0))
-        self._finish[ask.team] = waiter.tag + ask.cost / ask.weight
-        heapq.heappush(self._heap, (waiter.tag, next(self._numbers), waiter))
-        self._teams.setdefault(ask.team, deque()).append(waiter)
+        waiter.start_tag = max(
+            self._virtual_time, self._finish_tags.get(ask.team, 0)
+        )
+        self._finish_tags[ask.team] = waiter.start_tag + ask.cost / ask.weight
+        heapq.heappush(
+            self._heap, (waiter.start_tag, next(self._sequence), waiter)
+        )
+        self._by_team.setdefault(ask.team, deque()).append(waiter)
         self.waiting += 1
 
     def peek(self) -> Waiter | None:
-        """Return the request whose turn it is, None if nobody waits."""
-        while self._heap and self._heap[0][2].gone:
+        """Return the request to serve next, None if the queue is empty."""
+        while self._heap and self._heap[0][2].removed:
             heapq.heappop(self._heap)
         return self._heap[0][2] if self._heap else None
 
     def remove(self, waiter: Waiter, *, served: bool = False) -> None:
-        """Take a request out, whether served or given up."""
-        if waiter.gone:
+        """Remove a request; ``served`` advances the virtual time."""
+        if waiter.removed:
             return
-        waiter.gone = True
+        waiter.removed = True
         self.waiting -= 1
         if served:
-            self._virtual = max(self._virtual, waiter.tag)
-        self._trim(waiter.ask.team)
+            self._virtual_time = max(self._virtual_time, waiter.start_tag)
+        self._trim_team(waiter.ask.team)
         if not self.waiting:
-            # Nobody waits, so no team is ahead of another. Forgetting the
-            # tags here bounds the memory by the teams of one busy spell.
+            # With an empty queue no team is ahead of another. Clearing the
+            # tags here bounds the memory by the teams of one busy period.
             self._heap.clear()
-            self._finish.clear()
-            self._virtual = 0
+            self._finish_tags.clear()
+            self._virtual_time = 0
 
     def backlog(self, team: str) -> int:
-        """Return how many requests of a team wait."""
-        queue = self._teams.get(team, ())
-        return sum(not waiter.gone for waiter in queue)
-
-    def ahead(self, ask: Ask) -> int:
-        """Return about how many requests go before a new one."""
-        own = self.backlog(ask.team)
-        teams = len(self._teams)
-        if ask.team in self._teams:
+        """Return the number of a team's waiting requests."""
+        queue = self._by_team.get(team, ())
+        return sum(not waiter.removed for waiter in queue)
+
+    def estimate_ahead(self, ask: Ask) -> int:
+        """Return an estimate of the requests served before a new one."""
+        own_backlog = self.backlog(ask.team)
+        teams = len(self._by_team)
+        if ask.team in self._by_team:
             teams -= 1
-        others = self.waiting - own
-        # Each turn of this team lets every other waiting team have turns in
-        # proportion to its weight; equal weights are near enough here.
-        return own + min(others, (own + 1) * teams)
-
-    def longest(self) -> Waiter | None:
-        """Return the newest request of the team with most per weight."""
-        best: deque[Waiter] | None = None
-        most = -1.0
-        for queue in self._teams.values():
+        others = self.waiting - own_backlog
+        # Per turn of this team, each other waiting team has turns in
+        # proportion to its weight; assuming equal weights is accurate enough
+        # here.
+        return own_backlog + min(others, (own_backlog + 1) * teams)
+
+    def newest_of_longest(self) -> Waiter | None:
+        """Return the newest request of the team with the most per weight."""
+        longest: deque[Waiter] | None = None
+        max_length = -1.0
+        for queue in self._by_team.values():
             last = queue[-1].ask
             length = len(queue) / last.weight
-            if length > most:
-                best, most = queue, length
-        return best[-1] if best else None
+            if length > max_length:
+                longest, max_length = queue, length
+        return longest[-1] if longest else None
 
-    def _trim(self, team: str) -> None:
-        queue = self._teams[team]
-        while queue and queue[0].gone:
+    def _trim_team(self, team: str) -> None:
+        queue = self._by_team[team]
+        while queue and queue[0].removed:
             queue.popleft()
-        while queue and queue[-1].gone:
+        while queue and queue[-1].removed:
             queue.pop()
         if not queue:
-            self._teams.pop(team)
+            self._by_team.pop(team)
--- a/src/balsamreach/routing/fleet_rates.py
+++ b/src/balsamreach/routing/fleet_rates.py
@@ -1,4 +1,4 @@
-"""Shares of teams' rate limits over all routers, in whatever fleet."""
+"""A router's shares of teams' rate limits, in fleets of any size."""
 
 from collections.abc import Callable, Collection
 
@@ -6,91 +6,95 @@
 
 from balsamreach.clock import Clock
 from balsamreach.peers.base import PeerNet
-from balsamreach.routing.rate_groups import TO_ALL
+from balsamreach.routing.rate_groups import LEVEL_ALL
 from balsamreach.routing.rate_homes import RateHomes
-from balsamreach.routing.rate_post import RatePost
-from balsamreach.routing.rates_to_all import RatesToAll
+from balsamreach.routing.rate_messenger import RateMessenger
+from balsamreach.routing.rates_to_all import BroadcastRates
 from balsamreach.telemetry.metrics import Metrics
 from balsamreach.wire.base import Message
 from balsamreach.wire.membership import Member
 from balsamreach.wire.rates import RateDemands, RateShares
 
-#: Routers that a small fleet has at most; up to here each is linked to all.
-SMALL = 17
+#: Largest fleet in which reports go to all routers; up to this size each
+#: router has links to all others.
+MAX_BROADCAST_ROUTERS = 17
 
-#: Returns the part of its limits that each team of some groups wants here.
-Parts = Callable[[float, Collection[int]], dict[int, int]]
+#: Returns the demand of the teams of some groups at this router, in millionths
+#: of their limits.
+DemandSource = Callable[[float, Collection[int]], dict[int, int]]
 
 
 @attrs.define(eq=False)
 class FleetRates:
-    """The shares of one router, by the way that suits the fleet's size.
+    """One router's shares, by the method that suits the fleet's size.
 
-    Words of either way are taken at any time: while the fleet grows or
-    shrinks past the size, routers may differ about the way.
+    Messages of both methods are always accepted: while the fleet grows or
+    shrinks past the limit, routers may use different methods.
 
     Parameters
     ----------
-    post : RatePost
-        Counts routers and sends words.
+    messenger : RateMessenger
+        Sends messages and counts the routers.
     """
 
-    post: RatePost
-    _to_all: RatesToAll = attrs.field(init=False)
+    messenger: RateMessenger
+    _broadcast: BroadcastRates = attrs.field(init=False)
     _homes: RateHomes = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Take other routers' words from now on."""
-        self._to_all = RatesToAll(self.post)
-        self._homes = RateHomes(self.post)
-        self.post.net.on(RateDemands, self._take_demands)
-        self.post.net.on(RateShares, self._take_shares)
-        self.post.count()
+        """Register the handlers of rate messages."""
+        self._broadcast = BroadcastRates(self.messenger)
+        self._homes = RateHomes(self.messenger)
+        self.messenger.net.on(RateDemands, self._on_demands)
+        self.messenger.net.on(RateShares, self._on_shares)
+        self.messenger.count_routers()
 
     @property
-    def small(self) -> bool:
-        """Whether each router tells all others."""
-        return self.post.counted <= SMALL
+    def uses_broadcast(self) -> bool:
+        """Whether the fleet is small enough for reports to all routers."""
+        return self.messenger.router_count <= MAX_BROADCAST_ROUTERS
 
     @property
     def even(self) -> float:
-        """Share of each router if all have the same."""
-        return 1 / self.post.counted
+        """Share of each router if all get the same."""
+        return 1 / self.messenger.router_count
 
     def share(self, team: int) -> float:
         """Return this router's share of a team's limits."""
-        way = self._to_all if self.small else self._homes
-        return way.share(team)
+        method = self._broadcast if self.uses_broadcast else self._homes
+        return method.share(team)
 
-    def hurry(self, team: int, part: int) -> bool:
-        """Have demand told soon if it has grown.
+    def request_early_report(self, team: int, part: int) -> bool:
+        """Schedule an early report if a team's demand has increased.
 
         Returns
         -------
         bool
-            Whether a larger share may come within a second or two.
+            Whether a larger share may be granted within a second or two.
         """
-        return not self.small and self._homes.hurry(team, part)
-
-    def tick(self, parts: Parts) -> None:
-        """Tell what is due; called several times a second."""
-        now = self.post.clock.now()
-        self.post.count()
-        way = self._to_all if self.small else self._homes
-        groups = way.due(now)
+        return not self.uses_broadcast and self._homes.request_early_report(
+            team, part
+        )
+
+    def tick(self, demand_of_groups: DemandSource) -> None:
+        """Send reports that are due; called several times a second."""
+        now = self.messenger.clock.now()
+        self.messenger.count_routers()
+        method = self._broadcast if self.uses_broadcast else self._homes
+        groups = method.groups_due(now)
         if groups:
-            way.tell(parts(now, groups), now)
-        self._homes.see_to_zone(now)
+            method.send_reports(demand_of_groups(now, groups), now)
+        self._homes.run_home_tasks(now)
 
-    async def _take_demands(self, sender: Member, message: Message) -> None:
+    async def _on_demands(self, sender: Member, message: Message) -> None:
         assert isinstance(message, RateDemands)
-        if message.level == TO_ALL:
-            self._to_all.take(sender, message)
+        if message.level == LEVEL_ALL:
+            self._broadcast.handle_demands(sender, message)
         else:
-            self._homes.take_demands(sender, message)
+            self._homes.handle_demands(sender, message)
 
-    async def _take_shares(self, sender: Member, message: Message) -> None:
-        self._homes.take_shares(sender, message)
+    async def _on_shares(self, sender: Member, message: Message) -> None:
+        self._homes.handle_shares(sender, message)
 
 
 def make_fleet_rates(
@@ -98,5 +102,5 @@
     net: PeerNet,
     metrics: Metrics,
 ) -> FleetRates:
-    """Return the shares of a router among others."""
-    return FleetRates(RatePost(clock, net, metrics))
+    """Return the rate shares of one router of a fleet."""
+    return FleetRates(RateMessenger(clock, net, metrics))
--- a/src/balsamreach/routing/limits.py
+++ b/src/balsamreach/routing/limits.py
@@ -1,4 +1,4 @@
-"""Limits per team: requests in progress, requests and tokens a minute."""
+"""Limits per team: concurrency, requests and tokens per minute."""
 
 from collections import OrderedDict
 from collections.abc import Collection
@@ -11,30 +11,32 @@
 from balsamreach.routing.faults import RoutingFault
 from balsamreach.routing.fleet_rates import FleetRates, make_fleet_rates
 from balsamreach.routing.rate_groups import group_of, number_of
-from balsamreach.routing.rates import IDLE, TeamRates, begin
+from balsamreach.routing.rates import IDLE_AFTER, TeamRates, make_team_rates
 from balsamreach.table.rows import TeamRow
 from balsamreach.telemetry.metrics import Metrics
 
-_MOST_TEAMS = 40_000
-#: Longest time a team is told to wait while a larger share may come.
-_SOON = 2.0
+_MAX_TEAMS = 40_000
+#: Largest retry time in seconds while a larger share may be granted soon.
+_EARLY_RETRY = 2.0
 
 
 @attrs.define
 class TeamLimits:
-    """Holds teams to the limits of their rows.
+    """Enforces the limits in teams' rows.
 
-    Concurrency holds for this router alone. Rates hold over the fleet:
-    each router keeps to its share of them.
+    The concurrency limit applies per router. Rates apply to the whole fleet:
+    each router enforces its share of them.
 
     Parameters
     ----------
     clock : Clock
-        Time of the rates.
+        Clock of the router.
     net : PeerNet or None
-        Other routers; None for a router on its own.
+        Connections to other routers; None for a single router.
     metrics : Metrics
-        Counters of what routers tell each other.
+        Metrics of the router.
+    running : dict of str to int
+        Requests in progress by team.
     """
 
     clock: Clock
@@ -53,27 +55,27 @@
             )
 
     def enter(self, team: TeamRow, tokens: int) -> RoutingFault | None:
-        """Count a request in, or return why the team must wait.
+        """Count a request in, or return the refusal if a limit is exceeded.
 
         Parameters
         ----------
         team : TeamRow
             The team.
         tokens : int
-            Worst case of the request's tokens.
+            Largest number of tokens that the request may use.
         """
         running = self.running.get(team.name, 0)
         if team.concurrency and running >= team.concurrency:
             return faults.TEAM_CONCURRENCY.because(
                 f'{running} requests of the team are in progress here',
             )
-        refusal = self._rate(team, tokens)
+        refusal = self._check_rate(team, tokens)
         if refusal is None:
             self.running[team.name] = running + 1
         return refusal
 
     def leave(self, team: TeamRow, reserved: int, used: int) -> None:
-        """Count a request out and give back the tokens it did not use."""
+        """Count a request out and return the tokens it did not use."""
         running = self.running.get(team.name, 0) - 1
         if running > 0:
             self.running[team.name] = running
@@ -82,26 +84,26 @@
         rates = self._rates.get(team.name)
         if rates is not None:
             rates.tokens.give_back(reserved - used)
-            rates.wanted_tokens.take_back(reserved - used, self.clock.now())
+            rates.token_demand.take_back(reserved - used, self.clock.now())
 
     def tick(self) -> None:
-        """Tell other routers what is due; called several times a second."""
+        """Send reports that are due; called several times a second."""
         if self._fleet is not None:
-            self._fleet.tick(self._parts)
+            self._fleet.tick(self._demand_of_groups)
 
     def share(self, team: str) -> float:
-        """Return this router's part of a team's rate over the fleet."""
+        """Return this router's share of a team's fleet-wide rate."""
         if self._fleet is None:
             return 1
         return self._fleet.share(number_of(team))
 
-    def _rate(self, team: TeamRow, tokens: int) -> RoutingFault | None:
+    def _check_rate(self, team: TeamRow, tokens: int) -> RoutingFault | None:
         limits = (team.requests_per_minute, team.tokens_per_minute)
         if not any(limits):
             return None
         now = self.clock.now()
         rates = self._rates_of(team.name)
-        rates.want(tokens, limits, now)
+        rates.add_demand(tokens, limits, now)
         share = self._fleet.share(rates.team) if self._fleet else 1
         even = self._fleet.even if self._fleet else 1
         for bucket, limit in zip(
@@ -113,37 +115,39 @@
         wait = max(rates.requests.wait(1), rates.tokens.wait(tokens))
         if wait > 0:
             return faults.RATE_LIMITED.after(
-                self._hasten(rates, wait),
+                self._shorten_wait(rates, wait),
                 'the team is past its requests or tokens a minute',
             )
         rates.requests.take(1)
         rates.tokens.take(tokens)
         return None
 
-    def _hasten(self, rates: TeamRates, wait: float) -> float:
-        """Return how long to wait, less if a larger share may come."""
+    def _shorten_wait(self, rates: TeamRates, wait: float) -> float:
+        """Return the retry time, shorter if a larger share may come soon."""
         if self._fleet is None:
             return wait
-        part = rates.part(self.clock.now())
-        if self._fleet.hurry(rates.team, part):
-            return min(wait, _SOON)
+        team_demand = rates.demand(self.clock.now())
+        if self._fleet.request_early_report(rates.team, team_demand):
+            return min(wait, _EARLY_RETRY)
         return wait
 
     def _rates_of(self, team: str) -> TeamRates:
         rates = self._rates.pop(team, None)
         if rates is None:
-            rates = begin(number_of(team), self.clock.now())
+            rates = make_team_rates(number_of(team), self.clock.now())
         self._rates[team] = rates
-        if len(self._rates) > _MOST_TEAMS:
+        if len(self._rates) > _MAX_TEAMS:
             self._rates.popitem(last=False)
         return rates
 
-    def _parts(self, now: float, groups: Collection[int]) -> dict[int, int]:
-        # The newest stand last: teams without use cost nothing.
-        parts = {}
+    def _demand_of_groups(
+        self, now: float, groups: Collection[int]
+    ) -> dict[int, int]:
+        # The most recently used are last, so idle teams are not visited.
+        demand = {}
         for rates in reversed(self._rates.values()):
-            if now - rates.wanted.at > IDLE:
+            if now - rates.request_demand.updated_at > IDLE_AFTER:
                 break
             if group_of(rates.team) in groups:
-                parts[rates.team] = rates.part(now)
-        return parts
+                demand[rates.team] = rates.demand(now)
+        return demand
--- a/src/balsamreach/routing/pacing.py
+++ b/src/balsamreach/routing/pacing.py
@@ -1,53 +1,53 @@
-"""How long requests hold their slots, and so how long one waits."""
+"""Times that requests hold their slots, and wait estimates from them."""
 
 import attrs
 
-_SMOOTH = 0.05
-#: Most requests end within the mean and this many spreads.
-_SPREADS = 2
-_LONGEST = 60.0
+_SMOOTHING = 0.05
+#: Most requests end within the mean plus this many mean deviations.
+_DEVIATIONS = 2
+_MAX_WAIT = 60.0
 
 
 @attrs.define
-class Pacing:
-    """Smoothed times that a pool's requests hold their slots.
+class HoldTimes:
+    """Exponentially smoothed slot hold times of a pool's requests.
 
     Parameters
     ----------
-    seconds : float
-        Smoothed time; 0 before the first request has ended.
-    spread : float
-        Smoothed distance of single times from it.
+    mean : float
+        Smoothed hold time in seconds; 0 before the first request has ended.
+    deviation : float
+        Smoothed absolute deviation from the mean, in seconds.
     """
 
-    seconds: float = 0
-    spread: float = 0
+    mean: float = 0
+    deviation: float = 0
 
-    def left(self, seconds: float) -> None:
-        """Take note of a request that gave its slot back."""
-        if not self.seconds:
-            self.seconds = seconds
+    def add(self, seconds: float) -> None:
+        """Add the hold time of a request that released its slot."""
+        if not self.mean:
+            self.mean = seconds
             return
-        strayed = abs(seconds - self.seconds)
-        self.spread += (strayed - self.spread) * _SMOOTH
-        self.seconds += (seconds - self.seconds) * _SMOOTH
+        difference = abs(seconds - self.mean)
+        self.deviation += (difference - self.deviation) * _SMOOTHING
+        self.mean += (seconds - self.mean) * _SMOOTHING
 
-    def needed(self) -> float:
+    def likely_max(self) -> float:
         """Return the seconds within which most requests end."""
-        return self.seconds + _SPREADS * self.spread
+        return self.mean + _DEVIATIONS * self.deviation
 
-    def wait(self, ahead: int, held: int) -> float:
+    def estimate_wait(self, ahead: int, held: int) -> float:
         """Return the seconds until a number of requests have had slots.
 
-        By Little's law slots come free at their number over the time each
-        is held. A rate counted from past ends would show the demand of a
-        quiet pool, and a burst would be refused that it could well take.
+        By Little's law, slots come free at a rate of their number divided by
+        the hold time. A rate measured from past releases would reflect the low
+        demand of a quiet pool, and bursts that it can handle would be refused.
 
         Parameters
         ----------
         ahead : int
-            Requests that go first.
+            Requests that are served before.
         held : int
-            Slots held now, while nobody else can have one.
+            Slots that are held now.
         """
-        return min(_LONGEST, ahead * self.seconds / max(1, held))
+        return min(_MAX_WAIT, ahead * self.mean / max(1, held))
--- a/src/balsamreach/routing/rate_homes.py
+++ b/src/balsamreach/routing/rate_homes.py
@@ -1,7 +1,8 @@
-"""Shares in a larger fleet, from homes in the zones and their roots.
+"""Rate shares in a large fleet, through home and root routers.
 
-Teams are in groups. A group has a home in each zone, and the home that is
-heaviest of all is its root. Demand goes up to the root, shares come down.
+Teams are divided into groups. A group has a home router in each zone, and the
+highest-ranked home of all zones is its root. Demand is reported from routers
+to homes to the root, and shares are granted on the way back.
 """
 
 from collections.abc import Collection, Mapping
@@ -12,192 +13,201 @@
 from balsamreach.routing import rate_groups
 from balsamreach.routing.demands import MILLION, RESERVE
 from balsamreach.routing.rate_groups import (
-    GROUPS,
-    INTERVAL,
-    MOST_OF_ZONE,
-    MOST_TEAMS,
-    TO_HOME,
-    TO_ROOT,
-    Group,
+    GROUP_COUNT,
+    LEVEL_HOME,
+    LEVEL_ROOT,
+    MAX_TEAMS,
+    MAX_ZONE_TEAMS,
+    REPORT_INTERVAL,
+    TeamGroup,
 )
-from balsamreach.routing.rate_post import RatePost
+from balsamreach.routing.rate_messenger import RateMessenger
 from balsamreach.wire.base import Message
 from balsamreach.wire.membership import Member
 from balsamreach.wire.rates import RateDemands, RateShares
 
-#: Seconds after a word before demand that grows may be told again.
-_URGENT_AFTER = 1.0
-#: Demand has grown if it is this many times what was told.
-_GROWN = 1.25
-#: Age shown for shares that were never granted.
-_OLDEST = 3600.0
+#: Seconds after a report before increased demand may be reported again.
+_URGENT_INTERVAL = 1.0
+#: Demand has increased if it exceeds what was reported by this factor.
+_GROWTH_RATIO = 1.25
+#: Largest age in the metrics, in seconds, also for shares never granted.
+_MAX_AGE_SHOWN = 3600.0
 
 
 @attrs.define(eq=False)
 class RateHomes:
-    """Shares of one router, and its part as a home and as a root.
+    """One router's shares, and its work as a home and a root.
 
     Parameters
     ----------
-    post : RatePost
-        Sends words.
+    messenger : RateMessenger
+        Sends messages and counts the routers.
     """
 
-    post: RatePost
-    _groups: tuple[Group, ...] = attrs.field(init=False)
+    messenger: RateMessenger
+    _groups: tuple[TeamGroup, ...] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Begin without a word."""
-        self._groups = tuple(Group(number) for number in range(GROUPS))
+        """Create empty groups."""
+        self._groups = tuple(TeamGroup(number) for number in range(GROUP_COUNT))
 
     def share(self, team: int) -> float:
         """Return this router's share of a team's limits."""
         granted = self._group(team).granted
-        even = 1 / self.post.counted
-        return granted.share(team, even, self.post.clock.now(), INTERVAL)
+        even = 1 / self.messenger.router_count
+        return granted.share(
+            team, even, self.messenger.clock.now(), REPORT_INTERVAL
+        )
 
-    def hurry(self, team: int, part: int) -> bool:
-        """Have demand told before the interval's end if it has grown."""
+    def request_early_report(self, team: int, part: int) -> bool:
+        """Schedule an early report if a team's demand has increased."""
         group = self._group(team)
-        grown = part > _GROWN * group.granted.requested.get(team, 0)
-        group.urgent = group.urgent or grown
-        return grown
+        has_grown = part > _GROWTH_RATIO * group.granted.requested.get(team, 0)
+        group.urgent = group.urgent or has_grown
+        return has_grown
 
-    def due(self, now: float) -> Collection[int]:
-        """Return the groups whose homes are to be told now."""
+    def groups_due(self, now: float) -> Collection[int]:
+        """Return the groups whose homes are due for a report."""
         return [group.number for group in self._groups if _is_due(group, now)]
 
-    def tell(self, wanted: Mapping[int, int], now: float) -> None:
-        """Tell the homes that are due what is wanted here."""
-        for number in self.due(now):
-            self._tell_home(self._groups[number], wanted, now)
+    def send_reports(self, demand: Mapping[int, int], now: float) -> None:
+        """Report the demand at this router to the homes that are due."""
+        for number in self.groups_due(now):
+            self._report_to_home(self._groups[number], demand, now)
 
-    def see_to_zone(self, now: float) -> None:
-        """Do what is due as a home: forget the silent, tell the roots."""
+    def run_home_tasks(self, now: float) -> None:
+        """Do the periodic work of a home: expire reports, report to roots."""
         for group in self._groups:
             group.home.expire(now)
             group.root.expire(now)
-            self._tell_root(group, now)
+            self._report_to_root(group, now)
 
-    def take_demands(self, sender: Member, message: Message) -> None:
-        """Take a word as a home or as a root, and answer it."""
+    def handle_demands(self, sender: Member, message: Message) -> None:
+        """Handle a demand report as a home or a root, and answer it."""
         assert isinstance(message, RateDemands)
-        now = self.post.clock.now()
-        expires = now + rate_groups.FRESH * INTERVAL
-        told = rate_groups.read_told(sender.incarnation, message, expires)
-        group = self._groups[message.group % GROUPS]
-        collector, holder = group.home, sender.incarnation
-        if message.level == TO_ROOT:
-            # A zone has one home at a time: the word of the next replaces
-            # that of one that died. Counted beside each other, both would
-            # claim for the same routers until the older word's end.
-            collector, holder = group.root, sender.zone
-        news = collector.put(holder, told, now)
-        self.post.note('told' if news else 'old')
-        if news and message.parts and collector.ready(now):
-            self._answer(group, holder, message.level)
-
-    def take_shares(self, _sender: Member, message: Message) -> None:
-        """Take shares from a home or a root."""
+        now = self.messenger.clock.now()
+        expires_at = now + rate_groups.LIFETIME_INTERVALS * REPORT_INTERVAL
+        report = rate_groups.to_demand_report(
+            sender.incarnation, message, expires_at
+        )
+        group = self._groups[message.group % GROUP_COUNT]
+        collector, reporter = group.home, sender.incarnation
+        if message.level == LEVEL_ROOT:
+            # A zone has one home at a time, so the report of a new home
+            # replaces that of a dead one. If both counted, the same routers'
+            # demand would be counted twice until the older report expires.
+            collector, reporter = group.root, sender.zone
+        is_new = collector.put(reporter, report, now)
+        self.messenger.count_outcome('told' if is_new else 'old')
+        if is_new and message.parts and collector.is_ready(now):
+            self._answer(group, reporter, message.level)
+
+    def handle_shares(self, _sender: Member, message: Message) -> None:
+        """Handle shares granted by a home or a root."""
         assert isinstance(message, RateShares)
-        now = self.post.clock.now()
-        group = self._groups[message.group % GROUPS]
-        to_zone = message.level == TO_ROOT
-        granted = group.zone_granted if to_zone else group.granted
-        taken = granted.apply_answer(message, now)
-        self.post.note('granted' if taken else 'late')
-        if to_zone and taken and group.home.demands is not None:
-            for holder in group.home.demands.urgent():
-                self._answer(group, holder, TO_HOME)
-        if not to_zone:
+        now = self.messenger.clock.now()
+        group = self._groups[message.group % GROUP_COUNT]
+        is_zone_grant = message.level == LEVEL_ROOT
+        granted = group.zone_granted if is_zone_grant else group.granted
+        is_current = granted.apply_answer(message, now)
+        self.messenger.count_outcome('granted' if is_current else 'late')
+        if is_zone_grant and is_current and group.home.demands is not None:
+            for reporter in group.home.demands.take_urgent():
+                self._answer(group, reporter, LEVEL_HOME)
+        if not is_zone_grant:
             ages = [
                 now - one.granted.granted_at
                 for one in self._groups
-                if one.telling
+                if one.has_demand
             ]
-            oldest = min(_OLDEST, max(ages, default=0))
-            self.post.show(heard=message.routers, age=oldest)
+            oldest = min(_MAX_AGE_SHOWN, max(ages, default=0))
+            self.messenger.set_gauges(heard=message.routers, age=oldest)
 
-    def _tell_home(
+    def _report_to_home(
         self,
-        group: Group,
-        wanted: Mapping[int, int],
+        group: TeamGroup,
+        demand: Mapping[int, int],
         now: float,
     ) -> None:
-        # What the reserve covers needs no word.
-        least = RESERVE * MILLION / self.post.counted
-        parts = rate_groups.largest(
+        # Demand within the reserve need not be reported.
+        min_part = RESERVE * MILLION / self.messenger.router_count
+        parts = rate_groups.largest_parts(
             {
                 team: part
-                for team, part in wanted.items()
-                if part > least and rate_groups.group_of(team) == group.number
+                for team, part in demand.items()
+                if part > min_part
+                and rate_groups.group_of(team) == group.number
             },
-            MOST_TEAMS,
+            MAX_TEAMS,
         )
         message = RateDemands(
-            TO_HOME,
+            LEVEL_HOME,
             group.number,
-            self.post.next_window(),
+            self.messenger.next_window(),
             urgent=group.urgent,
-            parts=rate_groups.as_parts(parts),
+            parts=rate_groups.to_rate_parts(parts),
         )
         group.granted.record_request(message.window, parts)
-        group.told_at = now
+        group.reported_at = now
         group.urgent = False
-        home = self.post.net.home(group.key)
-        self.post.send(home, message, self.take_demands)
+        home = self.messenger.net.home(group.key)
+        self.messenger.send(home, message, self.handle_demands)
 
-    def _tell_root(self, group: Group, now: float) -> None:
-        pause = _URGENT_AFTER if group.home.due else INTERVAL
+    def _report_to_root(self, group: TeamGroup, now: float) -> None:
+        interval = (
+            _URGENT_INTERVAL if group.home.has_urgent else REPORT_INTERVAL
+        )
         demands = group.home.demands
-        if now - group.zone_told_at < pause or demands is None:
+        if now - group.zone_reported_at < interval or demands is None:
             return
-        if not group.home.ready(now):
+        if not group.home.is_ready(now):
             return
-        parts = rate_groups.largest(demands.sums(), MOST_OF_ZONE)
+        parts = rate_groups.largest_parts(
+            demands.demand_by_team(), MAX_ZONE_TEAMS
+        )
         message = RateDemands(
-            TO_ROOT,
+            LEVEL_ROOT,
             group.number,
-            self.post.next_window(),
+            self.messenger.next_window(),
             routers=demands.routers,
-            urgent=group.home.due,
-            parts=rate_groups.as_parts(parts),
+            urgent=group.home.has_urgent,
+            parts=rate_groups.to_rate_parts(parts),
         )
         group.zone_granted.record_request(message.window, parts)
-        group.zone_told_at = now
-        group.home.due = False
-        self.post.send(self._root(group), message, self.take_demands)
+        group.zone_reported_at = now
+        group.home.has_urgent = False
+        self.messenger.send(self._root(group), message, self.handle_demands)
 
-    def _answer(self, group: Group, holder: str, level: int) -> None:
-        collector = group.root if level == TO_ROOT else group.home
+    def _answer(self, group: TeamGroup, reporter: str, level: int) -> None:
+        collector = group.root if level == LEVEL_ROOT else group.home
         demands = collector.demands
-        told = demands.find(holder) if demands is not None else None
-        if told is None or demands is None:
+        report = demands.find(reporter) if demands is not None else None
+        if report is None or demands is None:
             return
-        counted = self.post.counted
-        even = min(1, demands.routers / counted)
-        budgets = dict.fromkeys(told.parts, even)
-        if level == TO_HOME:
-            now = self.post.clock.now()
+        router_count = self.messenger.router_count
+        even = min(1, demands.routers / router_count)
+        budgets = dict.fromkeys(report.parts, even)
+        if level == LEVEL_HOME:
+            now = self.messenger.clock.now()
             budgets = {
-                team: group.zone_granted.share(team, even, now, INTERVAL)
-                for team in told.parts
+                team: group.zone_granted.share(team, even, now, REPORT_INTERVAL)
+                for team in report.parts
             }
-        answer = collector.answer(told, budgets, counted)
-        for member in self.post.net.members():
-            if member.incarnation == told.incarnation:
-                self.post.send(member, answer, self.take_shares)
+        answer = collector.make_answer(report, budgets, router_count)
+        for member in self.messenger.net.members():
+            if member.incarnation == report.incarnation:
+                self.messenger.send(member, answer, self.handle_shares)
 
-    def _root(self, group: Group) -> Member:
-        members = self.post.net.members()
+    def _root(self, group: TeamGroup) -> Member:
+        members = self.messenger.net.members()
         staying = [member for member in members if not member.leaving]
         root = heaviest(group.key, staying or members)
-        return root or self.post.net.me
+        return root or self.messenger.net.me
 
-    def _group(self, team: int) -> Group:
+    def _group(self, team: int) -> TeamGroup:
         return self._groups[rate_groups.group_of(team)]
 
 
-def _is_due(group: Group, now: float) -> bool:
-    pause = _URGENT_AFTER if group.urgent else INTERVAL
-    return now - group.told_at >= pause
+def _is_due(group: TeamGroup, now: float) -> bool:
+    interval = _URGENT_INTERVAL if group.urgent else REPORT_INTERVAL
+    return now - group.reported_at >= interval
--- a/src/balsamreach/routing/rates.py
+++ b/src/balsamreach/routing/rates.py
@@ -1,4 +1,4 @@
-"""Token buckets that hold a rate a minute, and meters of demand."""
+"""Token buckets that enforce per-minute rates, and meters of demand."""
 
 import math
 
@@ -7,36 +7,43 @@
 from balsamreach.routing.demands import MILLION
 
 _MINUTE = 60.0
-#: Requests that a bucket holds if its router's even share brings them within
-#: a minute. With one, half the rate in single requests lost a third of them.
-_FEW = 3
-#: A bucket holds what this many seconds of its rate bring.
-_BURST = 10.0
-#: Seconds over which demand is smoothed. Over four seconds, a router with a
-#: request in three was found to want nothing at one moment and double at the
-#: next, and a team at 0.7 of its rate lost a sixth of its requests.
-_SMOOTH = 10.0
-#: The same for steps; they count from so many requests on.
-_QUICK = 2.0
-_BUSY = 8
-_STEP = 1.5
-#: Seconds that demand is taken to have lasted at least.
-_LEAST = 5.0
-_LEAST_BUSY = 1.0
-#: Seconds without demand after which a meter begins anew.
-IDLE = 40.0
-_MOST_LIMITS = 4
-_LEAST_KNOWN = 0.1
+#: Smallest bucket size in requests, if the router's even share brings that
+#: many within a minute. With a size of one, a third of single requests at half
+#: the rate were refused.
+_MIN_REQUESTS = 3
+#: Seconds of its rate that a bucket holds.
+_BURST_SECONDS = 10.0
+#: Time constant in seconds for smoothing demand. With four seconds, a router
+#: that got a request every three seconds alternately reported no demand and
+#: twice its demand, and a team at 0.7 of its rate lost a sixth of its
+#: requests.
+_TIME_CONSTANT = 10.0
+#: Time constant for detecting steps, and the number of recent requests from
+#: which a step is recognised.
+_SHORT_TIME_CONSTANT = 2.0
+_STEP_MIN_REQUESTS = 8
+_STEP_RATIO = 1.5
+#: Shortest time in seconds over which new demand is averaged.
+_MIN_DURATION = 5.0
+_MIN_STEP_DURATION = 1.0
+#: Seconds without demand after which a meter starts again.
+IDLE_AFTER = 40.0
+_MAX_DEMAND = 4
+_MIN_RECENT = 0.1
 
 
 @attrs.define
 class Bucket:
-    """One token bucket; a rate of 0 means that there is no limit.
+    """A token bucket; a rate of 0 means that there is no limit.
 
     Parameters
     ----------
     filled_at : float
-        Monotonic seconds up to which it has been filled.
+        Monotonic seconds of the last refill.
+    level : float or None
+        Tokens in the bucket; None before the first refill.
+    rate : float
+        Tokens added per second.
     """
 
     filled_at: float
@@ -47,39 +54,41 @@
         self,
         per_minute: float,
         now: float,
-        least: float = 0,
+        min_per_minute: float = 0,
     ) -> None:
-        """Fill up to now at the old rate, then go on at another one.
+        """Add the tokens due at the old rate, then switch to another rate.
 
         Parameters
         ----------
         per_minute : float
-            The other rate.
+            The new rate.
         now : float
             Monotonic seconds.
-        least : float
-            Rate a minute whose burst the bucket holds at least. A share
-            that shrinks for a moment would else take away what is there.
+        min_per_minute : float
+            Rate that the bucket size is at least computed for. Otherwise a
+            share that shrinks briefly would discard tokens in the bucket.
         """
-        most = max(1, max(per_minute, least) * _BURST / _MINUTE)
-        most = max(most, min(_FEW, least))
+        capacity = max(
+            1, max(per_minute, min_per_minute) * _BURST_SECONDS / _MINUTE
+        )
+        capacity = max(capacity, min(_MIN_REQUESTS, min_per_minute))
         if self.level is None:
-            self.level = most
+            self.level = capacity
         self.level += (now - self.filled_at) * self.rate
-        self.level = min(self.level, most)
+        self.level = min(self.level, capacity)
         self.filled_at = now
         self.rate = per_minute / _MINUTE
 
     def wait(self, amount: float) -> float:
-        """Return the seconds until an amount may be taken; 0 for now.
+        """Return the seconds until an amount may be taken; 0 means now.
 
-        An amount larger than the bucket may be taken from a full one and
-        leaves it in debt, or it could never be taken at all.
+        An amount larger than the bucket may be taken from a full bucket and
+        leaves it in debt; otherwise it could never be taken.
         """
         if not self.rate or self.level is None:
             return 0
-        most = max(1, self.rate * _BURST)
-        missing = min(amount, most) - self.level
+        capacity = max(1, self.rate * _BURST_SECONDS)
+        missing = min(amount, capacity) - self.level
         return max(0, missing / self.rate)
 
     def take(self, amount: float) -> None:
@@ -88,121 +97,139 @@
             self.level -= amount
 
     def give_back(self, amount: float) -> None:
-        """Give back what was taken and not used."""
+        """Return an amount that was taken and not used."""
         if self.level is not None:
             self.level += max(0, amount)
 
 
 @attrs.define
-class Meter:
-    """Smoothed rate of what was wanted; its integral is the amount.
+class DemandMeter:
+    """Exponentially smoothed rate of the demand.
 
     Parameters
     ----------
-    since : float
+    started_at : float
         Monotonic seconds of the first amount after a pause.
-    at : float
+    updated_at : float
         Monotonic seconds of the newest amount.
     """
 
-    since: float
-    at: float
-    _level: float = 0
-    _quick: float = 0
+    started_at: float
+    updated_at: float
+    _amount: float = 0
+    _recent_amount: float = 0
 
     def add(self, amount: float, now: float) -> None:
-        """Count an amount."""
-        if now - self.at > IDLE:
-            self.since = now
-        self._level = self.smoothed(now) + amount
-        self._quick = self.newest(now) + amount
-        self.at = now
+        """Add an amount."""
+        if now - self.updated_at > IDLE_AFTER:
+            self.started_at = now
+        self._amount = self.smoothed(now) + amount
+        self._recent_amount = self.recent(now) + amount
+        self.updated_at = now
 
     def take_back(self, amount: float, now: float) -> None:
-        """Take off what was wanted and not used."""
-        self._level = max(0, self.smoothed(now) - max(0, amount))
-        self._quick = max(0, self.newest(now) - max(0, amount))
-        self.at = now
+        """Subtract an amount that was not used."""
+        self._amount = max(0, self.smoothed(now) - max(0, amount))
+        self._recent_amount = max(0, self.recent(now) - max(0, amount))
+        self.updated_at = now
 
-    def newest(self, now: float) -> float:
+    def recent(self, now: float) -> float:
         """Return about the amount of the last two seconds."""
-        return self._quick * math.exp((self.at - now) / _QUICK)
+        return self._recent_amount * math.exp(
+            (self.updated_at - now) / _SHORT_TIME_CONSTANT
+        )
 
-    def rate(self, now: float, *, busy: bool) -> float:
-        """Return the amount wanted a second.
+    def rate(self, now: float, *, detect_step: bool) -> float:
+        """Return the demand per second.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
-        busy : bool
-            Whether so many requests came that the newest tell a step.
+        detect_step : bool
+            Whether there were enough recent requests to detect a step.
         """
-        # Just begun, the mean is over the time that there was demand. Over
-        # the whole time constant a step would be told at a fraction of its
-        # height, and refused for seconds although the rate allows it.
-        known = max(_LEAST_BUSY if busy else _LEAST, now - self.since)
-        smooth = self.smoothed(now)
-        smooth /= _SMOOTH * (1 - math.exp(-known / _SMOOTH))
-        newest = self.newest(now) / _QUICK
-        return newest if busy and newest > _STEP * smooth else smooth
+        # New demand is averaged over the time since it started. Averaged over
+        # the whole time constant, a step would be reported at a fraction of
+        # its height, and requests within the rate would be refused for
+        # seconds.
+        duration = max(
+            _MIN_STEP_DURATION if detect_step else _MIN_DURATION,
+            now - self.started_at,
+        )
+        smoothed_rate = self.smoothed(now)
+        smoothed_rate /= _TIME_CONSTANT * (
+            1 - math.exp(-duration / _TIME_CONSTANT)
+        )
+        recent = self.recent(now) / _SHORT_TIME_CONSTANT
+        return (
+            recent
+            if detect_step and recent > _STEP_RATIO * smoothed_rate
+            else smoothed_rate
+        )
 
     def smoothed(self, now: float) -> float:
         """Return about the amount of the last ten seconds."""
-        return self._level * math.exp((self.at - now) / _SMOOTH)
+        return self._amount * math.exp((self.updated_at - now) / _TIME_CONSTANT)
 
 
 @attrs.define
 class TeamRates:
-    """The two rates of one team and its demand on this router.
+    """The buckets of one team and its demand at this router.
 
     Parameters
     ----------
     team : int
-        The team's number among routers.
+        Hash of the team's name.
+    requests, tokens : Bucket
+        Buckets of the two rates.
+    request_demand, token_demand : DemandMeter
+        Demand for the two rates.
     """
 
     team: int
     requests: Bucket
     tokens: Bucket
-    wanted: Meter
-    wanted_tokens: Meter
+    request_demand: DemandMeter
+    token_demand: DemandMeter
     _limits: tuple[int, int] = (0, 0)
 
-    def want(self, tokens: float, limits: tuple[int, int], now: float) -> None:
-        """Count a request under limits of requests and tokens a minute."""
+    def add_demand(
+        self, tokens: float, limits: tuple[int, int], now: float
+    ) -> None:
+        """Add a request under limits of requests and tokens per minute."""
         self._limits = limits
-        self.wanted.add(1, now)
-        self.wanted_tokens.add(tokens, now)
+        self.request_demand.add(1, now)
+        self.token_demand.add(tokens, now)
 
-    def part(self, now: float) -> int:
-        """Return the part of the limits wanted here, in millionths."""
-        busy = self.wanted.newest(now) >= _BUSY
+    def demand(self, now: float) -> int:
+        """Return the demand at this router, in millionths of the limits."""
+        detect_step = self.request_demand.recent(now) >= _STEP_MIN_REQUESTS
         amounts = (
-            self.wanted.rate(now, busy=busy),
-            self.wanted_tokens.rate(now, busy=busy),
+            self.request_demand.rate(now, detect_step=detect_step),
+            self.token_demand.rate(now, detect_step=detect_step),
         )
         parts = [
             amount * _MINUTE / limit
             for amount, limit in zip(amounts, self._limits, strict=True)
             if limit
         ]
-        wanted = max(parts, default=0) * self._margin(now)
-        wanted = min(_MOST_LIMITS, wanted)
-        return round(wanted * MILLION)
+        demand = max(parts, default=0) * self._margin(now)
+        demand = min(_MAX_DEMAND, demand)
+        return round(demand * MILLION)
 
     def _margin(self, now: float) -> float:
-        """Return how many times its mean demand may come by chance."""
-        known = max(_LEAST_KNOWN, self.wanted.smoothed(now))
-        return (known + math.sqrt(known + 1)) / known
+        """Return the factor by which demand may exceed its mean by chance."""
+        recent = max(_MIN_RECENT, self.request_demand.smoothed(now))
+        return (recent + math.sqrt(recent + 1)) / recent
 
 
-def begin(team: int, now: float) -> TeamRates:
-    """Return the rates of a team that begins to send."""
+def make_team_rates(team: int, now: float) -> TeamRates:
+    """Return the rates of a team that starts to send."""
     return TeamRates(
         team,
         Bucket(filled_at=now),
         Bucket(filled_at=now),
-        Meter(now, now),
-        Meter(now, now),
+        DemandMeter(now, now),
+        DemandMeter(now, now),
     )
--- a/src/balsamreach/routing/routing.py
+++ b/src/balsamreach/routing/routing.py
@@ -140,9 +140,10 @@
         """Return the number of queued requests that a service could serve."""
         pools = self.admission.picker.pools
         return sum(
-            line.queue.waiting
-            for line in self.admission.lines.values()
-            if line.queue.waiting and pools.serves(service, line.key)
+            pool_queue.queue.waiting
+            for pool_queue in self.admission.pool_queues.values()
+            if pool_queue.queue.waiting
+            and pools.serves(service, pool_queue.key)
         )
 
     def learn_cache(self, target: str, news: CacheNews) -> None:
@@ -153,7 +154,7 @@
         """Release a slot and record how its exchange ended."""
         self.feedback.ended(slot)
         held_for = self.clock.now() - slot.taken_at
-        self.admission.leave(slot.state, slot.ask, held_for)
+        self.admission.release(slot.state, slot.ask, held_for)
 
     async def run(self) -> None:
         """Call the periodic work until cancelled."""
@@ -175,7 +176,7 @@
             if state is not None:
                 incarnation = state.target.report.incarnation
                 self.quarantine.reported(name, incarnation)
-        self.admission.pump_all()
+        self.admission.serve_all_queues()
 
     def _pick_untried(
         self,
--- a/src/balsamreach/routing/shares.py
+++ b/src/balsamreach/routing/shares.py
@@ -1,23 +1,28 @@
-"""Deterministic shares: a sequence of picks that follows given weights."""
+"""Deterministic splits: sequences of picks that follow given weights."""
 
 from collections import OrderedDict
 from collections.abc import Mapping
 
 import attrs
 
-_MOST_OWNERS = 50_000
+_MAX_OWNERS = 50_000
 
 
 @attrs.define
 class Shares:
-    """Smooth weighted round robin, one sequence per owner.
+    """Smooth weighted round robin, with one sequence per owner.
 
-    After any number of picks each name's count is within one pick of its
-    share when the weights stay the same, for two names; a coin toss strays
-    with the square root of the number of picks.
+    With constant weights and two names, each name's count is always within one
+    pick of its share; with random picks the deviation would grow with the
+    square root of the number of picks.
+
+    Parameters
+    ----------
+    max_owners : int
+        Owners kept; the one used longest ago is dropped first.
     """
 
-    most_owners: int = _MOST_OWNERS
+    max_owners: int = _MAX_OWNERS
     _credits: OrderedDict[str, dict[str, float]] = attrs.field(
         factory=OrderedDict,
     )
@@ -28,24 +33,24 @@
         Parameters
         ----------
         owner : str
-            Whose sequence, such as a team.
+            Owner of the sequence, such as a team.
         weights : Mapping of str to float
-            Names with weights; at least one is above zero.
+            Weights by name; at least one is above zero.
 
         Returns
         -------
         str
-            A name of weight above zero.
+            A name with a weight above zero.
         """
-        known = self._credits.pop(owner, {})
-        kept = {
-            name: known.get(name, 0) + weight
+        previous = self._credits.pop(owner, {})
+        updated = {
+            name: previous.get(name, 0) + weight
             for name, weight in weights.items()
             if weight > 0
         }
-        picked = max(kept, key=kept.__getitem__)
-        kept[picked] -= sum(weights[name] for name in kept)
-        self._credits[owner] = kept
-        if len(self._credits) > self.most_owners:
+        picked = max(updated, key=updated.__getitem__)
+        updated[picked] -= sum(weights[name] for name in updated)
+        self._credits[owner] = updated
+        if len(self._credits) > self.max_owners:
             self._credits.popitem(last=False)
         return picked
--- a/tests/test_routing_admission.py
+++ b/tests/test_routing_admission.py
@@ -1,4 +1,4 @@
-"""Tests of queues: fair turns, bounds, deadlines and callers that leave."""
+"""Tests of admission: fair queues, limits, deadlines and cancellation."""
 
 import asyncio
 import unittest
@@ -15,40 +15,40 @@
 
 
 async def _settle():
-    """Let all tasks run until they wait for something else."""
+    """Let all tasks run until they wait for something."""
     for _ in range(8):
         await asyncio.sleep(0)
 
 
 class QueueCase(unittest.IsolatedAsyncioTestCase):
-    """One target with two slots."""
+    """A router with one target that has two slots."""
 
     def setUp(self):
         self.node = Node(
             make_rows(1, concurrency=2),
             options=('routing.queue_limit=8',),
         )
-        self.done = []
+        self.outcomes = []
 
     async def fill(self):
         """Take both slots."""
         return [await self.node.send(fingerprint=f'f{n}') for n in range(2)]
 
     async def queue(self, team, count=1, **fields):
-        """Let requests of a team wait."""
+        """Start requests of a team that have to wait."""
         tasks = [
             asyncio.create_task(self._enter(team, fields)) for _ in range(count)
         ]
         await _settle()
         return tasks
 
-    async def serve(self, slots, turns):
-        """End requests one by one; return the teams served, in order."""
+    async def serve(self, slots, count):
+        """End requests one by one and return the teams served, in order."""
         served = []
-        for _ in range(turns):
+        for _ in range(count):
             self.node.end(slots.pop(0))
             await _settle()
-            team, slot = self.done.pop(0)
+            team, slot = self.outcomes.pop(0)
             served.append(team)
             slots.append(slot)
         return served
@@ -56,19 +56,18 @@
     async def _enter(self, team, fields):
         ask = self.node.ask(team, team, **fields)
         outcome = await self.node.routing.enter(ask)
-        self.done.append((team, outcome))
+        self.outcomes.append((team, outcome))
         return outcome
 
 
-class FairTest(QueueCase):
-    """Turns by teams' weights."""
+class FairQueueTest(QueueCase):
+    """The order of waiting requests, by teams' weights."""
 
-    async def test_quiet_team_does_not_wait_behind_a_flood(self):
-        """A flood delays the team that floods.
+    async def test_backlog_does_not_delay_other_teams(self):
+        """A team's backlog does not delay another team's request.
 
-        Symptom: all teams' latency grows when one sends too much.
-        Sequence: seven requests of one team wait as one of another comes.
-        Cause: one queue in order of arrival.
+        Seven requests of one team wait when one of another team arrives. In a
+        queue ordered by arrival, all teams would be delayed.
         """
         slots = await self.fill()
         await self.queue('flood', 7)
@@ -76,14 +75,14 @@
         served = await self.serve(slots, 3)
         self.assertIn('quiet', served[:2])
 
-    async def test_turns_follow_the_weights(self):
+    async def test_order_follows_the_weights(self):
         slots = await self.fill()
         await self.queue('light', 4, weight=1)
         await self.queue('heavy', 4, weight=3)
         served = Counter(await self.serve(slots, 4))
         self.assertEqual(served, {'heavy': 3, 'light': 1})
 
-    async def test_idle_team_saves_up_no_turns(self):
+    async def test_idle_team_accumulates_no_turns(self):
         slots = await self.fill()
         await self.queue('busy', 7)
         await self.serve(slots, 3)
@@ -91,55 +90,55 @@
         served = Counter(await self.serve(slots, 4))
         self.assertEqual(served, {'busy': 2, 'late': 2})
 
-    async def test_full_queue_gives_way_to_a_team_with_less_waiting(self):
-        """The team that fills the queue is the one that is refused.
+    async def test_full_queue_evicts_from_the_longest_backlog(self):
+        """A full queue evicts a request of the team with the longest backlog.
 
-        Symptom: a team with one request is told that the queue is full.
-        Sequence: another team's requests fill the queue.
-        Cause: whoever comes last is refused, whatever waits already.
+        Otherwise a team that fills the queue causes refusals of other teams
+        with hardly any requests, as the newest request would always be
+        refused.
         """
         await self.fill()
         await self.queue('flood', 8)
         await self.queue('quiet', 1)
-        self.assertEqual(self.done, [('flood', QUEUE_FULL)])
+        self.assertEqual(self.outcomes, [('flood', QUEUE_FULL)])
         await self.queue('flood', 1)
-        self.assertEqual(self.done[1:], [('flood', QUEUE_FULL)])
+        self.assertEqual(self.outcomes[1:], [('flood', QUEUE_FULL)])
 
 
 class DeadlineTest(QueueCase):
-    """Refusals come early and say when to come back."""
+    """Refusals come early and carry a retry time."""
 
-    async def teach_rate(self):
-        """Let the pool learn that a request takes a second."""
+    async def set_hold_time(self):
+        """Set the pool's hold time to one second."""
         for _ in range(4):
             slot = await self.node.send()
             self.node.clock.advance(1)
             self.node.end(slot)
 
-    async def test_hopeless_request_is_refused_at_once(self):
-        """Nobody waits for an answer that cannot come in time.
+    async def test_request_that_cannot_be_in_time_is_refused_at_once(self):
+        """A request that can't be answered in time is refused at once.
 
-        Symptom: callers wait until their deadline and are refused then.
-        Sequence: a request with two seconds left meets a queue of four.
-        Cause: the queue is joined without a look at how fast it moves.
+        A request with two seconds left arrives at a queue of four. If the hold
+        times were not taken into account, its caller would wait until the
+        deadline and be refused then.
         """
-        await self.teach_rate()
+        await self.set_hold_time()
         await self.fill()
         await self.queue('team', 4)
         deadline = self.node.clock.now() + 2
         await self.queue('team', 1, deadline=deadline)
-        refusal = self.done[0][1]
+        refusal = self.outcomes[0][1]
         self.assertEqual(refusal, DEADLINE_UNMEETABLE)
         self.assertAlmostEqual(refusal.retry_after, 4 / 2)
 
-    async def test_request_whose_time_has_passed_gets_no_slot(self):
-        """A slot is not spent on an answer that comes too late.
+    async def test_waiting_request_with_too_little_time_gets_no_slot(self):
+        """A waiting request with too little time left gets no slot.
 
-        Symptom: under overload targets are busy, yet few answers count.
-        Sequence: a request's turn comes when half a second is left.
-        Cause: turns were given without regard to the deadline.
+        Its turn comes half a second before its deadline. A slot would be
+        wasted on an answer that comes too late; under overload few would be in
+        time.
         """
-        await self.teach_rate()
+        await self.set_hold_time()
         slots = await self.fill()
         deadline = self.node.clock.now() + 3
         await self.queue('late', 1, deadline=deadline)
@@ -147,22 +146,25 @@
         self.node.clock.advance(2.5)
         self.node.end(slots[0])
         await _settle()
-        self.assertEqual(self.done[0], ('late', DEADLINE_UNMEETABLE))
-        self.assertIsInstance(self.done[1][1], Slot)
+        self.assertEqual(self.outcomes[0], ('late', DEADLINE_UNMEETABLE))
+        self.assertIsInstance(self.outcomes[1][1], Slot)
 
-    async def test_requests_wait_for_a_target_that_backs_off(self):
-        """Requests stayed in the queue of a target that takes none."""
+    async def test_waiting_requests_are_refused_when_target_backs_off(self):
+        """Waiting requests are refused when their only target backs off.
+
+        Otherwise they would stay in the queue of a target that takes none.
+        """
         slots = await self.fill()
         await self.queue('team', 3)
         target = next(iter(self.node.targets.by_name.values()))
         target.retry_at = self.node.clock.now() + 5
         self.node.end(slots[0])
         await _settle()
-        waits = [outcome.retry_after for _team, outcome in self.done]
+        waits = [outcome.retry_after for _team, outcome in self.outcomes]
         self.assertEqual(waits, [5, 5, 5])
-        self.assertEqual(self.done[0][1], TARGETS_BACK_OFF)
+        self.assertEqual(self.outcomes[0][1], TARGETS_BACK_OFF)
 
-    async def test_return_is_that_of_the_first_target(self):
+    async def test_retry_time_is_that_of_the_first_target(self):
         self.node = Node(make_rows(3))
         now = self.node.clock.now()
         targets = list(self.node.targets.by_name.values())
@@ -176,8 +178,11 @@
         slot = await self.node.routing.enter(self.node.ask())
         self.assertIs(slot.target, targets[1])
 
-    async def test_own_zone_leaves_and_the_other_backs_off(self):
-        """A request was queued though no target of any zone takes it."""
+    async def test_refused_if_own_zone_leaves_and_other_backs_off(self):
+        """A request is refused if the own zone leaves and the other backs off.
+
+        Otherwise it would be queued although no target of any zone takes it.
+        """
         away = make_rows(2, zone='zone-b')
         self.node = Node([*make_rows(2), *away])
         now = self.node.clock.now()
@@ -196,60 +201,57 @@
         self.assertEqual(refusal, NO_TARGET)
 
 
-class LeaveTest(QueueCase):
-    """Callers that go away while they wait."""
+class CapacityTest(QueueCase):
+    """Requests that are cancelled while they wait, and freed capacity."""
 
-    async def test_slot_granted_to_a_caller_that_left_is_given_on(self):
-        """A cancelled request keeps no slot.
+    async def test_slot_granted_to_a_cancelled_request_is_released(self):
+        """A slot granted to a cancelled request is released.
 
-        Symptom: a target seems ever fuller until it gets nothing more.
-        Sequence: a slot is granted and, before the waiting task runs, its
-        caller goes away.
-        Cause: nobody gives the slot back.
+        The request is cancelled after the grant and before its task runs. If
+        the slot stayed taken, the target would look ever fuller until it got
+        nothing.
         """
         slots = await self.fill()
-        gone = (await self.queue('gone'))[0]
+        cancelled = (await self.queue('gone'))[0]
         await self.queue('next')
         self.node.end(slots[0])
-        gone.cancel()
+        cancelled.cancel()
         await _settle()
-        self.assertTrue(gone.cancelled())
-        self.assertEqual([team for team, _slot in self.done], ['next'])
+        self.assertTrue(cancelled.cancelled())
+        self.assertEqual([team for team, _slot in self.outcomes], ['next'])
         self.assertEqual(slots[0].state.held, 2)
 
-    async def test_waiting_request_that_leaves_keeps_no_place(self):
+    async def test_cancelled_request_leaves_the_queue(self):
         slots = await self.fill()
-        gone = (await self.queue('gone'))[0]
-        gone.cancel()
+        cancelled = (await self.queue('gone'))[0]
+        cancelled.cancel()
         await _settle()
         admission = self.node.routing.admission
-        line = admission.lines[self.node.ask().pool]
-        self.assertEqual((line.queue.waiting, line.grants), (0, {}))
+        pool_queue = admission.pool_queues[self.node.ask().pool]
+        self.assertEqual((pool_queue.queue.waiting, pool_queue.grants), (0, {}))
         for slot in slots:
             self.node.end(slot)
 
-    async def test_power_learns_how_many_wait_for_a_service(self):
-        """Hosts that are off stay off while requests wait.
+    async def test_number_waiting_for_a_service(self):
+        """The number of requests waiting for a service is available.
 
-        Symptom: a full service keeps its number of hosts.
-        Sequence: its targets are full, and requests wait at the router.
-        Cause: power sees the targets' own queues alone.
+        Power management needs it: targets' own queues alone don't show that
+        requests wait at the router, and hosts would stay off.
         """
         await self.fill()
         await self.queue('team', 3)
         waiting = self.node.routing.waiting
         self.assertEqual((waiting('llm'), waiting('desk')), (3, 0))
 
-    async def test_new_target_serves_those_who_wait(self):
-        """Room that no request's end announces is used.
+    async def test_new_target_serves_waiting_requests(self):
+        """A target that is added serves waiting requests.
 
-        Symptom: requests wait although a target was added.
-        Sequence: the queue is full of work, a row is added.
-        Cause: the queue moved only when a request ended.
+        If the queue were served only when a request ends, requests would wait
+        although a new target has room.
         """
         await self.fill()
         await self.queue('team')
         self.node.targets.update(make_rows(2, concurrency=2))
         self.node.routing.tick()
         await _settle()
-        self.assertIsInstance(self.done[0][1], Slot)
+        self.assertIsInstance(self.outcomes[0][1], Slot)
--- a/tests/test_routing_choice.py
+++ b/tests/test_routing_choice.py
@@ -25,7 +25,7 @@
             self.assertLessEqual(abs(counts['a'] - 0.7 * number), 1)
 
     def test_owners_are_bounded_and_weight_zero_is_not_picked(self):
-        shares = Shares(most_owners=10)
+        shares = Shares(max_owners=10)
         for number in range(100):
             picked = shares.pick(f'team-{number}', {'a': 0, 'b': 1})
             self.assertEqual(picked, 'b')
--- a/tests/test_routing_limits.py
+++ b/tests/test_routing_limits.py
@@ -1,4 +1,4 @@
-"""Tests of teams' limits, on one router and over several."""
+"""Tests of teams' limits, on one router and across several."""
 
 import unittest
 
@@ -12,20 +12,20 @@
 
 
 class OneRouterTest(unittest.TestCase):
-    """Limits of a router on its own."""
+    """Limits of a single router."""
 
     def setUp(self):
         self.clock = FakeClock()
         self.limits = TeamLimits(self.clock)
 
-    def test_requests_in_progress_are_bounded(self):
+    def test_concurrency_is_limited(self):
         team = TeamRow(name='team', concurrency=2)
         outcomes = [self.limits.enter(team, 1) for _ in range(3)]
         self.assertEqual(outcomes, [None, None, TEAM_CONCURRENCY])
         self.limits.leave(team, 1, 1)
         self.assertIsNone(self.limits.enter(team, 1))
 
-    def test_rate_holds_over_minutes_and_says_when_to_come_back(self):
+    def test_rate_is_enforced_and_refusals_have_a_retry_time(self):
         team = TeamRow(name='team', requests_per_minute=60)
         admitted = 0
         for _ in range(_SECONDS * 10):
@@ -41,14 +41,14 @@
         self.clock.advance(refusal.retry_after)
         self.assertIsNone(self.limits.enter(team, 1))
 
-    def test_tokens_not_used_are_given_back(self):
+    def test_unused_tokens_are_returned(self):
         team = TeamRow(name='team', tokens_per_minute=6000)
         self.assertIsNone(self.limits.enter(team, 1000))
         self.assertEqual(self.limits.enter(team, 1000), RATE_LIMITED)
         self.limits.leave(team, 1000, 10)
         self.assertIsNone(self.limits.enter(team, 900))
 
-    def test_request_larger_than_the_burst_passes_and_leaves_a_debt(self):
+    def test_request_larger_than_the_burst_leaves_a_debt(self):
         team = TeamRow(name='team', tokens_per_minute=600)
         self.assertIsNone(self.limits.enter(team, 500))
         refusal = self.limits.enter(team, 500)
@@ -56,7 +56,7 @@
 
 
 class FleetTest(unittest.IsolatedAsyncioTestCase):
-    """A rate over the whole fleet."""
+    """Rate limits across a fleet."""
 
     def setUp(self):
         self.clock = FakeClock()
@@ -67,73 +67,72 @@
         ]
         self.team = TeamRow(name='team', requests_per_minute=1200)
 
-    def ask_once(self, number, demand):
-        """Return how many of a burst a router admitted."""
+    def admitted_of(self, number, demand):
+        """Enter a burst of requests and return how many were admitted."""
         router = self.routers[number]
         refusals = [router.enter(self.team, 1) for _ in range(demand)]
         return refusals.count(None)
 
-    async def ask_for_a_minute(self, demands):
-        """Return how many requests each router admitted."""
+    async def send_for_a_minute(self, demands):
+        """Send for a minute and return the number admitted per router.
+
+        ``demands`` is requests per second by router.
+        """
         admitted = [0 for _ in self.routers]
         for _ in range(_SECONDS):
             for number, demand in enumerate(demands):
-                admitted[number] += self.ask_once(number, demand)
+                admitted[number] += self.admitted_of(number, demand)
             self.clock.advance(1)
             for router in self.routers:
                 router.tick()
             await self.net.settle()
         return admitted
 
-    async def test_rate_follows_demand_and_is_not_passed(self):
-        """The rate is one for the fleet, wherever the requests come.
+    async def test_rate_follows_demand_and_is_not_exceeded(self):
+        """The rate applies to the fleet, whichever routers get the requests.
 
-        Symptom: a team on one router gets a quarter of its rate, or four
-        times the rate on four routers.
-        Sequence: nearly all of a team's requests come through one router.
-        Cause: limits that know nothing of one another.
+        Nearly all requests come through one router. With independent limits a
+        team would get a quarter of its rate there, or four times its rate on
+        four routers.
         """
-        await self.ask_for_a_minute((40, 1, 0, 0))
-        admitted = await self.ask_for_a_minute((40, 1, 0, 0))
+        await self.send_for_a_minute((40, 1, 0, 0))
+        admitted = await self.send_for_a_minute((40, 1, 0, 0))
         self.assertLessEqual(sum(admitted), 1200 * 1.02)
         self.assertGreater(sum(admitted), 1200 * 0.85)
 
-    async def test_cut_off_routers_keep_to_an_even_share(self):
-        """Two sides of a partition do not both use the whole rate.
+    async def test_partitioned_routers_keep_even_shares(self):
+        """Two sides of a network partition stay within the rate together.
 
-        Symptom: a team's requests reach twice its rate during a cut.
-        Sequence: two routers are cut off from two others, all under load.
-        Cause: each side believes the other's demand to be gone.
+        Two routers are cut off from two others, all under load. If each side
+        assumed that the other has no demand, a team would get twice its rate.
         """
-        await self.ask_for_a_minute((40, 40, 40, 40))
+        await self.send_for_a_minute((40, 40, 40, 40))
         self.net.cut(('router-0', 'router-1'), ('router-2', 'router-3'))
-        await self.ask_for_a_minute((40, 40, 40, 40))
-        admitted = await self.ask_for_a_minute((40, 40, 40, 40))
+        await self.send_for_a_minute((40, 40, 40, 40))
+        admitted = await self.send_for_a_minute((40, 40, 40, 40))
         self.assertLessEqual(sum(admitted), 1200 * 1.05)
         self.assertGreater(min(admitted), 1200 / 4 * 0.8)
 
-    async def test_words_are_not_passed_on_where_all_are_linked(self):
-        """Control bytes of a small fleet grow with its links alone.
+    async def test_reports_are_not_forwarded_in_a_small_fleet(self):
+        """Reports are not forwarded in a fully linked fleet.
 
-        Symptom: eight idle routers send each other 15 KB a second.
-        Sequence: each router passes on each word to all that have it.
-        Cause: words spread as if they had to cross a larger fleet.
+        If each router forwarded each report to all others, eight idle routers
+        would send each other 15 KB per second.
         """
         for router in self.routers:
             router.tick()
         await self.net.settle()
         self.assertEqual(len(self.net.sent), 4 * 3)
 
-    async def test_two_that_cannot_hear_each_other_keep_to_the_rate(self):
-        """A single broken link neither passes the rate nor starves a router.
+    async def test_broken_link_neither_exceeds_rate_nor_starves_router(self):
+        """A broken link neither exceeds the rate nor starves a router.
 
-        Symptom: one router refuses a team that is within its rate.
-        Sequence: two routers lose each other; the others reach everyone
-        and pass nothing on.
-        Cause: a router that is not heard is taken for one without demand.
+        Two routers lose their link, and the others don't forward reports. A
+        router that isn't heard must not count as one without demand, or the
+        other would refuse a team that is within its rate.
         """
         self.net.cut(('router-0',), ('router-3',))
-        await self.ask_for_a_minute((40, 40, 40, 40))
-        admitted = await self.ask_for_a_minute((40, 40, 40, 40))
+        await self.send_for_a_minute((40, 40, 40, 40))
+        admitted = await self.send_for_a_minute((40, 40, 40, 40))
         self.assertLessEqual(sum(admitted), 1200 * 1.05)
         self.assertGreater(min(admitted), 1200 / 4 * 0.8)
--- a/tests/test_routing_rates.py
+++ b/tests/test_routing_rates.py
@@ -1,4 +1,4 @@
-"""Tests of rates over a fleet in which words go through homes."""
+"""Tests of rates in a fleet that reports demand through home routers."""
 
 import unittest
 from functools import partial
@@ -9,14 +9,14 @@
 from parameterized import parameterized
 
 from balsamreach.routing import fleet_rates
-from balsamreach.routing.demands import Demands, Told
+from balsamreach.routing.demands import DemandReport, Demands
 from balsamreach.routing.granted import HOME_DEFAULT, GrantedShares
 from balsamreach.routing.limits import TeamLimits
 from balsamreach.routing.rate_groups import (
-    INTERVAL,
-    TO_HOME,
-    TO_ROOT,
-    Collector,
+    LEVEL_HOME,
+    LEVEL_ROOT,
+    REPORT_INTERVAL,
+    DemandCollector,
     group_of,
     number_of,
 )
@@ -29,31 +29,31 @@
 
 _ROUTERS = 20
 _LIMIT = 6000
-_SECOND = _LIMIT / 60
+_PER_SECOND = _LIMIT / 60
 _ROW = TeamRow(name='team', requests_per_minute=_LIMIT)
-_TOKENS = TeamRow(name='team', tokens_per_minute=_LIMIT)
+_TOKEN_ROW = TeamRow(name='team', tokens_per_minute=_LIMIT)
 _TEAM = number_of('team')
 
 
 _GROUP = group_of(_TEAM)
 
 
-def _word(level, window, part, *, routers=1, group=_GROUP):
+def _demand_message(level, window, part, *, routers=1, group=_GROUP):
     parts = (RatePart(_TEAM, part),)
     return RateDemands(level, group, window, routers, parts=parts)
 
 
-def _near(net):
-    every = [one.me for one in net.fabric.nets.values()]
-    return tuple(one for one in every if one.zone == net.me.zone)
+def _members_of_zone(net):
+    members = [one.me for one in net.fabric.nets.values()]
+    return tuple(one for one in members if one.zone == net.me.zone)
 
 
-def _lost(net):
-    every = [one.me for one in net.fabric.nets.values()]
-    return tuple(one for one in every if one.zone != net.me.zone)
+def _members_of_other_zones(net):
+    members = [one.me for one in net.fabric.nets.values()]
+    return tuple(one for one in members if one.zone != net.me.zone)
 
 
-def _asks_and_has_more(limits, share):
+def _gets_larger_share(limits, share):
     for _ in range(2):
         limits[0].enter(_ROW, 1)
     for one in limits:
@@ -61,8 +61,8 @@
     return limits[0].share('team') > share
 
 
-class HomesTest(unittest.IsolatedAsyncioTestCase):
-    """Twenty routers in two zones, too many to tell all others."""
+class HomeRoutersTest(unittest.IsolatedAsyncioTestCase):
+    """Twenty routers in two zones, too many for reports to all others."""
 
     def setUp(self):
         self.clock = FakeClock()
@@ -78,14 +78,15 @@
         }
 
     async def run_for(self, seconds, demand, row=_ROW):
-        """Return the requests admitted each second by all routers.
+        """Run the fleet and return the requests admitted in each second.
 
-        ``demand`` is requests a second by the router's name.
+        ``demand`` is requests per second by the router's name.
         """
         admitted = []
         for _ in range(seconds):
             counts = [
-                self.ask(name, wanted, row) for name, wanted in demand.items()
+                self.admitted_of(name, wanted, row)
+                for name, wanted in demand.items()
             ]
             admitted.append(sum(counts))
             self.clock.advance(1)
@@ -94,8 +95,8 @@
             await self.net.settle()
         return admitted
 
-    def ask(self, name, wanted, row):
-        """Return how many requests one router admits, none if it is dead."""
+    def admitted_of(self, name, wanted, row):
+        """Return how many requests a router admits, none if it is dead."""
         one = self.limits.get(name)
         asked = [one.enter(row, 1) for _ in range(wanted)] if one else []
         return asked.count(None)
@@ -106,69 +107,67 @@
         return net.home(f'rates {group_of(_TEAM)}').incarnation
 
     def kill(self, name):
-        """Let a router vanish."""
+        """Remove a router from the fleet without notice."""
         self.net.kill(name)
         del self.limits[name]
 
-    def others(self, *names):
+    def other_router(self, *names):
         """Return a router of zone-0 that is none of these."""
         zone = [f'router-{number}' for number in range(0, _ROUTERS, 2)]
         return next(name for name in zone if name not in names)
 
-    @parameterized.expand((('requests', _ROW), ('tokens', _TOKENS)))
-    async def test_rate_follows_demand_for_few_words(self, _name, row):
-        """A team has its whole rate wherever its requests come.
+    @parameterized.expand((('requests', _ROW), ('tokens', _TOKEN_ROW)))
+    async def test_rate_follows_demand_with_few_messages(self, _name, row):
+        """A team gets its whole rate at any router, with few messages.
 
-        Symptom: a team is refused at a twentieth of its rate, or control
-        takes 64 KB a second. Events: all requests come through one router
-        of a fleet too large for words to all. Cause: even shares, and words
-        that each router passes on.
+        All requests come through one router of a fleet too large for reports
+        to all. Even shares would limit the team to a twentieth of its rate;
+        forwarding every report would take 64 KB per second.
         """
         await self.run_for(20, {'router-0': 80}, row)
         sent = len(self.net.sent)
         admitted = await self.run_for(60, {'router-0': 80}, row)
         self.assertGreater(sum(admitted), 60 * 80 * 0.99)
-        words = (len(self.net.sent) - sent) / 60 / _ROUTERS
-        self.assertLess(words, 3.5)
+        messages = (len(self.net.sent) - sent) / 60 / _ROUTERS
+        self.assertLess(messages, 3.5)
         admitted = await self.run_for(
             60, {'router-0': 150, 'router-1': 50}, row
         )
-        self.assertLess(sum(admitted), 60 * _SECOND * 1.1)
-        self.assertGreater(sum(admitted), 60 * _SECOND * 0.9)
+        self.assertLess(sum(admitted), 60 * _PER_SECOND * 1.1)
+        self.assertGreater(sum(admitted), 60 * _PER_SECOND * 0.9)
 
-    async def test_home_that_dies_refuses_nobody(self):
-        """Shares hold until the next home knows everyone's demand.
+    async def test_death_of_home_refuses_no_request_within_the_rate(self):
+        """Shares stay in force until the next home knows all demand.
 
-        Symptom: a team at 0.7 of its rate is refused for seconds. Events:
-        the home of its group dies. Cause: the share is given up with its
-        home, or the next home answers before all have told it.
+        The home of a team's group dies. If its shares ended at once, or the
+        next home answered before all had reported, a team at 0.7 of its rate
+        would be refused for seconds.
         """
-        asking = self.others(self.home())
-        await self.run_for(30, {asking: 70})
+        sending_router = self.other_router(self.home())
+        await self.run_for(30, {sending_router: 70})
         self.kill(self.home())
-        admitted = await self.run_for(60, {asking: 70})
+        admitted = await self.run_for(60, {sending_router: 70})
         self.assertEqual(min(admitted), 70)
 
-    async def test_home_that_dies_lets_nobody_past_the_rate(self):
-        """The next home shares out only what is of those it has heard.
+    async def test_death_of_home_does_not_exceed_the_rate(self):
+        """A new home grants only the budget of the routers it has heard.
 
-        Symptom: a team gets twice its rate for half a minute. Events: the
-        home dies, and some routers have told the next one. Cause: it shares
-        out the whole rate among those.
+        The home dies, and only some routers have reported to the next one. If
+        it granted them the whole rate, a team would get twice its rate for
+        half a minute.
         """
         demand = dict.fromkeys(self.limits, 10)
         await self.run_for(40, demand)
         self.kill(self.home())
         admitted = await self.run_for(60, demand)
         worst = max(sum(admitted[at : at + 10]) for at in range(50))
-        self.assertLess(worst, 10 * _SECOND * 1.1)
+        self.assertLess(worst, 10 * _PER_SECOND * 1.1)
 
-    async def test_two_sides_of_a_cut_keep_to_one_rate(self):
-        """Both sides together stay within the rate, also when called dead.
+    async def test_two_sides_of_a_partition_keep_to_one_rate(self):
+        """Both sides of a partition stay within the rate together.
 
-        Symptom: a team's requests reach twice its rate during a cut.
-        Events: the zones lose each other; a while later each holds the
-        other for dead. Cause: each side takes the other's demand for gone.
+        The zones lose each other, and later each presumes the other dead. If
+        the other side's demand were dropped, a team would get twice its rate.
         """
         demand = dict.fromkeys(self.limits, 10)
         await self.run_for(30, demand)
@@ -178,42 +177,42 @@
         ]
         self.net.cut(*halves)
         admitted = await self.run_for(60, demand)
-        self.assertLess(sum(admitted), 60 * _SECOND * 1.05)
+        self.assertLess(sum(admitted), 60 * _PER_SECOND * 1.05)
 
         with (
-            mock.patch.object(FakePeerNet, 'members', _near),
-            mock.patch.object(FakePeerNet, 'departed', _lost),
+            mock.patch.object(FakePeerNet, 'members', _members_of_zone),
+            mock.patch.object(FakePeerNet, 'departed', _members_of_other_zones),
         ):
             await self.run_for(30, demand)
             admitted = await self.run_for(60, demand)
-        self.assertLess(sum(admitted), 60 * _SECOND * 1.05)
-        self.assertGreater(sum(admitted), 60 * _SECOND * 0.9)
+        self.assertLess(sum(admitted), 60 * _PER_SECOND * 1.05)
+        self.assertGreater(sum(admitted), 60 * _PER_SECOND * 0.9)
 
-    async def test_lost_and_doubled_words_change_nothing(self):
-        """Words that are lost, doubled or turned around do no harm.
+    async def test_lost_and_duplicated_messages_do_not_change_the_rate(self):
+        """Lost and duplicated messages do not change the admitted rate.
 
-        Symptom: a team's rate halves or doubles on a bad network. Events:
-        words are lost and delivered twice. Cause: a doubled word is counted
-        as two routers', or a lost one as the end of a router.
+        If a duplicate counted as a second router's report, or a lost one as
+        the end of a router, a team's rate would halve or double on a bad
+        network.
         """
         demand = {'router-0': 60, 'router-1': 90}
         await self.run_for(30, demand)
         self.net.doubled.update({RateDemands: 2000, RateShares: 200})
         self.net.lost.update({RateDemands: 30, RateShares: 10})
         admitted = await self.run_for(60, demand)
-        self.assertLess(sum(admitted), 60 * _SECOND * 1.05)
-        self.assertGreater(sum(admitted), 60 * _SECOND * 0.9)
+        self.assertLess(sum(admitted), 60 * _PER_SECOND * 1.05)
+        self.assertGreater(sum(admitted), 60 * _PER_SECOND * 0.9)
         old = self.metrics.counted(
             'balsamreach_rate_words_total', outcome='old'
         )
         self.assertGreater(old, 0)
 
-    async def test_process_that_stood_still_keeps_no_old_share(self):
-        """A share does not outlive a pause in which it went to others.
+    async def test_suspended_router_keeps_no_expired_share(self):
+        """A share does not outlive a pause of its router.
 
-        Symptom: a team passes its rate after a router was paused. Events: a
-        router with the whole rate stands still for a minute; the clock
-        jumps when it goes on. Cause: a share without an age.
+        A router that has nearly the whole rate is suspended for a minute, and
+        the clock jumps. Meanwhile its share went to others: a share that did
+        not expire would exceed the rate.
         """
         await self.run_for(30, {'router-0': 90})
         self.assertGreater(self.limits['router-0'].share('team'), 0.8)
@@ -221,45 +220,46 @@
         even = 1 / _ROUTERS
         self.assertAlmostEqual(self.limits['router-0'].share('team'), even)
 
-    async def test_next_home_takes_the_place_of_the_dead_one(self):
-        """A zone is counted once while its home changes.
+    async def test_report_of_next_home_replaces_that_of_dead_home(self):
+        """A zone counts once while its home changes.
 
-        Symptom: a team is held to half of its rate after a home's death.
-        Events: the old home's word still counts as the next one's comes.
-        Cause: the root keeps words by sender, not by zone.
+        The old home's report is still valid when the next home's arrives. If
+        the root kept reports by sender instead of by zone, a team would be
+        limited to half of its rate after a home's death.
         """
         root = self.net.nets['router-0']
-        words = (('router-1', 900), ('router-3', 1), ('router-3', 2))
-        for home, window in words:
-            word = _word(TO_ROOT, window, 900_000, routers=10)
-            await root.take(self.net.nets[home].me, word)
-            self.clock.advance(INTERVAL)
+        messages = (('router-1', 900), ('router-3', 1), ('router-3', 2))
+        for home, window in messages:
+            message = _demand_message(LEVEL_ROOT, window, 900_000, routers=10)
+            await root.take(self.net.nets[home].me, message)
+            self.clock.advance(REPORT_INTERVAL)
         answer = self.net.sent[-1]
         self.assertEqual(answer.routers, 10)
         self.assertGreater(answer.parts[0].part, 400_000)
 
-    async def test_strange_words_are_borne(self):
-        """Words beyond all bounds, from a newer release, break nothing."""
+    async def test_out_of_range_messages_are_tolerated(self):
+        """Out-of-range messages, as from a newer release, do no harm."""
         await self.run_for(20, {'router-0': 80})
-        taker = self.net.nets['router-1']
-        source = self.net.nets['router-2'].me
+        receiver = self.net.nets['router-1']
+        sender = self.net.nets['router-2'].me
         for level in (0, 1, 2, 77):
-            strange = _word(level, 2**40, 2**32 - 1, routers=0, group=65535)
-            await taker.take(source, strange)
-        await taker.take(source, RateShares(9, 999, 2**63, 2**31))
+            message = _demand_message(
+                level, 2**40, 2**32 - 1, routers=0, group=65535
+            )
+            await receiver.take(sender, message)
+        await receiver.take(sender, RateShares(9, 999, 2**63, 2**31))
         admitted = await self.run_for(30, {'router-0': 80})
         self.assertGreater(sum(admitted), 30 * 80 * 0.9)
 
 
-class LinksTest(unittest.IsolatedAsyncioTestCase):
-    """Routers that tell each other over real links."""
+class RealLinksTest(unittest.IsolatedAsyncioTestCase):
+    """Routers that communicate over real links."""
 
-    async def test_homes_are_reached_over_links_opened_for_it(self):
-        """Shares come although no lasting link leads to a home.
+    async def test_homes_are_reached_without_permanent_links(self):
+        """Shares are granted although no permanent link leads to a home.
 
-        Symptom: each router of a large fleet stays at the even share.
-        Events: words are told where no link stands. Cause: a first word
-        that only opens the link is not followed by another.
+        The first report only opens the link and is lost. If no other followed,
+        each router of a large fleet would stay at the even share.
         """
         rig = Rig()
         self.addAsyncCleanup(rig.stop)
@@ -273,38 +273,38 @@
                 zone=f'zone-{number % 2}',
             )
         await rig.until(lambda: {len(names(net)) for net in rig.nets} == {5})
-        with mock.patch.object(fleet_rates, 'SMALL', 0):
+        with mock.patch.object(fleet_rates, 'MAX_BROADCAST_ROUTERS', 0):
             limits = [TeamLimits(rig.clock, net) for net in rig.nets]
-            await rig.until(partial(_asks_and_has_more, limits, 0.3))
+            await rig.until(partial(_gets_larger_share, limits, 0.3))
 
 
-class RolesTest(unittest.TestCase):
-    """Homes, roots and shares by themselves."""
+class RateRolesTest(unittest.TestCase):
+    """Homes, roots and granted shares on their own."""
 
-    def test_home_waits_until_everyone_could_tell(self):
-        home = Collector(TO_HOME, 0)
-        self.assertFalse(home.ready(100))
-        home.put('router', Told('router', 1, 150, 1, {}), 100)
-        self.assertFalse(home.ready(100 + INTERVAL - 1))
-        self.assertTrue(home.ready(100 + INTERVAL))
+    def test_home_waits_until_every_router_could_report(self):
+        home = DemandCollector(LEVEL_HOME, 0)
+        self.assertFalse(home.is_ready(100))
+        home.put('router', DemandReport('router', 1, 150, 1, {}), 100)
+        self.assertFalse(home.is_ready(100 + REPORT_INTERVAL - 1))
+        self.assertTrue(home.is_ready(100 + REPORT_INTERVAL))
 
     @parameterized.expand(
         (
             ('new', 0, 0.9),
-            ('held', 4 * INTERVAL, 0.9),
-            ('shrinking', 6 * INTERVAL, 0.5),
-            ('given up', 8 * INTERVAL, 0.1),
+            ('held', 4 * REPORT_INTERVAL, 0.9),
+            ('shrinking', 6 * REPORT_INTERVAL, 0.5),
+            ('given up', 8 * REPORT_INTERVAL, 0.1),
             ('after a jump of the clock', 10_000, 0.1),
         ),
     )
-    def test_share_shrinks_with_its_age(self, _name, age, share):
+    def test_share_decays_with_its_age(self, _name, age, share):
         granted = GrantedShares(HOME_DEFAULT)
         granted.record_request(2, {_TEAM: 800_000})
-        late = RateShares(TO_HOME, 0, 1, 1, (RatePart(_TEAM, 100),))
+        late = RateShares(LEVEL_HOME, 0, 1, 1, (RatePart(_TEAM, 100),))
         self.assertFalse(granted.apply_answer(late, 0))
-        answer = RateShares(TO_HOME, 0, 2, 1, (RatePart(_TEAM, 900_000),))
+        answer = RateShares(LEVEL_HOME, 0, 2, 1, (RatePart(_TEAM, 900_000),))
         self.assertTrue(granted.apply_answer(answer, 0))
-        found = granted.share(_TEAM, 0.1, age, INTERVAL)
+        found = granted.share(_TEAM, 0.1, age, REPORT_INTERVAL)
         self.assertAlmostEqual(found, share)
 
     @seed(5)
@@ -324,18 +324,24 @@
         ),
         st.floats(0.01, 1),
     )
-    def test_shares_sum_up_to_the_budget(self, words, budget):
+    def test_shares_add_up_to_the_budget(self, messages, budget):
         demands = Demands(0)
-        for number, (holder, window, at, parts) in enumerate(words):
+        for number, (reporter, window, at, parts) in enumerate(messages):
             demands.expire(number)
-            told = Told(f'{holder}', window, number + at, 1 + holder, parts)
-            demands.put(f'{holder}', told)
+            report = DemandReport(
+                f'{reporter}', window, number + at, 1 + reporter, parts
+            )
+            demands.put(f'{reporter}', report)
         found = [demands.find(f'{name}') for name in range(6)]
-        known = [told for told in found if told is not None]
-        self.assertEqual(sum(told.routers for told in known), demands.routers)
+        known = [report for report in found if report is not None]
+        self.assertEqual(
+            sum(report.routers for report in known), demands.routers
+        )
         for team in range(4):
-            wanted = sum(told.parts.get(team, 0) for told in known)
-            self.assertAlmostEqual(demands.total(team), wanted / 1_000_000)
-            shares = [demands.share(told, team, budget) for told in known]
+            wanted = sum(report.parts.get(team, 0) for report in known)
+            self.assertAlmostEqual(
+                demands.total_demand(team), wanted / 1_000_000
+            )
+            shares = [demands.share(report, team, budget) for report in known]
             if shares:
                 self.assertAlmostEqual(sum(shares), budget)
