--- a/src/balsamreach/routing/admission.py
+++ b/src/balsamreach/routing/admission.py
@@ -126,7 +126,7 @@
 
     def serve_queues_of(self, state: TargetState) -> None:
         """Serve the queues of all pools that a target belongs to."""
-        self.probation.freed(state)
+        self.probation.slot_released(state)
         for key in self.picker.pools.keys_of(state.target.row):
             pool_queue = self.pool_queues.get(key)
             if pool_queue is not None and pool_queue.queue.waiting:
--- a/src/balsamreach/routing/feedback.py
+++ b/src/balsamreach/routing/feedback.py
@@ -55,7 +55,9 @@
     def sent(self, slot: Slot) -> None:
         """Record that a request is being sent."""
         slot.sent(self.clock.now())
-        self.quarantine.crashes.started(slot.ask.fingerprint, slot.state.name)
+        self.quarantine.crash_detector.request_started(
+            slot.ask.fingerprint, slot.state.name
+        )
 
     def ended(self, slot: Slot) -> None:
         """Record the outcome of an exchange."""
@@ -87,7 +89,7 @@
         elif slot.verdict in {Verdict.GOOD, Verdict.FAILED}:
             self.quarantine.finished(fingerprint, name)
         else:
-            self.quarantine.crashes.ended(fingerprint, name)
+            self.quarantine.crash_detector.request_ended(fingerprint, name)
         if slot.verdict == Verdict.REFUSED:
             self.quarantine.refused(name)
 
--- a/src/balsamreach/routing/pools.py
+++ b/src/balsamreach/routing/pools.py
@@ -93,10 +93,10 @@
         self, now: float, criteria: Criteria
     ) -> Sequence[int]:
         """Return the indices of all available members."""
-        everyone = range(len(self.members))
+        indices = range(len(self.members))
         return [
             index
-            for index in everyone
+            for index in indices
             if self.is_available(index, now, criteria)
         ]
 
--- a/src/balsamreach/routing/probation.py
+++ b/src/balsamreach/routing/probation.py
@@ -1,4 +1,4 @@
-"""Runs suspects one by one, each at a target that runs nothing else."""
+"""Runs suspects one at a time, each alone at a target."""
 
 import asyncio
 from collections import deque
@@ -14,29 +14,29 @@
 from balsamreach.routing.pools import Group
 from balsamreach.routing.state import TargetState
 
-_MOST_STEPS = 16
-#: Suspects that may wait for a target of their own.
-_MOST_WAITING = 256
-#: Part of a group's targets that suspects may take up at a time.
-_PART = 4
+_MAX_RING_STEPS = 16
+#: Largest number of suspects that wait for a target.
+_MAX_WAITING = 256
+#: One suspect at a time may reserve a target per this many in the group.
+_TARGETS_PER_SUSPECT = 4
 
 
 @attrs.define(eq=False)
 class Probation:
-    """Keeps a target free for a suspect until it has run there.
+    """Reserves a target for a suspect until it has run there.
 
     Parameters
     ----------
     cfg : RoutingSettings
         Longest wait.
     clock : Clock
-        Time.
+        Clock of the router.
     """
 
     cfg: RoutingSettings
     clock: Clock
-    _empty: dict[TargetState, asyncio.Event] = attrs.field(factory=dict)
-    _turns: deque[asyncio.Future[None]] = attrs.field(factory=deque)
+    _empty_events: dict[TargetState, asyncio.Event] = attrs.field(factory=dict)
+    _waiting_turns: deque[asyncio.Future[None]] = attrs.field(factory=deque)
 
     async def enter(
         self,
@@ -44,25 +44,27 @@
         group: Group,
         tried: frozenset[str],
     ) -> TargetState | RoutingFault:
-        """Return a target that runs nothing else, its slot taken."""
-        until = min(
+        """Return an otherwise idle target with a slot taken, or a refusal."""
+        wait_until = min(
             self.clock.now() + self.cfg.deadline,
             ask.deadline,
         )
-        waits = _is_crowded(group)
-        while waits:
-            waits = await self._wait_turn(until) and _is_crowded(group)
+        must_wait = _is_at_capacity(group)
+        while must_wait:
+            must_wait = await self._wait_turn(wait_until) and _is_at_capacity(
+                group
+            )
         state = self._reserve(ask, group, tried)
         if state is None:
-            self._next_turn()
+            self._grant_next_turn()
             return faults.ALL_BUSY.because(
                 'the request may have crashed a target, so it has to run '
                 'alone, and no target can be kept free for it now',
             )
-        emptied = await self._wait_empty(state, until - self.clock.now())
-        if not emptied:
+        is_empty = await self._wait_empty(state, wait_until - self.clock.now())
+        if not is_empty:
             state.reserved_for = ''
-            self._next_turn()
+            self._grant_next_turn()
             return faults.DEADLINE_UNMEETABLE.after(
                 1,
                 'no target came free for the request to run alone',
@@ -70,59 +72,59 @@
         state.take_slot(self.clock.now())
         return state
 
-    def freed(self, state: TargetState) -> None:
-        """Take note that a target gave a slot back."""
-        event = self._empty.get(state)
+    def slot_released(self, state: TargetState) -> None:
+        """Record that a target's slot was released."""
+        event = self._empty_events.get(state)
         if event is not None and not state.held:
             event.set()
         if not state.reserved_for:
-            self._next_turn()
+            self._grant_next_turn()
 
-    async def _wait_turn(self, until: float) -> bool:
-        """Wait until a target may have come free; False if none will.
+    async def _wait_turn(self, wait_until: float) -> bool:
+        """Wait until a target may be available; False if none will be.
 
-        All neighbours of a crash are suspects at once, many more than may
-        take up targets at a time. Refused there and then, most of them would
-        be broken off though each could run a moment later.
+        All requests at a crashed target become suspects at once, many more
+        than may reserve targets at a time. Without a queue most of them would
+        fail, although each could run a moment later.
         """
-        left = until - self.clock.now()
-        kept_waiting = len(self._turns) >= _MOST_WAITING
-        if left <= 0 or kept_waiting:
+        time_left = wait_until - self.clock.now()
+        is_queue_full = len(self._waiting_turns) >= _MAX_WAITING
+        if time_left <= 0 or is_queue_full:
             return False
         turn = asyncio.get_running_loop().create_future()
-        self._turns.append(turn)
+        self._waiting_turns.append(turn)
         try:
-            await asyncio.wait((turn,), timeout=left)
+            await asyncio.wait((turn,), timeout=time_left)
         except asyncio.CancelledError:
             if turn.done():
-                self._next_turn()
+                self._grant_next_turn()
             raise
         finally:
             if not turn.done():
-                self._turns.remove(turn)
+                self._waiting_turns.remove(turn)
         return turn.done()
 
-    def _next_turn(self) -> None:
-        if self._turns:
-            self._turns.popleft().set_result(None)
+    def _grant_next_turn(self) -> None:
+        if self._waiting_turns:
+            self._waiting_turns.popleft().set_result(None)
 
-    async def _wait_empty(self, state: TargetState, left: float) -> bool:
+    async def _wait_empty(self, state: TargetState, time_left: float) -> bool:
         if not state.held:
             return True
         event = asyncio.Event()
-        self._empty[state] = event
-        waiting = asyncio.ensure_future(event.wait())
+        self._empty_events[state] = event
+        wait_task = asyncio.ensure_future(event.wait())
         try:
-            await asyncio.wait((waiting,), timeout=left)
+            await asyncio.wait((wait_task,), timeout=time_left)
         except asyncio.CancelledError:
-            # The caller went away. The target would otherwise stay closed
-            # to everyone, which shows as a target without requests.
+            # The caller was cancelled. Without this the target would stay
+            # reserved and get no requests.
             state.reserved_for = ''
-            self._next_turn()
+            self._grant_next_turn()
             raise
         finally:
-            self._empty.pop(state, None)
-            waiting.cancel()
+            self._empty_events.pop(state, None)
+            wait_task.cancel()
         return event.is_set()
 
     def _reserve(
@@ -131,27 +133,27 @@
         group: Group,
         tried: frozenset[str],
     ) -> TargetState | None:
-        """Choose a target by the request's own place on the ring.
+        """Choose a target by the fingerprint's position on the ring.
 
-        Two suspects of one crash, at whatever routers, hardly meet again
-        then. If they did, they could crash a second target between them
-        without showing which of them it was.
+        This makes it unlikely that two suspects of one crash, at any routers,
+        get the same target again. If they crashed a second target together, it
+        would not show which of them was the cause.
         """
-        if _is_crowded(group):
+        if _is_at_capacity(group):
             return None
         now = self.clock.now()
         key = xxhash.xxh3_64_intdigest(ask.fingerprint.encode())
         for step, index in enumerate(group.ring.walk(key)):
             state = group.members[index]
-            usable = state.accepts_requests(now) and state.name not in tried
-            if usable:
+            is_usable = state.accepts_requests(now) and state.name not in tried
+            if is_usable:
                 state.reserved_for = ask.fingerprint
                 return state
-            if step >= _MOST_STEPS:
+            if step >= _MAX_RING_STEPS:
                 break
         return None
 
 
-def _is_crowded(group: Group) -> bool:
-    kept = sum(bool(state.reserved_for) for state in group.members)
-    return kept * _PART >= len(group.members)
+def _is_at_capacity(group: Group) -> bool:
+    reserved = sum(bool(state.reserved_for) for state in group.members)
+    return reserved * _TARGETS_PER_SUSPECT >= len(group.members)
--- a/src/balsamreach/routing/quarantine.py
+++ b/src/balsamreach/routing/quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that crash targets are found, told to peers and kept out."""
+"""Finds requests that crash targets, and keeps them out at all routers."""
 
 import logging
 
@@ -7,7 +7,7 @@
 from balsamreach.clock import Clock
 from balsamreach.peers.base import PeerNet
 from balsamreach.routing import faults
-from balsamreach.routing.crashes import Break, Crashes
+from balsamreach.routing.crashes import BrokenConnection, CrashDetector
 from balsamreach.routing.faults import RoutingFault
 from balsamreach.routing.suspects import Suspects
 from balsamreach.telemetry.logs import log_event
@@ -25,16 +25,16 @@
 
 @attrs.frozen
 class Quarantined:
-    """A quarantine as operators see it.
+    """A quarantined request as shown to operators.
 
     Parameters
     ----------
     fingerprint, team : str
-        The request.
+        The request and its team.
     targets : tuple of str
         Targets it crashed.
     since : float
-        Wall time of its start.
+        Wall time at which the quarantine began.
     """
 
     fingerprint: str
@@ -45,42 +45,44 @@
 
 @attrs.define(eq=False)
 class Quarantine:
-    """Decides whether a request may run, and alone or among others.
+    """Decides whether a request may run, and whether it has to run alone.
 
     Parameters
     ----------
     suspects : Suspects
-        What is known of suspects.
+        Records of suspects.
     clock : Clock
-        Time.
+        Clock of the router.
     metrics : Metrics
-        Counters.
+        Metrics of the router.
     net : PeerNet or None
-        Other routers.
+        Connections to other routers.
+    crash_detector : CrashDetector
+        Breaks that may be crashes.
     """
 
     suspects: Suspects
     clock: Clock
     metrics: Metrics
     net: PeerNet | None = None
-    crashes: Crashes = attrs.field(factory=Crashes)
+    crash_detector: CrashDetector = attrs.field(factory=CrashDetector)
 
     def __attrs_post_init__(self) -> None:
         if self.net is not None:
-            self.net.on(Suspicion, self.take)
+            self.net.on(Suspicion, self.handle_suspicion)
 
     def check(self, fingerprint: str) -> RoutingFault | None:
-        """Return why a request must not run now, None if it may."""
+        """Return the refusal of a request that must not run now, else None."""
         if self.suspects.is_quarantined(fingerprint):
             self.metrics.count(_REFUSED, why=faults.QUARANTINED.code)
             return faults.QUARANTINED.because(
                 'the request crashed several targets; '
                 'an operator can lift its quarantine',
             )
-        broken = self.crashes.targets_broken(fingerprint)
+        broken = self.crash_detector.break_targets(fingerprint)
         suspect = self.suspects.by_print.get(fingerprint)
-        known = suspect.targets if suspect else set()
-        if len(broken | known) >= self.suspects.threshold:
+        known_targets = suspect.targets if suspect else set()
+        if len(broken | known_targets) >= self.suspects.threshold:
             self.metrics.count(_REFUSED, why=faults.SUSPECTED.code)
             return faults.SUSPECTED.because(
                 'the request broke off at several targets; '
@@ -89,25 +91,25 @@
         return None
 
     def must_run_alone(self, fingerprint: str) -> bool:
-        """Return whether it may run only at a target that runs no other."""
+        """Return whether a request may only run at an otherwise idle target."""
         if self.suspects.is_suspect(fingerprint):
             return True
-        # Where connections to many targets break at once, it was the network
-        # or a zone. To run each request alone then would close most targets
-        # to all others; it would show as a wave of overloaded refusals.
-        if self.crashes.many_at_once(self.clock.now()):
+        # Breaks at many targets at once are caused by the network or a zone.
+        # Running each affected request alone would close most targets to all
+        # others and lead to a wave of overloaded refusals.
+        if self.crash_detector.is_mass_break(self.clock.now()):
             return False
-        return bool(self.crashes.targets_broken(fingerprint))
+        return bool(self.crash_detector.break_targets(fingerprint))
 
     def finished(self, fingerprint: str, target: str) -> None:
-        """Take note that an exchange ended in order.
+        """Record the normal end of an exchange.
 
-        Its target lives, and the request does not crash targets.
+        It shows that the target is up and the request does not crash it.
         """
-        self.crashes.ended(fingerprint, target)
-        self.crashes.refute(target, fingerprint, self.clock.now())
-        # Peers are not told: a request that they have quarantined meanwhile
-        # must not be let out by its one good end here.
+        self.crash_detector.request_ended(fingerprint, target)
+        self.crash_detector.refute(target, fingerprint, self.clock.now())
+        # Peers are not informed: if they have quarantined the request
+        # meanwhile, one normal end here must not release it.
         self.suspects.clear(fingerprint)
 
     def broken(
@@ -117,35 +119,40 @@
         target: str,
         incarnation: str,
     ) -> None:
-        """Take note that a connection broke without an orderly end."""
+        """Record a connection that broke before the exchange was complete."""
         now = self.clock.now()
-        self.crashes.ended(fingerprint, target)
-        self.crashes.broke(Break(fingerprint, team, target, incarnation, now))
-        # Whether the target crashed may show only seconds later. Sent again
-        # meanwhile through another router, the request would take a third
-        # and a fourth target. Breaks all over, as when a zone is cut off,
-        # are the network's, and no reason to flood the peers.
-        if self.net is not None and not self.crashes.many_at_once(now):
+        self.crash_detector.request_ended(fingerprint, target)
+        self.crash_detector.record_break(
+            BrokenConnection(fingerprint, team, target, incarnation, now)
+        )
+        # A crash may be confirmed only seconds later. If peers did not know of
+        # the break, the request could be sent through other routers meanwhile
+        # and crash a third and a fourth target. Breaks at many targets, as
+        # when a zone is cut off, are caused by the network and not reported,
+        # so as not to flood the peers.
+        if self.net is not None and not self.crash_detector.is_mass_break(now):
             crash = f'{target}@{incarnation}'
             self.net.broadcast(
                 Suspicion(fingerprint, team, crash, unexplained=True),
             )
 
     def refused(self, target: str) -> None:
-        """Take note that a target refuses connections: it has crashed."""
-        self._confirm(self.crashes.confirm(target, self.clock.now()))
+        """Record a refused connection, which confirms a crash."""
+        self._record_crashes(
+            self.crash_detector.confirm(target, self.clock.now())
+        )
 
-    def reported(self, target: str, incarnation: str) -> None:
-        """Take a target's report: a new start after a break is a crash."""
-        breaks = self.crashes.judge_report(
+    def handle_report(self, target: str, incarnation: str) -> None:
+        """Confirm a crash if a report has a new incarnation after a break."""
+        breaks = self.crash_detector.check_report(
             target,
             incarnation,
             self.clock.now(),
         )
-        self._confirm(breaks)
+        self._record_crashes(breaks)
 
     def listed(self) -> tuple[Quarantined, ...]:
-        """Return all quarantines."""
+        """Return all quarantined requests."""
         return tuple(
             Quarantined(
                 fingerprint,
@@ -163,7 +170,7 @@
             return False
         at = self.clock.wall()
         self.suspects.lift(fingerprint, at)
-        _show_held(self)
+        _update_held_gauge(self)
         if self.net is not None:
             self.net.spread(Suspicion(fingerprint, '', lifted=True, at=at))
         log_event(
@@ -174,40 +181,40 @@
         )
         return True
 
-    async def take(self, sender: Member, message: Message) -> None:
-        """Take another router's word and spread what is news."""
+    async def handle_suspicion(self, sender: Member, message: Message) -> None:
+        """Handle another router's suspicion and forward it if it is new."""
         if not isinstance(message, Suspicion) or self.net is None:
             return
         if message.unexplained:
-            news = self._heard(message)
+            is_new = self._record_peer_break(message)
         elif message.lifted:
-            news = self.suspects.lift(message.fingerprint, message.at)
-            _show_held(self)
+            is_new = self.suspects.lift(message.fingerprint, message.at)
+            _update_held_gauge(self)
         else:
-            news = self._blame(message)
-        if news:
+            is_new = self._record_crash(message)
+        if is_new:
             self.net.broadcast(message, sender)
 
-    def _heard(self, message: Suspicion) -> bool:
+    def _record_peer_break(self, message: Suspicion) -> bool:
         fingerprint = message.fingerprint
         target, _at, incarnation = message.target.rpartition('@')
         suspect = self.suspects.by_print.get(fingerprint)
-        known = suspect is not None and message.target in suspect.crashes
-        if known or target in self.crashes.targets_broken(fingerprint):
+        is_known = suspect is not None and message.target in suspect.crashes
+        if is_known or target in self.crash_detector.break_targets(fingerprint):
             return False
-        self.crashes.broke(
-            Break(
+        self.crash_detector.record_break(
+            BrokenConnection(
                 fingerprint,
                 message.team,
                 target,
                 incarnation,
                 self.clock.now(),
-                told=True,
+                from_peer=True,
             ),
         )
         return True
 
-    def _confirm(self, breaks: tuple[Break, ...]) -> None:
+    def _record_crashes(self, breaks: tuple[BrokenConnection, ...]) -> None:
         at = self.clock.wall()
         for broken in breaks:
             message = Suspicion(
@@ -216,23 +223,25 @@
                 target=f'{broken.target}@{broken.incarnation}',
                 at=at,
             )
-            if self._blame(message) and self.net is not None:
+            if self._record_crash(message) and self.net is not None:
                 self.net.broadcast(message)
 
-    def _blame(self, message: Suspicion) -> bool:
+    def _record_crash(self, message: Suspicion) -> bool:
         fingerprint = message.fingerprint
-        self.crashes.explain(fingerprint, message.target.rpartition('@')[0])
+        self.crash_detector.resolve(
+            fingerprint, message.target.rpartition('@')[0]
+        )
         before = self.suspects.is_quarantined(fingerprint)
-        news = self.suspects.blame(
+        is_new = self.suspects.record_crash(
             fingerprint,
             message.team,
             message.target,
             message.at,
         )
-        if news:
+        if is_new:
             self.metrics.count(_CONFIRMED)
         if not before and self.suspects.is_quarantined(fingerprint):
-            _show_held(self)
+            _update_held_gauge(self)
             log_event(
                 _logger,
                 logging.WARNING,
@@ -241,8 +250,8 @@
                 fingerprint=fingerprint,
                 target=message.target,
             )
-        return news
+        return is_new
 
 
-def _show_held(quarantine: Quarantine) -> None:
+def _update_held_gauge(quarantine: Quarantine) -> None:
     quarantine.metrics.gauge(_HELD, len(quarantine.listed()))
--- a/src/balsamreach/routing/routing.py
+++ b/src/balsamreach/routing/routing.py
@@ -170,12 +170,12 @@
         added free capacity without any request ending.
         """
         states = self.admission.picker.pools.states
-        self.quarantine.crashes.expire(self.clock.now())
-        for name in self.quarantine.crashes.pending():
+        self.quarantine.crash_detector.expire(self.clock.now())
+        for name in self.quarantine.crash_detector.unexplained_targets():
             state = states.get(name)
             if state is not None:
                 incarnation = state.target.report.incarnation
-                self.quarantine.reported(name, incarnation)
+                self.quarantine.handle_report(name, incarnation)
         self.admission.serve_all_queues()
 
     def _pick_untried(
--- a/src/balsamreach/routing/suspects.py
+++ b/src/balsamreach/routing/suspects.py
@@ -1,29 +1,32 @@
-"""Which requests were at a target when it crashed, and what that says."""
+"""Records of requests that were at a target when it crashed."""
 
 from collections import OrderedDict
 
 import attrs
 
-_MOST_REQUESTS = 10_000
-_MOST_CRASHES = 2000
-#: Suspicion is forgotten after this many seconds without a new crash.
-_MEMORY = 3600.0
+_MAX_REQUESTS = 10_000
+_MAX_CRASHES = 2000
+#: Seconds after the last crash at which a record expires.
+_RECORD_LIFETIME = 3600.0
 
 
 @attrs.define(eq=False)
 class Suspect:
-    """One request's record, known by its fingerprint.
+    """The record of one request, which is identified by its fingerprint.
 
     Parameters
     ----------
     team : str
-        Team that sent it.
+        Team that sent the request.
     crashes : dict of str to str
-        Crashes it was present at: target by crash.
+        Crashes it was present at: target by crash id.
     lifted_at : float
-        Wall time of an operator's lift; crashes before it do not count.
+        Wall time at which an operator lifted the quarantine; crashes before
+        it do not count.
     quarantined_at : float
-        Wall time of the quarantine, 0 if there is none.
+        Wall time at which the quarantine began, 0 if there is none.
+    seen_at : float
+        Wall time of the last crash or lift.
     """
 
     team: str
@@ -45,35 +48,37 @@
     Parameters
     ----------
     threshold : int
-        Targets after which a request is quarantined.
+        Number of crashed targets at which a request is quarantined.
+    by_print : dict of str to Suspect
+        Records by fingerprint.
     """
 
     threshold: int
     by_print: OrderedDict[str, Suspect] = attrs.field(factory=OrderedDict)
-    _present: OrderedDict[str, set[str]] = attrs.field(factory=OrderedDict)
+    _present_at: OrderedDict[str, set[str]] = attrs.field(factory=OrderedDict)
 
-    def blame(
+    def record_crash(
         self,
         fingerprint: str,
         team: str,
         crash: str,
         at: float,
     ) -> bool:
-        """Take note that a request was at a target as it crashed.
+        """Record that a request was at a target when it crashed.
 
         Parameters
         ----------
         fingerprint, team : str
-            The request.
+            The request and its team.
         crash : str
-            ``target@incarnation``: one crash of one target.
+            Crash id, ``target@incarnation``.
         at : float
             Wall time of the crash.
 
         Returns
         -------
         bool
-            False if this was known or lies before a lift.
+            False if it was recorded already or happened before a lift.
         """
         suspect = self.by_print.get(fingerprint)
         if suspect is None:
@@ -84,13 +89,13 @@
         suspect.crashes[crash] = crash.rpartition('@')[0]
         suspect.seen_at = at
         self.by_print.move_to_end(fingerprint)
-        self._present.setdefault(crash, set()).add(fingerprint)
-        self._judge(fingerprint, suspect, at)
-        self._bound(at)
+        self._present_at.setdefault(crash, set()).add(fingerprint)
+        self._check_threshold(fingerprint, suspect, at)
+        self._evict(at)
         return True
 
     def clear(self, fingerprint: str) -> bool:
-        """Forget a suspect that has since run to its end; False if none."""
+        """Remove a suspect that has since completed; False if there is none."""
         suspect = self.by_print.get(fingerprint)
         if suspect is None or not suspect.crashes or suspect.quarantined_at:
             return False
@@ -99,10 +104,10 @@
         return True
 
     def lift(self, fingerprint: str, at: float) -> bool:
-        """End a quarantine by an operator's word; False if that is known.
+        """End a quarantine for an operator; False if that is known already.
 
-        The record stays, so that older reports that still travel between
-        routers cannot bring the quarantine back.
+        The record is kept, so that older reports still in transit between
+        routers can't restore the quarantine.
         """
         suspect = self.by_print.get(fingerprint)
         if suspect is None:
@@ -114,19 +119,19 @@
         suspect.lifted_at = at
         suspect.seen_at = at
         suspect.quarantined_at = 0
-        self._bound(at)
+        self._evict(at)
         return True
 
-    def weight(self, fingerprint: str) -> float:
-        """Return the suspicion: one for each crash, split among those there.
+    def suspicion(self, fingerprint: str) -> float:
+        """Return the suspicion: each crash counts as one, split among suspects.
 
-        Requests that ended well since are no longer among them.
+        Requests that have completed since are no longer suspects.
         """
         suspect = self.by_print.get(fingerprint)
         if suspect is None:
             return 0
         crashes = suspect.crashes
-        return sum(1 / len(self._present[crash]) for crash in crashes)
+        return sum(1 / len(self._present_at[crash]) for crash in crashes)
 
     def is_quarantined(self, fingerprint: str) -> bool:
         """Return whether a request must not run."""
@@ -134,37 +139,39 @@
         return suspect is not None and suspect.quarantined_at > 0
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Return whether a request was at some crash and may be its cause."""
+        """Return whether a request may have caused a crash."""
         suspect = self.by_print.get(fingerprint)
         return suspect is not None and bool(suspect.crashes)
 
-    def _judge(self, fingerprint: str, suspect: Suspect, at: float) -> None:
+    def _check_threshold(
+        self, fingerprint: str, suspect: Suspect, at: float
+    ) -> None:
         if len(suspect.targets) < self.threshold:
             return
-        alone = self._companions(fingerprint, suspect) == 1
-        if alone or self.weight(fingerprint) >= 1:
+        is_only_suspect = self._count_common_suspects(fingerprint, suspect) == 1
+        if is_only_suspect or self.suspicion(fingerprint) >= 1:
             suspect.quarantined_at = at
 
-    def _companions(self, fingerprint: str, suspect: Suspect) -> int:
-        """Return how many requests were present at all its crashes."""
-        sets = [self._present[crash] for crash in suspect.crashes]
-        return len(set.intersection(*sets))
+    def _count_common_suspects(self, fingerprint: str, suspect: Suspect) -> int:
+        """Return how many suspects were present at all of its crashes."""
+        present_sets = [self._present_at[crash] for crash in suspect.crashes]
+        return len(set.intersection(*present_sets))
 
     def _forget_crashes(self, fingerprint: str, suspect: Suspect) -> None:
         for crash in suspect.crashes:
-            present = self._present.get(crash, set())
+            present = self._present_at.get(crash, set())
             present.discard(fingerprint)
             if not present:
-                self._present.pop(crash, None)
+                self._present_at.pop(crash, None)
         suspect.crashes = {}
 
-    def _bound(self, now: float) -> None:
+    def _evict(self, now: float) -> None:
         while self.by_print:
             oldest = next(iter(self.by_print))
             suspect = self.by_print[oldest]
-            crowded = len(self.by_print) > _MOST_REQUESTS
-            crowded = crowded or len(self._present) > _MOST_CRASHES
-            if not crowded and now - suspect.seen_at < _MEMORY:
+            over_limit = len(self.by_print) > _MAX_REQUESTS
+            over_limit = over_limit or len(self._present_at) > _MAX_CRASHES
+            if not over_limit and now - suspect.seen_at < _RECORD_LIFETIME:
                 return
             self._forget_crashes(oldest, suspect)
             self.by_print.pop(oldest)
--- a/tests/test_routing_quarantine.py
+++ b/tests/test_routing_quarantine.py
@@ -1,4 +1,4 @@
-"""Tests of requests that crash targets, and of those beside them."""
+"""Tests of the quarantine of requests that crash targets."""
 
 import asyncio
 import unittest
@@ -13,7 +13,7 @@
 
 
 class QuarantineCase(unittest.IsolatedAsyncioTestCase):
-    """Three routers that see the same targets."""
+    """Three routers with the same targets."""
 
     def setUp(self):
         self.clock = FakeClock()
@@ -23,33 +23,32 @@
             for number in range(3)
         ]
 
-    async def crash(self, node, fingerprint=_CULPRIT, beside=()):
-        """Let a request crash its target; return the target's name."""
+    async def crash(self, node, fingerprint=_CULPRIT, others_at_target=()):
+        """Let a request crash its target and return the target's name."""
         slot = await node.send(fingerprint=fingerprint)
         name = slot.target.name
         node.end(slot, Verdict.BROKEN)
-        for other in beside:
+        for other in others_at_target:
             if other.target.name == name:
                 node.end(other, Verdict.BROKEN)
         node.quarantine.refused(name)
         await self.net.settle()
         return name
 
-    async def _break(self, node):
+    async def _break_connection(self, node):
         slot = await node.send(fingerprint=_CULPRIT)
         node.end(slot, Verdict.BROKEN)
 
 
-class CrashTest(QuarantineCase):
-    """At most two targets are lost, whatever way the request comes."""
+class CrashingRequestTest(QuarantineCase):
+    """A request crashes at most two targets, whichever routers it uses."""
 
-    async def test_sent_again_through_other_routers_it_is_refused(self):
-        """A request that crashes targets is kept out after two.
+    async def test_request_is_refused_at_all_routers_after_two_crashes(self):
+        """All routers refuse a request that has crashed two targets.
 
-        Symptom: one engine after another dies.
-        Sequence: a request crashes its engine; the caller sends the same
-        body under a new key through another router, and a third one.
-        Cause: each router and each key saw only one crash.
+        A request crashes its engine, and its caller sends the same body under
+        another key through a second and a third router. If each router or key
+        counted on its own, it would crash one engine after another.
         """
         first = await self.crash(self.nodes[0])
         second = await self.crash(self.nodes[1])
@@ -60,48 +59,44 @@
         innocent = await self.nodes[2].send(fingerprint='innocent')
         self.nodes[2].end(innocent)
 
-    async def test_crashes_not_yet_explained_stop_a_third_run(self):
-        """Two breaks are enough to stop, before anybody knows the cause.
+    async def test_two_unexplained_breaks_refuse_a_request(self):
+        """Two unexplained breaks suffice to refuse a request.
 
-        Symptom: a third engine is lost within a second.
-        Sequence: the connection to two targets breaks; the caller retries
-        before any refused connection or report shows that they crashed.
-        Cause: only confirmed crashes counted.
+        Connections to two targets break, and the caller retries before a
+        refused connection or a report confirms a crash. If only confirmed
+        crashes counted, a third engine would be lost within a second.
         """
         node = self.nodes[0]
         for _ in range(2):
-            await self._break(node)
+            await self._break_connection(node)
         refusal = await node.routing.enter(node.ask(_CULPRIT))
         self.assertEqual(refusal, SUSPECTED)
         self.assertGreater(refusal.retry_after, 0)
 
     async def test_new_incarnation_in_a_report_confirms_a_crash(self):
-        """A target that restarts faster than anybody connects is seen.
+        """A new incarnation in a load report confirms a crash.
 
-        Symptom: crashes go unnoticed where engines restart at once.
-        Sequence: the connection breaks; the next report has another
-        incarnation; no connection was ever refused.
-        Cause: only refused connections counted as proof.
+        An engine that restarts at once refuses no connection, so its crash
+        would otherwise go unnoticed.
         """
         node = self.nodes[0]
         slot = await node.send(fingerprint=_CULPRIT)
         slot.incarnation = 'start-1'
         node.end(slot, Verdict.BROKEN)
-        node.quarantine.reported(slot.target.name, 'start-1')
+        node.quarantine.handle_report(slot.target.name, 'start-1')
         suspects = node.quarantine.suspects
         self.assertFalse(suspects.is_suspect(_CULPRIT))
-        node.quarantine.reported(slot.target.name, 'start-2')
+        node.quarantine.handle_report(slot.target.name, 'start-2')
         self.assertTrue(suspects.is_suspect(_CULPRIT))
 
-    async def test_lift_reaches_all_routers_and_old_reports_do_not_undo_it(
+    async def test_lift_reaches_all_routers_and_outlasts_old_suspicions(
         self,
     ):
-        """An operator's lift holds.
+        """A lifted quarantine is not restored by older suspicions.
 
-        Symptom: a lifted quarantine comes back by itself.
-        Sequence: an operator lifts it; a report of an older crash arrives
-        late from a router that was cut off.
-        Cause: reports carry no order of their own.
+        An operator lifts it, then a suspicion of an earlier crash arrives late
+        from a router that was cut off. Suspicions arrive in no particular
+        order.
         """
         await self.crash(self.nodes[0])
         await self.crash(self.nodes[1])
@@ -115,33 +110,34 @@
         for node in self.nodes:
             quarantine = node.quarantine
             for message in late:
-                await quarantine.take(sender, message)
+                await quarantine.handle_suspicion(sender, message)
             self.assertEqual(quarantine.listed(), ())
             self.assertIsNone(quarantine.check(_CULPRIT))
 
 
-class InnocentTest(QuarantineCase):
-    """Requests that shared a target with the culprit go on."""
+class InnocentRequestTest(QuarantineCase):
+    """Requests that ran next to the culprit are not quarantined."""
 
-    async def test_neighbour_is_suspected_runs_alone_and_is_cleared(self):
-        """Being there at one crash does not keep a request out.
+    async def test_other_request_at_a_crash_runs_alone_and_is_cleared(self):
+        """Presence at one crash does not keep a request out.
 
-        Symptom: callers of harmless requests are refused after a crash.
-        Sequence: a culprit and other requests share a target that
-        crashes; the others are retried.
-        Cause: all that were there look alike.
+        A culprit and other requests run at a target that crashes, and the
+        others are retried. They run alone and are cleared when they complete,
+        instead of being refused like the culprit.
         """
         node = Node(clock=self.clock, options=('routing.policy=round_robin',))
-        beside = [await node.send(fingerprint=f'n{num}') for num in range(8)]
-        await self.crash(node, beside=beside)
+        others_at_target = [
+            await node.send(fingerprint=f'n{num}') for num in range(8)
+        ]
+        await self.crash(node, others_at_target=others_at_target)
         quarantine = node.quarantine
         suspects = [
             slot.ask.fingerprint
-            for slot in beside
+            for slot in others_at_target
             if quarantine.must_run_alone(slot.ask.fingerprint)
         ]
         self.assertEqual(len(suspects), 2)
-        for slot in beside:
+        for slot in others_at_target:
             if slot.ask.fingerprint not in suspects:
                 node.end(slot)
         for name in suspects:
@@ -156,12 +152,11 @@
             [_CULPRIT],
         )
 
-    async def test_suspect_waits_until_its_target_is_empty(self):
-        """A suspect never shares a target again.
+    async def test_suspect_waits_until_its_target_is_idle(self):
+        """A suspect does not share a target.
 
-        Symptom: the same innocent requests are at each crash.
-        Sequence: all targets are busy when a suspect is retried.
-        Cause: it was sent to a target that ran others.
+        All targets are busy when a suspect is retried. If it shared one, the
+        same innocent requests would be present at each crash.
         """
         node = self.nodes[0]
         await self.crash(node)
@@ -176,13 +171,12 @@
         alone = await waiting
         self.assertEqual(alone.state.held, 1)
 
-    async def test_break_beside_a_request_that_ends_well_is_no_crash(self):
-        """A connection that breaks alone accuses nobody.
+    async def test_normal_end_of_another_request_refutes_a_crash(self):
+        """A break is no crash if another request at the target ends normally.
 
-        Symptom: requests are held back after a middlebox lost connections.
-        Sequence: one of two connections to a target breaks; the other
-        request, sent before, ends well.
-        Cause: a break was taken for a crash.
+        One of two connections to a target breaks, as in a middlebox; the other
+        request was sent before and ends normally. Otherwise requests would be
+        held back without a crash.
         """
         node = Node(rows=None, options=('routing.policy=round_robin',))
         slots = [await node.send(fingerprint=f'n{num}') for num in range(5)]
@@ -192,12 +186,12 @@
         node.end(slots[4])
         self.assertFalse(node.quarantine.must_run_alone('n0'))
 
-    async def test_many_targets_broken_at_once_close_no_target(self):
-        """A cut zone does not set off a wave of requests that run alone.
+    async def test_mass_break_makes_no_request_run_alone(self):
+        """Breaks at many targets at once do not make requests run alone.
 
-        Symptom: most requests are refused as overloaded after a cut.
-        Sequence: connections to all targets break within a second.
-        Cause: each broken request was to run alone at its next target.
+        A zone is cut off, and connections to all targets break within a
+        second. If each request had to run alone, most would be refused as
+        overloaded.
         """
         node = Node(options=('routing.policy=round_robin',))
         slots = [await node.send(fingerprint=f'n{num}') for num in range(4)]
@@ -206,13 +200,12 @@
         quarantine = node.quarantine
         self.assertFalse(any(map(quarantine.must_run_alone, ('n0', 'n3'))))
 
-    async def test_a_peers_break_that_nobody_explains_is_forgotten(self):
-        """A request runs alone for good after a peer lost a connection.
+    async def test_unexplained_break_of_a_peer_expires(self):
+        """An unexplained break reported by a peer expires.
 
-        Symptom: requests wait although targets have room. Sequence: one
-        router's connection to a target breaks and peers are told; the
-        target lives on, but a peer of another zone never sends there.
-        Cause: only own requests at that target showed that it lived.
+        One router's connection breaks and peers are informed. The target is
+        up, but a peer in another zone never sends there, so none of its
+        requests can refute the break. The request would run alone forever.
         """
         slot = await self.nodes[0].send(fingerprint='n0')
         self.nodes[0].end(slot, Verdict.BROKEN)
@@ -223,9 +216,11 @@
         peer.routing.tick()
         self.assertFalse(peer.quarantine.must_run_alone('n0'))
 
-    def test_records_are_bounded(self):
+    def test_number_of_records_is_bounded(self):
         suspects = self.nodes[0].quarantine.suspects
         for number in range(12000):
             crash = f'target-{number}@1'
-            suspects.blame(f'f{number}', 'team', crash, self.clock.wall())
+            suspects.record_crash(
+                f'f{number}', 'team', crash, self.clock.wall()
+            )
         self.assertLessEqual(len(suspects.by_print), 2000)
