--- a/src/balsamreach/routing/admission.py
+++ b/src/balsamreach/routing/admission.py
@@ -271,7 +271,7 @@
         )
 
     def _estimate_wait(self, pool_queue: PoolQueue, ahead: int) -> float:
-        held = self.picker.pools.held(pool_queue.key)
+        held = self.picker.pools.slots_held(pool_queue.key)
         return pool_queue.hold_times.estimate_wait(ahead, held)
 
     def _queue_of(self, key: PoolKey) -> PoolQueue:
--- a/src/balsamreach/routing/feedback.py
+++ b/src/balsamreach/routing/feedback.py
@@ -54,7 +54,7 @@
 
     def sent(self, slot: Slot) -> None:
         """Record that a request is being sent."""
-        slot.sent(self.clock.now())
+        slot.mark_sent(self.clock.now())
         self.quarantine.crash_detector.request_started(
             slot.ask.fingerprint, slot.state.name
         )
--- a/src/balsamreach/routing/pools.py
+++ b/src/balsamreach/routing/pools.py
@@ -249,7 +249,7 @@
             self._pools[key] = pool
         return pool
 
-    def held(self, key: PoolKey) -> int:
+    def slots_held(self, key: PoolKey) -> int:
         """Return the number of slots held at the targets of a pool."""
         members = self._members.get(key, ())
         known = filter(None, map(self.states.get, members))
--- a/src/balsamreach/routing/slot.py
+++ b/src/balsamreach/routing/slot.py
@@ -76,7 +76,7 @@
         """Record the arrival of the first byte of the answer."""
         self.first_at = self.clock.now()
 
-    def sent(self, now: float) -> None:
+    def mark_sent(self, now: float) -> None:
         """Record that the request is being sent."""
         self.sent_at = now
         self.in_progress = self.state.held
