--- a/src/balsamreach/table/editor.py
+++ b/src/balsamreach/table/editor.py
@@ -1,4 +1,4 @@
-"""Operators' edits as conditional commits that are found again by their id."""
+"""Commits operators' edits with optimistic locking, idempotent by edit id."""
 
 import random
 from collections.abc import Callable
@@ -16,10 +16,10 @@
 from balsamreach.table.edits import (
     Accepted,
     Edit,
-    Planned,
-    Stored,
-    check_reuse,
-    plan,
+    EditPlan,
+    StoredRows,
+    check_id_reuse,
+    plan_edit,
 )
 from balsamreach.table.faults import (
     BAD_ROW,
@@ -29,35 +29,35 @@
 )
 from balsamreach.telemetry.metrics import Metrics
 
-#: Most edits committed together.
+#: Maximum number of edits in one call.
 LARGEST_BATCH = 100
-_ATTEMPTS = 16
-#: After so many conflicts a batch goes on in halves.
-_WHOLE_ATTEMPTS = 2
-_FIRST_PAUSE_S = 0.005
-_LONGEST_PAUSE_S = 0.2
+_COMMIT_ATTEMPTS = 16
+#: A batch that still conflicts after this many retries is split in halves.
+_RETRIES_BEFORE_SPLIT = 2
+_FIRST_BACK_OFF_S = 0.005
+_MAX_BACK_OFF_S = 0.2
 
 Outcome = Accepted | TableFault
 
 
 @attrs.define
 class _Batch:
-    """Edits on their way, and what has become of them."""
+    """Edits to commit and their outcomes so far."""
 
     edits: tuple[Edit, ...]
     outcomes: dict[str, Outcome] = attrs.field(factory=dict)
-    #: Whether a commit was sent that may still take effect.
-    sent: bool = False
+    #: Whether a commit without an answer may have taken effect.
+    maybe_committed: bool = False
 
     def pending(self) -> tuple[Edit, ...]:
-        """Return the edits whose outcome is open."""
+        """Return the edits without an outcome."""
         return tuple(
             edit for edit in self.edits if edit.edit_id not in self.outcomes
         )
 
     def fail(self, fault: TableFault) -> None:
-        """Give up on what is pending."""
-        if self.sent:
+        """Set the outcome of all pending edits to a fault."""
+        if self.maybe_committed:
             fault = EDIT_UNKNOWN.because(
                 f'{fault.reason}; ask again with the same edit id',
             )
@@ -72,15 +72,15 @@
     Parameters
     ----------
     service : TableService
-        Where the table is kept.
+        Holds the table.
     clock : Clock
-        Time for the history and for pauses between attempts.
+        Wall time of history entries; sleeps between attempts.
     rng : random.Random
-        Spreads the attempts of editors that collide.
+        Jitter of the delay between attempts.
     metrics : Metrics
-        Counts edits by their outcome.
+        Counts edits by outcome.
     publish : callable
-        Takes rows that were just committed, to bring them into force.
+        Called with the committed rows, to apply them locally at once.
     """
 
     service: TableService
@@ -90,7 +90,7 @@
     publish: Callable[[tuple[Row, ...]], None] | None = None
 
     async def apply(self, edit: Edit) -> Outcome:
-        """Commit an edit if the row still has the version it names.
+        """Commit an edit if the row still has the expected version.
 
         Parameters
         ----------
@@ -100,116 +100,128 @@
         Returns
         -------
         Accepted or TableFault
-            TABLE_AWAY and whatever names a flaw mean that nothing changed,
-            EDIT_UNKNOWN that asking again with the same edit id tells.
+            With EDIT_UNKNOWN the edit may have been committed; sending it
+            again with the same edit id tells. With any other fault nothing
+            changed.
         """
         outcomes = await self.apply_all((edit,))
         return outcomes[0]
 
     async def apply_all(self, edits: tuple[Edit, ...]) -> tuple[Outcome, ...]:
-        """Commit edits of different rows, in as few commits as possible.
+        """Commit edits of different rows in as few commits as possible.
 
-        Each edit stands for itself: one that is refused keeps none of the
-        others from being accepted.
+        The edits are independent: a refused one doesn't affect the others.
 
         Parameters
         ----------
         edits : tuple of Edit
-            At most ``LARGEST_BATCH`` edits, each id and row only once.
+            At most ``LARGEST_BATCH`` edits with distinct ids and rows.
 
         Returns
         -------
         tuple of Accepted or TableFault
-            What became of each edit, in the order given.
+            The outcome of each edit, in the same order.
         """
         batch = _Batch(edits)
-        await self._settle(batch)
+        await self._apply_batch(batch)
         outcomes = tuple(batch.outcomes[edit.edit_id] for edit in edits)
         for outcome in outcomes:
             self._count(outcome)
         self._publish(edits, outcomes)
         return outcomes
 
-    async def _settle(self, batch: _Batch) -> None:
-        for attempt in range(_ATTEMPTS):
-            planned = await self._plan(batch)
-            if not planned:
+    async def _apply_batch(self, batch: _Batch) -> None:
+        for attempt in range(_COMMIT_ATTEMPTS):
+            plans = await self._plan_pending(batch)
+            if not plans:
                 return
-            fault = await self._commit(batch, planned)
+            fault = await self._commit(batch, plans)
             if fault is None:
                 return
-            retried = fault in {CONFLICT, UNKNOWN}
-            if len(planned) > 1 and (attempt >= _WHOLE_ATTEMPTS or not retried):
-                await self._settle_halves(batch)
+            retryable = fault in {CONFLICT, UNKNOWN}
+            if len(plans) > 1 and (
+                attempt >= _RETRIES_BEFORE_SPLIT or not retryable
+            ):
+                await self._apply_halves(batch)
                 return
-            if not retried:
-                batch.fail(_from_platform(fault))
+            if not retryable:
+                batch.fail(_to_table_fault(fault))
                 return
-            await self._pause(attempt)
-        batch.fail(TABLE_AWAY.because('others keep changing the same rows'))
+            await self._back_off(attempt)
+        batch.fail(
+            TABLE_AWAY.because('other edits keep changing the same rows')
+        )
 
-    async def _settle_halves(self, batch: _Batch) -> None:
-        # One busy account would otherwise hold up all edits that were sent
-        # along with it.
+    async def _apply_halves(self, batch: _Batch) -> None:
+        # A commit of many rows fails if one check fails, so one account that
+        # routers update all the time would block every edit of the batch.
         pending = batch.pending()
         middle = len(pending) // 2
         for part in (pending[:middle], pending[middle:]):
-            half = _Batch(part, batch.outcomes, batch.sent)
-            await self._settle(half)
+            half = _Batch(part, batch.outcomes, batch.maybe_committed)
+            await self._apply_batch(half)
 
-    async def _plan(self, batch: _Batch) -> dict[str, Planned]:
-        """Plan what is pending; note what is decided already."""
+    async def _plan_pending(self, batch: _Batch) -> dict[str, EditPlan]:
+        """Plan the pending edits; set the outcome of those already decided."""
         pending = batch.pending()
-        keys = tuple(key for edit in pending for key in edit.deciding())
+        keys = tuple(key for edit in pending for key in edit.row_keys())
         read = await self.service.read(keys)
         if isinstance(read, PlatformFault):
             batch.fail(TABLE_AWAY.because(f'table service: {read.code}'))
             return {}
-        planned: dict[str, Planned] = {}
+        plans: dict[str, EditPlan] = {}
         for edit, *stored in zip(
             pending, read[::3], read[1::3], read[2::3], strict=True
         ):
-            outcome = await self._decide(edit, Stored(*stored))
-            if isinstance(outcome, Planned):
-                planned[edit.edit_id] = outcome
+            outcome = await self._decide(edit, StoredRows(*stored))
+            if isinstance(outcome, EditPlan):
+                plans[edit.edit_id] = outcome
             else:
                 batch.outcomes[edit.edit_id] = outcome
-        return planned
-
-    async def _decide(self, edit: Edit, stored: Stored) -> Planned | Outcome:
-        # An edit whose answer was lost is sent again with the same id; its
-        # own record, written in the same commit, tells that it was
-        # accepted, also if others changed the row since.
-        earlier = stored.earlier
-        if earlier.value is None:
-            return plan(edit, stored, self.clock.wall())
-        reused = check_reuse(edit, earlier)
-        if reused is not None:
-            return reused
-        read = await self.service.read((earlier.value['history'],))
+        return plans
+
+    async def _decide(
+        self,
+        edit: Edit,
+        stored: StoredRows,
+    ) -> EditPlan | Outcome:
+        # A client whose answer was lost sends the edit again with the same
+        # id. The edit record is written in the same commit as the row, so it
+        # proves that the edit was accepted, even if the row changed since.
+        edit_record = stored.edit_record
+        if edit_record.value is None:
+            return plan_edit(edit, stored, self.clock.wall())
+        reuse_fault = check_id_reuse(edit, edit_record)
+        if reuse_fault is not None:
+            return reuse_fault
+        read = await self.service.read((edit_record.value['history'],))
         if isinstance(read, PlatformFault):
             return EDIT_UNKNOWN.because('ask again with the same edit id')
         entry = read[0].value or {}
-        return Accepted(earlier.version, entry.get('after'))
+        return Accepted(edit_record.version, entry.get('after'))
 
     async def _commit(
         self,
         batch: _Batch,
-        planned: dict[str, Planned],
+        plans: dict[str, EditPlan],
     ) -> PlatformFault | None:
-        writes = tuple(w for part in planned.values() for w in part.writes)
-        checks = tuple(c for part in planned.values() for c in part.checks)
+        writes = tuple(
+            w for edit_plan in plans.values() for w in edit_plan.writes
+        )
+        checks = tuple(
+            c for edit_plan in plans.values() for c in edit_plan.checks
+        )
         outcome = await self.service.commit(Commit(writes, checks))
         if isinstance(outcome, PlatformFault):
-            batch.sent = batch.sent or outcome == UNKNOWN
+            batch.maybe_committed = batch.maybe_committed or outcome == UNKNOWN
             return outcome
-        for edit_id, part in planned.items():
-            batch.outcomes[edit_id] = Accepted(outcome, part.after)
+        for edit_id, edit_plan in plans.items():
+            batch.outcomes[edit_id] = Accepted(outcome, edit_plan.after)
         return None
 
-    async def _pause(self, attempt: int) -> None:
-        longest = min(_FIRST_PAUSE_S * 2**attempt, _LONGEST_PAUSE_S)
-        await self.clock.sleep(self.rng.uniform(0, longest))
+    async def _back_off(self, attempt: int) -> None:
+        limit = min(_FIRST_BACK_OFF_S * 2**attempt, _MAX_BACK_OFF_S)
+        await self.clock.sleep(self.rng.uniform(0, limit))
 
     def _count(self, outcome: Outcome) -> None:
         code = outcome.code if isinstance(outcome, TableFault) else 'accepted'
@@ -229,7 +241,9 @@
             self.publish(rows)
 
 
-def _from_platform(fault: PlatformFault) -> TableFault:
+def _to_table_fault(fault: PlatformFault) -> TableFault:
     if fault == INVALID:
-        return BAD_ROW.because('the table service calls the edit malformed')
+        return BAD_ROW.because(
+            'the table service rejects the edit as malformed'
+        )
     return TABLE_AWAY.because(f'table service: {fault.code}')
--- a/src/balsamreach/table/faults.py
+++ b/src/balsamreach/table/faults.py
@@ -1,4 +1,4 @@
-"""Sentinel errors of the table layer."""
+"""Faults of reading and editing the table."""
 
 from typing import Self
 
@@ -10,34 +10,34 @@
 
 @attrs.frozen
 class TableFault(Fault):
-    """An error met while reading or editing the table.
+    """A fault of reading or editing the table.
 
     Parameters
     ----------
     row : Row or None
-        The row as it stands, where an edit lost against it.
+        Current row, if the edit conflicts with it.
     """
 
     row: Row | None = attrs.field(default=None, eq=False)
 
     def against(self, row: Row) -> Self:
-        """Return the same fault with the row as it stands."""
+        """Return the same fault with the current row."""
         return attrs.evolve(self, row=row)
 
 
-#: A field is unknown, missing or out of its range.
+#: A field is unknown, missing or out of range.
 BAD_ROW = TableFault('bad_row')
 #: The row changed since the operator saw it.
 STALE_EDIT = TableFault('stale_edit')
-#: The new prepaid budget is below what is spent or allotted already.
+#: The new prepaid budget is less than what is already spent or allotted.
 BELOW_TAKEN = TableFault('below_taken')
-#: There is no such row.
+#: The row does not exist.
 NO_ROW = TableFault('no_row')
-#: The table service cannot be reached or refuses for now.
+#: The table service is unreachable or refuses requests.
 TABLE_AWAY = TableFault('table_away')
-#: No answer came, and the edit could not be found either way.
+#: No answer came, so the edit may or may not have been committed.
 EDIT_UNKNOWN = TableFault('edit_unknown')
-#: An edit id was used before for another edit.
+#: The edit id was used before for another edit.
 ID_TAKEN = TableFault('edit_id_taken')
-#: A snapshot is damaged, cut or of a format that is not known here.
+#: A snapshot is damaged, truncated or in an unknown format.
 BAD_SNAPSHOT = TableFault('bad_snapshot')
--- a/src/balsamreach/table/history.py
+++ b/src/balsamreach/table/history.py
@@ -1,4 +1,4 @@
-"""Who changed a row, when, and from what to what."""
+"""The edit history of rows: who changed a row, when, and how."""
 
 from typing import Any
 
@@ -10,10 +10,9 @@
 
 EDIT_PREFIX = 'edit/'
 HISTORY_PREFIX = 'history/'
-#: Versions are written as the distance to this, so that keys sort with the
-#: newest first.
-_HIGHEST = 10**18 - 1
-LARGEST_PAGE = 200
+#: Keys contain the version's distance to this, so that the newest sort first.
+_MAX_VERSION = 10**18 - 1
+MAX_PAGE_ENTRIES = 200
 
 
 @attrs.frozen
@@ -23,9 +22,9 @@
     Parameters
     ----------
     entries : tuple of dict
-        The edits.
+        The edits, newest first.
     after : str
-        Where the next page starts; empty on the last one.
+        Position to continue from; empty on the last page.
     """
 
     entries: tuple[dict[str, Any], ...]
@@ -33,22 +32,22 @@
 
 
 def history_key(key: str, version: int) -> str:
-    """Return the key of the entry of an edit.
+    """Return the key of a history entry.
 
     Parameters
     ----------
     key : str
         Key of the row.
     version : int
-        Version that the edit replaced. It grows with every commit to a row
-        and needs no clock, which hosts may have set wrong.
+        Version of the row before the edit. It grows with every commit to the
+        row, unlike timestamps of hosts with wrong clocks.
 
     Returns
     -------
     str
-        A key that sorts before those of the row's earlier edits.
+        A key that sorts before those of earlier edits of the row.
     """
-    return f'{_prefix(key)}{_HIGHEST - version:018d}'
+    return f'{_prefix(key)}{_MAX_VERSION - version:018d}'
 
 
 async def read_history(
@@ -62,13 +61,13 @@
     Parameters
     ----------
     service : TableService
-        Where it is kept.
+        Holds the history.
     key : str
         Key of the row.
     after : str
-        End of the page before, empty for the first page.
+        ``after`` of the previous page, empty for the first page.
     limit : int
-        Most entries on the page.
+        Maximum number of entries, at most 200.
 
     Returns
     -------
@@ -77,7 +76,7 @@
     """
     prefix = _prefix(key)
     start = prefix + after if after else ''
-    count = min(max(limit, 1), LARGEST_PAGE)
+    count = min(max(limit, 1), MAX_PAGE_ENTRIES)
     page = await service.scan(Scan(prefix, after=start, limit=count))
     if not isinstance(page, Page):
         return TABLE_AWAY.because(f'table service: {page.code}')
--- a/src/balsamreach/table/pruning.py
+++ b/src/balsamreach/table/pruning.py
@@ -1,4 +1,4 @@
-"""Deletes the records of edits that are older than they are kept for."""
+"""Deletes edit records and history entries after their retention time."""
 
 import attrs
 
@@ -19,28 +19,28 @@
 from balsamreach.table.history import EDIT_PREFIX, HISTORY_PREFIX
 from balsamreach.telemetry.metrics import Metrics
 
-#: Where routers agree on who prunes next, and from where on.
+#: Row that the routers share to agree on who prunes the next page.
 PRUNING_KEY = 'pruning/edits'
-#: Shortest time between two pages, over the whole fleet.
-PAGE_EVERY_S = 60
-#: A gap longer than this between two pages may be a clock that is wrong.
-_LONGEST_GAP_S = 86400
+#: Minimum time between two pages across the fleet.
+PAGE_INTERVAL_S = 60
+#: A longer time between two pages may come from a wrong clock.
+_MAX_GAP_S = 86400
 _PAGE_ROWS = 1000
 _COMMIT_ROWS = 200
 
 
 @attrs.frozen
 class Progress:
-    """How far pruning has come, as stored in the table service.
+    """Progress of pruning, stored in the table service.
 
     Parameters
     ----------
     at : float
-        Wall time at which the last page was begun.
+        Wall time at which the last page was started.
     prefix : str
-        Which records are looked at next.
+        Key prefix of the records to scan next.
     after : str
-        Last key that was looked at; empty to begin with the first.
+        Last scanned key; empty to start with the first one.
     """
 
     at: float = 0
@@ -50,18 +50,18 @@
 
 @attrs.define(eq=False)
 class Pruner:
-    """Looks at one page of records at a time and deletes the old ones.
+    """Scans one page of records at a time and deletes the expired ones.
 
     Parameters
     ----------
     cfg : Settings
-        How long records are kept.
+        Retention times.
     service : TableService
-        Where they are.
+        Holds the records.
     clock : Clock
-        Wall time, by which records are dated.
+        Wall time, compared with the records' timestamps.
     metrics : Metrics
-        Counts what is deleted.
+        Counts deleted records.
     """
 
     cfg: Settings
@@ -75,56 +75,64 @@
         Returns
         -------
         int or TableFault
-            Records deleted, or TABLE_AWAY.
+            Number of deleted records, or TABLE_AWAY.
         """
         read = await self.service.read((PRUNING_KEY,))
         if isinstance(read, PlatformFault):
-            return _away(read)
+            return _table_away(read)
         row, now = read[0], self.clock.wall()
         progress = Progress(**(row.value or {}))
         gap = now - progress.at
-        if 0 <= gap < PAGE_EVERY_S:
+        if 0 <= gap < PAGE_INTERVAL_S:
             return 0
-        # The commit that dates the page is conditional, so of all routers
-        # that find it due one prunes it.
-        begun = attrs.evolve(progress, at=now)
-        version = await self._store(begun, row)
+        # The commit of the page's start time is conditional, so only one of
+        # the routers that find the page due prunes it.
+        started = attrs.evolve(progress, at=now)
+        version = await self._store_progress(started, row)
         if isinstance(version, PlatformFault):
-            return _away(version)
-        # A host whose clock is far ahead would find every record old and
-        # delete the whole history. It would show as a gap since the page
-        # that another host dated; so a page is pruned only if the dates of
-        # two pages are close to each other.
-        if not 0 <= gap <= _LONGEST_GAP_S:
+            return _table_away(version)
+        # A host with a clock far ahead would find every record expired and
+        # delete the whole history. Its time would be far from the one that
+        # another host stored, so a page is pruned only if the times of two
+        # pages are close.
+        if not 0 <= gap <= _MAX_GAP_S:
             return 0
-        return await self._prune(Row(PRUNING_KEY, version, {}), begun)
+        return await self._prune(Row(PRUNING_KEY, version, {}), started)
 
-    async def _prune(self, row: Row, begun: Progress) -> int | TableFault:
+    async def _prune(self, row: Row, started: Progress) -> int | TableFault:
         page = await self.service.scan(
-            Scan(begun.prefix, after=begun.after, limit=_PAGE_ROWS),
+            Scan(started.prefix, after=started.after, limit=_PAGE_ROWS),
         )
         if not isinstance(page, Page):
-            return _away(page)
-        oldest = begun.at - self._kept_for(begun.prefix)
-        old = [one for one in page.rows if _is_older(one, oldest)]
-        for start in range(0, len(old), _COMMIT_ROWS):
-            fault = await self._delete(old[start : start + _COMMIT_ROWS])
+            return _table_away(page)
+        cutoff = started.at - self._retention_s(started.prefix)
+        expired = [
+            record for record in page.rows if _is_expired(record, cutoff)
+        ]
+        for start in range(0, len(expired), _COMMIT_ROWS):
+            fault = await self._delete(expired[start : start + _COMMIT_ROWS])
             if fault is not None:
-                return _away(fault)
-        self.metrics.count('balsamreach_table_records_pruned_total', len(old))
-        await self._store(_next(begun, page), row)
-        return len(old)
+                return _table_away(fault)
+        self.metrics.count(
+            'balsamreach_table_records_pruned_total', len(expired)
+        )
+        await self._store_progress(_next_progress(started, page), row)
+        return len(expired)
 
-    async def _delete(self, old: list[Row]) -> PlatformFault | None:
+    async def _delete(self, expired: list[Row]) -> PlatformFault | None:
         outcome = await self.service.commit(
             Commit(
-                tuple(Write(row.key, None) for row in old),
-                tuple(Check(row.key, row.version) for row in old),
+                tuple(Write(row.key, None) for row in expired),
+                tuple(Check(row.key, row.version) for row in expired),
             ),
         )
         return outcome if isinstance(outcome, PlatformFault) else None
 
-    async def _store(self, progress: Progress, row: Row) -> int | PlatformFault:
+    async def _store_progress(
+        self,
+        progress: Progress,
+        row: Row,
+    ) -> int | PlatformFault:
         version = ABSENT if row.value is None else row.version
         return await self.service.commit(
             Commit(
@@ -133,22 +141,22 @@
             ),
         )
 
-    def _kept_for(self, prefix: str) -> float:
+    def _retention_s(self, prefix: str) -> float:
         if prefix == EDIT_PREFIX:
             return self.cfg.table.keep_edit_ids
         return self.cfg.table.keep_history
 
 
-def _next(begun: Progress, page: Page) -> Progress:
+def _next_progress(started: Progress, page: Page) -> Progress:
     if page.more:
-        return attrs.evolve(begun, after=page.rows[-1].key)
-    other = HISTORY_PREFIX if begun.prefix == EDIT_PREFIX else EDIT_PREFIX
-    return Progress(begun.at, other)
+        return attrs.evolve(started, after=page.rows[-1].key)
+    other = HISTORY_PREFIX if started.prefix == EDIT_PREFIX else EDIT_PREFIX
+    return Progress(started.at, other)
 
 
-def _is_older(row: Row, oldest: float) -> bool:
-    return row.value is not None and row.value['at'] < oldest
+def _is_expired(row: Row, cutoff: float) -> bool:
+    return row.value is not None and row.value['at'] < cutoff
 
 
-def _away(fault: PlatformFault) -> TableFault:
+def _table_away(fault: PlatformFault) -> TableFault:
     return TABLE_AWAY.because(f'table service: {fault.code}')
--- a/src/balsamreach/table/rows.py
+++ b/src/balsamreach/table/rows.py
@@ -1,4 +1,4 @@
-"""Typed rows of the table and their form in the table service."""
+"""Types of table rows and their encoding in the table service."""
 
 import re
 from collections.abc import Mapping
@@ -6,7 +6,7 @@
 
 import attrs
 
-from balsamreach.table import checks, conversions
+from balsamreach.table import conversions, validators
 from balsamreach.table.faults import BAD_ROW, TableFault
 
 TEAM_PREFIX = 'table/team/'
@@ -21,61 +21,66 @@
 ENGINE = 'engine'
 PLAIN_SERVICE = 'service'
 
-#: The model name with which a caller leaves the choice to the team's row.
+#: Model name that lets the router choose by the weights in the team's row.
 ANY_MODEL = 'auto'
 
 
 @attrs.frozen(kw_only=True, weakref_slot=False)
 class TeamRow:
-    """What operators set for one team.
+    """Settings of a team, made by operators.
 
     Parameters
     ----------
     name : str
         Unique name of the team.
     prepaid : int
-        Tokens paid for in advance, over all time.
+        Total of all tokens ever paid for in advance.
     weight : float
-        Share of contended capacity relative to other teams.
+        Share of scarce capacity relative to other teams.
     priority : int
-        Engines run higher numbers first.
+        Engines run requests with higher numbers first.
     concurrency : int
-        Requests in progress at one router; 0 means no limit.
+        Maximum number of requests in progress per router; 0 means no limit.
     requests_per_minute, tokens_per_minute : int
-        Rates over the whole fleet; 0 means no limit.
+        Rate limits across the fleet; 0 means no limit.
     models : dict of str to float
-        Models the team may use with their shares of ``auto`` requests;
-        empty means every model.
+        Models the team may use, with their shares of ``auto`` requests; empty
+        means every model.
     max_tokens : int
+        Completion limit of requests that set none.
         Completion length set where a request names none.
     state : str
         ``active`` or ``paused``.
     key_hashes : tuple of str
-        SHA-256 of the team's keys in hex.
+        SHA-256 digests of the team's keys in hex.
     """
 
-    name: str = attrs.field(validator=checks.name)
-    prepaid: int = attrs.field(default=0, validator=checks.count)
-    weight: float = attrs.field(default=1, validator=checks.number)
-    priority: int = attrs.field(default=0, validator=checks.count)
-    concurrency: int = attrs.field(default=0, validator=checks.count)
-    requests_per_minute: int = attrs.field(default=0, validator=checks.count)
-    tokens_per_minute: int = attrs.field(default=0, validator=checks.count)
+    name: str = attrs.field(validator=validators.name)
+    prepaid: int = attrs.field(default=0, validator=validators.integer)
+    weight: float = attrs.field(default=1, validator=validators.number)
+    priority: int = attrs.field(default=0, validator=validators.integer)
+    concurrency: int = attrs.field(default=0, validator=validators.integer)
+    requests_per_minute: int = attrs.field(
+        default=0, validator=validators.integer
+    )
+    tokens_per_minute: int = attrs.field(
+        default=0, validator=validators.integer
+    )
     models: dict[str, float] = attrs.field(
         factory=dict,
-        converter=conversions.read_weights,
-        validator=checks.weights,
+        converter=conversions.to_weights,
+        validator=validators.weights,
     )
-    max_tokens: int = attrs.field(default=512, validator=checks.count)
+    max_tokens: int = attrs.field(default=512, validator=validators.integer)
     state: str = attrs.field(
         default=ACTIVE,
-        converter=conversions.read_word,
-        validator=checks.one_of(ACTIVE, PAUSED),
+        converter=conversions.intern_string,
+        validator=validators.one_of(ACTIVE, PAUSED),
     )
     key_hashes: tuple[str, ...] = attrs.field(
         default=(),
-        converter=conversions.read_texts,
-        validator=checks.digests,
+        converter=conversions.to_tuple,
+        validator=validators.digests,
     )
 
     @property
@@ -86,7 +91,7 @@
 
 @attrs.frozen(kw_only=True, weakref_slot=False)
 class TargetRow:
-    """What operators set for one target.
+    """Settings of a target, made by operators.
 
     Parameters
     ----------
@@ -95,63 +100,67 @@
     address : str
         ``ip:port`` on which it listens.
     zone : str
-        Availability zone it stands in.
+        Availability zone of the target.
     service : str
-        Name of the service it is a worker of.
+        Service that the target belongs to.
     kind : str
         ``engine`` or ``service``.
     models : dict of str to float
-        Models an engine serves; the numbers are shares among targets.
+        Models an engine serves, with its share of each model's requests.
     weight : float
-        Share of the service's requests; 0 takes it out of rotation.
+        Share of the service's requests; 0 means that it gets none.
     concurrency : int
-        Upper bound of requests in progress from one router.
+        Maximum number of requests in progress from one router.
     price : int
-        Tokens billed for one call of a plain service.
+        Tokens billed per call of a plain service.
     non_idempotent : tuple of str
-        Leading parts of paths whose calls must run at most once.
+        Path prefixes of calls that must run at most once.
     trusted_refusals : bool
-        Whether its own word that a request did not run is believed.
+        Whether to believe the target that a refused request did not run.
     honours_fences : bool
-        Whether it refuses orders with an old fencing number.
+        Whether the target refuses orders with an old fencing number.
     state : str
         ``active``, ``leaving`` or ``off``.
     """
 
-    name: str = attrs.field(validator=checks.name)
-    address: str = attrs.field(validator=checks.address)
+    name: str = attrs.field(validator=validators.name)
+    address: str = attrs.field(validator=validators.address)
     zone: str = attrs.field(
-        converter=conversions.read_word,
-        validator=checks.name,
+        converter=conversions.intern_string,
+        validator=validators.name,
     )
     service: str = attrs.field(
-        converter=conversions.read_word,
-        validator=checks.name,
+        converter=conversions.intern_string,
+        validator=validators.name,
     )
     kind: str = attrs.field(
         default=ENGINE,
-        converter=conversions.read_word,
-        validator=checks.one_of(ENGINE, PLAIN_SERVICE),
+        converter=conversions.intern_string,
+        validator=validators.one_of(ENGINE, PLAIN_SERVICE),
     )
     models: dict[str, float] = attrs.field(
         factory=dict,
-        converter=conversions.read_weights,
-        validator=checks.weights,
+        converter=conversions.to_weights,
+        validator=validators.weights,
     )
-    weight: float = attrs.field(default=1, validator=checks.number)
-    concurrency: int = attrs.field(default=64, validator=checks.count)
-    price: int = attrs.field(default=1, validator=checks.count)
+    weight: float = attrs.field(default=1, validator=validators.number)
+    concurrency: int = attrs.field(default=64, validator=validators.integer)
+    price: int = attrs.field(default=1, validator=validators.integer)
     non_idempotent: tuple[str, ...] = attrs.field(
         default=(),
-        converter=conversions.read_texts,
-        validator=checks.texts,
+        converter=conversions.to_tuple,
+        validator=validators.strings,
+    )
+    trusted_refusals: bool = attrs.field(
+        default=True, validator=validators.boolean
+    )
+    honours_fences: bool = attrs.field(
+        default=False, validator=validators.boolean
     )
-    trusted_refusals: bool = attrs.field(default=True, validator=checks.flag)
-    honours_fences: bool = attrs.field(default=False, validator=checks.flag)
     state: str = attrs.field(
         default=ACTIVE,
-        converter=conversions.read_word,
-        validator=checks.one_of(ACTIVE, LEAVING, OFF),
+        converter=conversions.intern_string,
+        validator=validators.one_of(ACTIVE, LEAVING, OFF),
     )
 
     @property
@@ -162,68 +171,72 @@
 
 TableRow = TeamRow | TargetRow
 
-_MISSING = re.compile(r'missing \d+ required .*arguments?: (.+)')
+_MISSING_ARGUMENTS = re.compile(r'missing \d+ required .*arguments?: (.+)')
 
-_KINDS: Mapping[str, type[TeamRow] | type[TargetRow]] = {
+_ROW_TYPES: Mapping[str, type[TeamRow] | type[TargetRow]] = {
     TEAM_PREFIX: TeamRow,
     TARGET_PREFIX: TargetRow,
 }
 
 
 def encode(row: TableRow) -> dict[str, Any]:
-    """Return the row as the JSON object kept in the table service."""
+    """Return the row as the JSON object for the table service."""
     return attrs.asdict(row)
 
 
 def decode(key: str, fields: Mapping[str, Any]) -> TableRow | TableFault:
-    """Read a row from its JSON object.
+    """Decode a row from its JSON object.
 
     Parameters
     ----------
     key : str
-        Key of the row; its prefix says which kind of row it is.
+        Key of the row; its prefix tells the kind.
     fields : Mapping
         The JSON object.
 
     Returns
     -------
     TeamRow, TargetRow or TableFault
-        The row, or BAD_ROW with the field that is wrong.
+        The row, or BAD_ROW with the invalid field in its reason.
     """
     if not isinstance(fields, Mapping):
         return BAD_ROW.because(f'{key}: a row must be a JSON object')
-    for prefix, kind in _KINDS.items():
+    for prefix, row_type in _ROW_TYPES.items():
         if key.startswith(prefix):
-            return _build(kind, key, {'name': key[len(prefix) :], **fields})
-    return BAD_ROW.because(f'{key}: keys begin with team/ or target/')
+            return _build_row(
+                row_type, key, {'name': key[len(prefix) :], **fields}
+            )
+    return BAD_ROW.because(f'{key}: keys start with team/ or target/')
 
 
-def fields_of(key: str) -> tuple[str, ...]:
-    """Return the names of the fields of a row of this key's kind."""
-    for prefix, kind in _KINDS.items():
+def field_names(key: str) -> tuple[str, ...]:
+    """Return the field names of a row with this key, empty if invalid."""
+    for prefix, row_type in _ROW_TYPES.items():
         if key.startswith(prefix):
-            return tuple(field.name for field in attrs.fields(kind))
+            return tuple(field.name for field in attrs.fields(row_type))
     return ()
 
 
-def _build(kind: Any, key: str, fields: Mapping[str, Any]) -> Any:
-    known = {field.name for field in attrs.fields(kind)}
+def _build_row(row_type: Any, key: str, fields: Mapping[str, Any]) -> Any:
+    known = {field.name for field in attrs.fields(row_type)}
     for name in fields:
         if name not in known:
-            return BAD_ROW.because(f'{key}: {name}: there is no such field')
+            return BAD_ROW.because(f'{key}: {name}: no such field')
     try:
-        row = kind(**fields)
+        row = row_type(**fields)
     except (TypeError, ValueError) as exc:
-        return BAD_ROW.because(f'{key}: {_plain(exc)}')
+        return BAD_ROW.because(f'{key}: {_describe_error(exc)}')
     if row.key != key:
-        return BAD_ROW.because(f'{key}: the name inside is {row.name}')
+        return BAD_ROW.because(
+            f'{key}: name: must match the key, not be {row.name}'
+        )
     return row
 
 
-def _plain(exc: Exception) -> str:
-    text = str(exc.args[0]) if exc.args else 'a field has a wrong form'
-    missing = _MISSING.search(text)
+def _describe_error(exc: Exception) -> str:
+    text = str(exc.args[0]) if exc.args else 'a field is malformed'
+    missing = _MISSING_ARGUMENTS.search(text)
     if missing is None:
         return text
     fields = missing.group(1).replace("'", '')
-    return f'{fields}: must be given'
+    return f'{fields}: required'
--- a/src/balsamreach/table/snapshots.py
+++ b/src/balsamreach/table/snapshots.py
@@ -9,7 +9,7 @@
 from balsamreach.services.faults import PlatformFault
 from balsamreach.table.faults import BAD_SNAPSHOT, TABLE_AWAY, TableFault
 from balsamreach.table.snapshot_format import (
-    Packer,
+    SnapshotBuilder,
     read_header,
     read_rows,
 )
@@ -17,25 +17,25 @@
 from balsamreach.telemetry.logs import log_event
 from balsamreach.telemetry.metrics import Metrics
 
-PREFIX = 'table-snapshots/'
-_KEPT = 2
+SNAPSHOT_PREFIX = 'table-snapshots/'
+_MAX_SNAPSHOTS = 2
 _logger = logging.getLogger(__name__)
 
 
 @attrs.define
 class Snapshots:
-    """Writes snapshots when many rows changed, and reads the newest.
+    """Writes snapshots after many changes and loads the newest one.
 
     Parameters
     ----------
     objects : ObjectStore
-        Where they are kept.
+        Holds the snapshots.
     clock : Clock
         Lets other tasks run between two steps.
     metrics : Metrics
-        Counts what is written, read and skipped.
+        Counts snapshots that are written, read and skipped.
     least_changes : int
-        A snapshot is due once this many rows changed since the last one.
+        Number of changed rows after which the next snapshot is due.
     """
 
     objects: ObjectStore
@@ -44,14 +44,14 @@
     least_changes: int = 500
 
     async def load(self, view: TableView) -> int | TableFault:
-        """Bring an empty view to the newest snapshot that is sound.
+        """Load the newest valid snapshot into an empty view.
 
         Returns
         -------
         int or TableFault
-            The version reached, or a fault; the view is empty still then.
+            The version loaded, or a fault; the view is still empty then.
         """
-        names = await self.objects.names(PREFIX)
+        names = await self.objects.names(SNAPSHOT_PREFIX)
         if isinstance(names, PlatformFault):
             return TABLE_AWAY.because(f'object store: {names.code}')
         for name in reversed(names):
@@ -59,50 +59,50 @@
             if not isinstance(loaded, TableFault):
                 self.metrics.count('balsamreach_table_snapshots_read_total')
                 return loaded
-            self._skip(name, loaded)
-        return BAD_SNAPSHOT.because('there is no sound snapshot')
+            self._record_skipped(name, loaded)
+        return BAD_SNAPSHOT.because('there is no valid snapshot')
 
     async def write_if_due(self, view: TableView) -> str | TableFault:
         """Write a snapshot if enough rows changed since the last one.
 
-        Several routers may find it due at once. They write whole objects of
-        the same rows under names that sort by version, which harms nothing.
+        Several routers may find it due at once. This is harmless: each writes
+        a complete object with the same rows, named by version.
 
         Returns
         -------
         str or TableFault
-            The name written, empty if none was due.
+            Name of the object, empty if none was due.
         """
-        names = await self.objects.names(PREFIX)
+        names = await self.objects.names(SNAPSHOT_PREFIX)
         if isinstance(names, PlatformFault):
             return TABLE_AWAY.because(f'object store: {names.code}')
         changed = (
-            view.versions.count_since(_version_in(names[-1])) if names else 0
+            view.versions.count_since(_parse_version(names[-1])) if names else 0
         )
         if names and changed < self.least_changes:
             return ''
-        name = f'{PREFIX}{view.version:020d}'
-        fault = await self.objects.put(name, await self._packed(view))
+        name = f'{SNAPSHOT_PREFIX}{view.version:020d}'
+        fault = await self.objects.put(name, await self._build(view))
         if fault is not None:
             return TABLE_AWAY.because(f'object store: {fault.code}')
         self.metrics.count('balsamreach_table_snapshots_written_total')
-        for old in names[: 1 - _KEPT]:
+        for old in names[: 1 - _MAX_SNAPSHOTS]:
             await self.objects.delete(old)
         return name
 
-    async def _packed(self, view: TableView) -> bytes:
-        packer = Packer(view.version)
-        # Rows ahead of the log are left out: the log brings them to whoever
-        # starts from this snapshot. So are deletions, which an empty view
-        # has no use for.
+    async def _build(self, view: TableView) -> bytes:
+        builder = SnapshotBuilder(view.version)
+        # Rows ahead of the log are left out: routers that start from this
+        # snapshot get them with the log. Deletions are left out because the
+        # snapshot is loaded into an empty view.
         rows = (
             row
             for row in view.rows_since(0)
-            if row.version <= packer.version and row.value is not None
+            if row.version <= builder.version and row.value is not None
         )
-        for _ in packer.pack(rows):
+        for _ in builder.add_rows(rows):
             await self.clock.sleep(0)
-        return packer.finish()
+        return builder.finish()
 
     async def _load_one(self, name: str, view: TableView) -> int | TableFault:
         body = await self.objects.get(name)
@@ -111,16 +111,16 @@
         header = read_header(body)
         if isinstance(header, TableFault):
             return header
-        listed: set[str] = set()
+        listed_keys: set[str] = set()
         for rows in read_rows(body):
             view.apply(rows, 0)
-            listed.update(row.key for row in rows)
+            listed_keys.update(row.key for row in rows)
             await self.clock.sleep(0)
-        view.prune(listed, header.version)
+        view.prune(listed_keys, header.version)
         view.apply((), header.version)
         return header.version
 
-    def _skip(self, name: str, fault: TableFault) -> None:
+    def _record_skipped(self, name: str, fault: TableFault) -> None:
         self.metrics.count('balsamreach_table_snapshots_skipped_total')
         log_event(
             _logger,
@@ -131,6 +131,6 @@
         )
 
 
-def _version_in(name: str) -> int:
-    digits = name.removeprefix(PREFIX)
+def _parse_version(name: str) -> int:
+    digits = name.removeprefix(SNAPSHOT_PREFIX)
     return int(digits) if digits.isdecimal() else 0
--- a/src/balsamreach/table/status.py
+++ b/src/balsamreach/table/status.py
@@ -1,4 +1,4 @@
-"""Which version of the table each router has in force, and since when."""
+"""Table version of each router, and since when it is behind."""
 
 import asyncio
 from collections import deque
@@ -16,23 +16,23 @@
 STARTING = 'starting'
 UNREACHABLE = 'unreachable'
 
-_REMEMBERED = 4096
-_ASKED_AT_ONCE = 32
+_MAX_RECORDED = 4096
+_MAX_CONCURRENT_ASKS = 32
 
 
 @attrs.frozen
 class RouterStatus:
-    """What one router has in force.
+    """Table state of one router.
 
     Parameters
     ----------
     state : str
         ``current``, ``behind``, ``starting`` or ``unreachable``.
     version : int or None
-        Version in force, None where it could not be asked.
+        Version in force, None if the router didn't answer.
     behind_since : float or None
-        Wall time from which a newer version was in force at the router that
-        was asked for the status.
+        Wall time at which the router that collects the status first had a
+        newer version in force, None if this one isn't behind.
     """
 
     host: str
@@ -46,38 +46,38 @@
 
 @attrs.define(eq=False)
 class TableStatus:
-    """Asks all routers for the version they have in force.
+    """Collects the table versions of all routers.
 
     Parameters
     ----------
     follower : TableFollower
-        Keeps the view of the router that is asked.
+        Keeps the table of the router that collects.
     clock : Clock
-        Wall time for when versions came into force here.
+        Wall time at which versions came into force here.
     """
 
     follower: TableFollower
     clock: Clock
-    _seen: deque[tuple[int, float]] = attrs.field(
-        factory=lambda: deque(maxlen=_REMEMBERED),
+    _applied_at: deque[tuple[int, float]] = attrs.field(
+        factory=lambda: deque(maxlen=_MAX_RECORDED),
     )
 
     def start(self) -> None:
-        """Note from now on when versions come into force here."""
-        self.follower.view.watchers.append(self._note)
+        """Start to record when versions come into force here."""
+        self.follower.view.watchers.append(self._record)
 
     async def collect(self) -> dict[str, Any]:
-        """Return this router's own state and that of all others."""
+        """Return the table state of this router and of all others."""
         net = self.follower.exchange.net
-        gate = asyncio.Semaphore(_ASKED_AT_ONCE)
+        semaphore = asyncio.Semaphore(_MAX_CONCURRENT_ASKS)
         routers = await asyncio.gather(
-            *(self._ask(member, gate) for member in net.members()),
+            *(self._ask(member, semaphore) for member in net.members()),
         )
-        here = self.follower.view.version
+        version = self.follower.view.version
         return {
-            'version': here,
-            'in_force_since': self._since(here - 1),
-            'confirmed_s_ago': self.follower.age,
+            'version': version,
+            'in_force_since': self._newer_since(version - 1),
+            'confirmed_s_ago': self.follower.confirmed_age,
             'rejected': {
                 key: rejected.fault.reason
                 for key, rejected in self.follower.view.rejected.items()
@@ -88,10 +88,10 @@
     async def _ask(
         self,
         member: Member,
-        gate: asyncio.Semaphore,
+        semaphore: asyncio.Semaphore,
     ) -> RouterStatus:
         exchange = self.follower.exchange
-        async with gate:
+        async with semaphore:
             version = await exchange.version_of(member.incarnation)
         behind = version is not None and 0 < version < exchange.view.version
         return RouterStatus(
@@ -99,25 +99,25 @@
             zone=member.zone,
             address=member.address,
             incarnation=member.incarnation,
-            state=_state(version, behind=behind),
+            state=_router_state(version, behind=behind),
             version=version,
-            behind_since=self._since(version) if behind else None,
+            behind_since=self._newer_since(version) if behind else None,
         )
 
-    def _since(self, version: int) -> float | None:
-        """Return when a version newer than the one given came here."""
-        for newer, at in self._seen:
+    def _newer_since(self, version: int) -> float | None:
+        """Return when a version above the given one came into force here."""
+        for newer, at in self._applied_at:
             if newer > version:
                 return at
         return None
 
-    def _note(self, fresh: tuple[Row, ...]) -> None:
-        newest = max(row.version for row in fresh)
-        if not self._seen or newest > self._seen[-1][0]:
-            self._seen.append((newest, self.clock.wall()))
+    def _record(self, applied: tuple[Row, ...]) -> None:
+        newest = max(row.version for row in applied)
+        if not self._applied_at or newest > self._applied_at[-1][0]:
+            self._applied_at.append((newest, self.clock.wall()))
 
 
-def _state(version: int | None, *, behind: bool) -> str:
+def _router_state(version: int | None, *, behind: bool) -> str:
     if version is None:
         return UNREACHABLE
     if version == 0:
--- a/src/balsamreach/table/view.py
+++ b/src/balsamreach/table/view.py
@@ -1,4 +1,4 @@
-"""The table in force at one router, indexed for requests."""
+"""The rows in force at one router, indexed for requests."""
 
 import hashlib
 from collections.abc import Callable, Container, Iterable, Iterator, Mapping
@@ -12,18 +12,18 @@
 from balsamreach.table.row_versions import RowVersions
 from balsamreach.table.rows import TargetRow, TeamRow
 
-#: Called with the rows that just came into force.
+#: Called with the rows that were just applied.
 Watcher = Callable[[tuple[Row, ...]], None]
 
 
 def hash_key(secret: str) -> str:
-    """Return the form in which a team's or operator's key is kept."""
+    """Return the digest under which a team's or operator's key is stored."""
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
 @attrs.frozen
 class Rejected:
-    """A row that could not be read here, kept for others who may."""
+    """A row that can't be decoded here, kept for other routers that can."""
 
     row: Row
     fault: TableFault
@@ -31,25 +31,26 @@
 
 @attrs.define
 class TableView:
-    """Rows in force, never older than any this router has applied before.
+    """The rows in force at one router; a row is never replaced by an older one.
 
-    Every key whose last commit is at or below ``version`` stands here as
-    that commit left it. Newer rows may be in force as well, ahead of the
-    log, where an edit came straight from the router that accepted it.
+    The view reflects the last commit of every row at or below ``version``. It
+    may also hold newer rows, ahead of the log, that came directly from the
+    router that committed them.
 
     Parameters
     ----------
     version : int
-        Position in the table service's log up to which rows are applied.
+        Position in the table service's log up to which all rows are applied.
     complete : bool
-        Whether the whole table has been read once, so that a missing row
-        means that there is none.
+        Whether the whole table has been read, so that a row that is missing
+        here doesn't exist.
     rejected : dict of str to Rejected
-        Rows that could not be read; the version before stays in force.
+        Rows that can't be decoded, by key. Their last valid version stays in
+        force.
     watchers : list of callable
-        Called after rows came into force.
+        Called after rows were applied.
     versions : RowVersions
-        Version of each row, and of rows that were deleted.
+        Versions of rows, including deleted ones.
     """
 
     version: int = 0
@@ -70,65 +71,64 @@
         return self._indexes.targets.by_name
 
     def apply(self, changed: Iterable[Row], version: int) -> tuple[Row, ...]:
-        """Bring rows into force, each only if newer than the one here.
+        """Apply rows that are newer than the ones here.
 
         Parameters
         ----------
         changed : iterable of Row
-            Changed rows in any order; deleted ones have no value.
+            Changed rows in any order; deleted rows have no value.
         version : int
-            Log position the rows reach up to; 0 for rows ahead of the log.
+            Log position that the rows cover; 0 for rows ahead of the log.
 
         Returns
         -------
         tuple of Row
-            The rows that were new.
+            The rows that were newer.
         """
-        # Two readers and several peers deliver rows in any order. An older
-        # copy applied late would revert an accepted edit or bring a deleted
-        # row back; what the log position covers is known here already, so
-        # only a row beyond it can be news.
-        fresh = tuple(
+        # Readers and peers deliver rows in any order. An older row applied
+        # late would revert a committed edit or restore a deleted row. Rows up
+        # to the log position are known here, so only a later one can be new.
+        newer = tuple(
             row
             for row in changed
             if row.version > max(self.version, self.versions.of(row.key))
         )
-        self._put_all(fresh)
+        self._apply_all(newer)
         self.version = max(self.version, version)
-        return fresh
+        return newer
 
     def prune(self, listed: Container[str], version: int) -> None:
-        """Drop rows that a whole reading of the table does not list.
+        """Remove rows that a full read of the table doesn't list.
 
         Parameters
         ----------
         listed : container of str
-            Keys of all rows that there were.
+            Keys of all rows in the table.
         version : int
-            Log position of the reading; newer rows stay.
+            Log position of the full read; newer rows stay.
         """
-        # A row may have come here ahead of the log, and its deletion not at
-        # all. A whole reading shows no deletions: without this the row
-        # would stay in force for good, below a position that covers it.
-        gone = tuple(
+        # A row may have been applied ahead of the log and its deletion never
+        # received. A full read contains no deletions, so without this the row
+        # would stay in force forever, below a position that covers it.
+        deleted = tuple(
             Row(key, version, None)
-            for key in self.versions.up_to(version)
+            for key in self.versions.keys_up_to(version)
             if key not in listed
         )
-        self._put_all(gone)
+        self._apply_all(deleted)
         self.versions.floor = max(self.versions.floor, version)
 
     def rows_since(self, version: int) -> Iterator[Row]:
-        """Yield rows written after a version, deleted ones too, in order."""
-        for key in self.versions.since(version):
+        """Yield rows written after a version, oldest first, with deletions."""
+        for key in self.versions.keys_since(version):
             yield Row(key, self.versions.of(key), self._value_of(key))
 
     def team_by_secret(self, secret: str) -> TeamRow | None:
-        """Return the team that a caller's key belongs to."""
+        """Return the team that a key belongs to."""
         return self._indexes.teams.by_digest(hash_key(secret))
 
     def engines_for(self, model: str) -> Iterator[TargetRow]:
-        """Yield the engines whose row lists a model."""
+        """Yield the engines that serve a model."""
         yield from self._indexes.targets.by_model.get(model, {}).values()
 
     def workers_of(self, service: str) -> Iterator[TargetRow]:
@@ -136,45 +136,48 @@
         yield from self._indexes.targets.by_service.get(service, {}).values()
 
     def models(self) -> tuple[str, ...]:
-        """Return the names of all models that some engine serves."""
+        """Return the names of all models served by any engine."""
         return tuple(sorted(self._indexes.targets.by_model))
 
     def _value_of(self, key: str) -> Mapping[str, object] | None:
         if key in self.rejected:
             return self.rejected[key].row.value
-        index = self._indexes.of(key)
-        row = index.by_name.get(_name_of(key))
+        index = self._indexes.for_key(key)
+        row = index.by_name.get(_row_name(key))
         return None if row is None else rows.encode(row)
 
-    def _put_all(self, fresh: tuple[Row, ...]) -> None:
-        for row in fresh:
-            self._put(row)
-        for watcher in self.watchers if fresh else ():
-            watcher(fresh)
+    def _apply_all(self, changed: tuple[Row, ...]) -> None:
+        for row in changed:
+            self._apply_row(row)
+        for watcher in self.watchers if changed else ():
+            watcher(changed)
 
-    def _put(self, row: Row) -> None:
+    def _apply_row(self, row: Row) -> None:
         self.rejected.pop(row.key, None)
-        name = _name_of(row.key)
+        name = _row_name(row.key)
         if row.value is None:
-            self.versions.note(row, name)
-            self._indexes.of(row.key).remove(name)
+            self.versions.record(row, name)
+            self._indexes.for_key(row.key).remove(name)
             return
-        typed = rows.decode(row.key, row.value)
-        if isinstance(typed, TableFault):
-            self.versions.note(row, name)
-            self.rejected[row.key] = Rejected(row, typed)
+        decoded = rows.decode(row.key, row.value)
+        if isinstance(decoded, TableFault):
+            self.versions.record(row, name)
+            self.rejected[row.key] = Rejected(row, decoded)
             return
-        self.versions.note(row, typed.name)
-        self._indexes.of(row.key).put(typed)
+        self.versions.record(row, decoded.name)
+        self._indexes.for_key(row.key).put(decoded)
 
 
-def _name_of(key: str) -> str:
+def _row_name(key: str) -> str:
     return key.rpartition('/')[-1]
 
 
-def adopt(view: TableView, other: TableView) -> None:
-    """Bring a view to a whole one that was read anew, unless it is older."""
-    if other.version < view.version:
+def apply_copy(view: TableView, copy: TableView) -> None:
+    """Replace a view's rows with those of a whole copy, unless it is older.
+
+    Rows newer than the copy stay.
+    """
+    if copy.version < view.version:
         return
-    view.prune(other.versions, other.version)
-    view.apply(other.rows_since(0), other.version)
+    view.prune(copy.versions, copy.version)
+    view.apply(copy.rows_since(0), copy.version)
--- a/tests/passing_table.py
+++ b/tests/passing_table.py
@@ -1,4 +1,4 @@
-"""A way to a table service that tests come between."""
+"""A table service that tests can intercept."""
 
 import attrs
 
@@ -7,24 +7,24 @@
 
 @attrs.define(eq=False)
 class PassingTable(TableService):
-    """Passes every call on; subclasses hold, cut or lose some.
+    """Forwards every call; subclasses delay, refuse or lose some.
 
     Parameters
     ----------
     service : TableService
-        Where calls are passed on to.
+        The service that calls are forwarded to.
     """
 
     service: TableService
 
     async def commit(self, change: Commit):
-        """Commit."""
+        """Forward a commit."""
         return await self.service.commit(change)
 
     async def read(self, keys: tuple[str, ...]):
-        """Read rows."""
+        """Forward a read."""
         return await self.service.read(keys)
 
     async def scan(self, scan: Scan):
-        """Scan rows."""
+        """Forward a scan."""
         return await self.service.scan(scan)
--- a/tests/table_fleet.py
+++ b/tests/table_fleet.py
@@ -1,4 +1,4 @@
-"""Routers' table parts over the fake net, for the tests of the table."""
+"""Routers with table components on a fake network, for the table tests."""
 
 import asyncio
 import random
@@ -30,7 +30,7 @@
 from tests.fake_net import FakeNet, FakePeerNet
 from tests.support import ManualClock
 
-_ROUNDS = 4
+_SETTLE_ROUNDS = 4
 TEAM = 'table/team/winders'
 
 
@@ -39,31 +39,31 @@
     return Row(f'table/team/{name}', version, fields)
 
 
-def gone(version: int, name: str = 'winders') -> Row:
-    """Return the row of a deleted team."""
+def deleted_row(version: int, name: str = 'winders') -> Row:
+    """Return a team's row as deleted."""
     return Row(f'table/team/{name}', version, None)
 
 
 def edit(edit_id: str, version: int = -1, **fields: Any) -> Edit:
-    """Return an edit of the team."""
+    """Return an edit of the team ``winders``."""
     return Edit(edit_id, 'anna', TEAM, version, fields)
 
 
 @attrs.define
 class OwnWay(TableService, ObjectStore):
-    """One router's way to the platform, which may be cut.
+    """One router's access to the platform, which tests can cut.
 
-    ``between`` is called once, after the next page of a scan.
+    ``after_scan`` is called once, after the next page of a scan.
     """
 
     platform: MemoryPlatform
     table_cut: bool = False
     objects_cut: bool = False
-    between: Callable[[], Awaitable[Any]] | None = None
+    after_scan: Callable[[], Awaitable[Any]] | None = None
 
     @property
     def cut(self) -> bool:
-        """Whether nothing of the platform is reached."""
+        """Whether table service and object store are both unreachable."""
         return self.table_cut and self.objects_cut
 
     @cut.setter
@@ -72,48 +72,48 @@
         self.objects_cut = cut
 
     async def commit(self, change: Commit) -> Any:
-        """Commit unless cut off."""
+        """Commit unless the table service is unreachable."""
         if self.table_cut:
             return UNREACHABLE
         return await self.platform.table.commit(change)
 
     async def read(self, keys: tuple[str, ...]) -> Any:
-        """Read unless cut off."""
+        """Read unless the table service is unreachable."""
         if self.table_cut:
             return UNREACHABLE
         return await self.platform.table.read(keys)
 
     async def scan(self, scan: Scan) -> Any:
-        """Scan unless cut off."""
+        """Scan unless the table service is unreachable."""
         if self.table_cut:
             return UNREACHABLE
         page = await self.platform.table.scan(scan)
-        if self.between is not None:
-            meanwhile = self.between()
-            self.between = None
-            await meanwhile
+        if self.after_scan is not None:
+            pending_call = self.after_scan()
+            self.after_scan = None
+            await pending_call
         return page
 
     async def put(self, name: str, body: bytes) -> Any:
-        """Store unless cut off."""
+        """Store an object unless the object store is unreachable."""
         if self.objects_cut:
             return UNREACHABLE
         return await self.platform.objects.put(name, body)
 
     async def get(self, name: str) -> Any:
-        """Fetch unless cut off."""
+        """Fetch an object unless the object store is unreachable."""
         if self.objects_cut:
             return UNREACHABLE
         return await self.platform.objects.get(name)
 
     async def names(self, prefix: str) -> Any:
-        """List unless cut off."""
+        """List objects unless the object store is unreachable."""
         if self.objects_cut:
             return UNREACHABLE
         return await self.platform.objects.names(prefix)
 
     async def delete(self, name: str) -> Any:
-        """Delete unless cut off."""
+        """Delete an object unless the object store is unreachable."""
         if self.objects_cut:
             return UNREACHABLE
         return await self.platform.objects.delete(name)
@@ -121,7 +121,7 @@
 
 @attrs.define
 class Station:
-    """One router's table parts, its net and its way to the platform."""
+    """One router: its table components, network and access to the platform."""
 
     net: FakePeerNet
     parts: TableParts
@@ -134,22 +134,22 @@
         return self.parts.view
 
     def team(self, name: str = 'winders') -> TeamRow | None:
-        """Return a team's row in force."""
+        """Return a team's row in force, None if there is none."""
         return self.view.teams.get(name)
 
     def prepaid(self, name: str = 'winders') -> int | None:
-        """Return what the view says a team has prepaid."""
+        """Return a team's prepaid tokens in force, None without a row."""
         team = self.team(name)
         return team and team.prepaid
 
     async def step(self) -> None:
-        """Let the router read once."""
+        """Let the router poll once."""
         await self.parts.follower.step()
 
 
 @attrs.define
 class TableFleet:
-    """Routers on one platform that each may be cut off from it."""
+    """Routers on one platform, each of which can be cut off from it."""
 
     clock: ManualClock = attrs.field(factory=ManualClock)
     fabric: FakeNet = attrs.field(factory=FakeNet)
@@ -182,23 +182,23 @@
         self.stations.append(station)
         return station
 
-    async def started(self, *incarnations: str) -> list[Station]:
-        """Add routers and let each read the table."""
+    async def start_routers(self, *incarnations: str) -> list[Station]:
+        """Add routers, let each poll once and return them."""
         joined = [self.join(name) for name in incarnations]
         for station in joined:
             await station.step()
         return joined
 
     async def settle(self) -> None:
-        """Deliver all messages and let all catching up end."""
-        for _ in range(_ROUNDS):
+        """Deliver all messages and wait for all fetches."""
+        for _ in range(_SETTLE_ROUNDS):
             await self.fabric.settle()
             for station in self.stations:
                 tasks = station.parts.follower.exchange.tasks
                 await asyncio.gather(*tasks)
 
-    async def beat(self) -> None:
-        """Let every router tell its version to the others."""
+    async def send_heartbeats(self) -> None:
+        """Let every router send a heartbeat with its version to the others."""
         for station in self.stations:
             station.net.spread(Heartbeat(station.view.version))
         await self.settle()
--- a/tests/test_table_editor.py
+++ b/tests/test_table_editor.py
@@ -1,4 +1,4 @@
-"""Edits: one wins, none is lost or applied twice."""
+"""Edits are committed exactly once, and one of two conflicting edits wins."""
 
 import asyncio
 import random
@@ -28,7 +28,7 @@
 
 
 class EditorTest(unittest.IsolatedAsyncioTestCase):
-    """An editor on a table in memory, with one team in it."""
+    """An editor of a table in memory with one team."""
 
     async def asyncSetUp(self):
         self.clock = ManualClock()
@@ -41,68 +41,65 @@
             random.Random(1),
             publish=self.published.extend,
         )
-        self.made = await self.editor.apply(edit('make', 0, prepaid=100))
+        self.created = await self.editor.apply(edit('make', 0, prepaid=100))
 
     async def read(self, key):
         rows = await self.table.read((key,))
         return rows[0]
 
-    async def take(self, tokens):
-        """Change the team's account as a router's draw does."""
+    async def draw_tokens(self, tokens):
+        """Change the team's account like a router that draws tokens."""
         account = await self.read(account_key('winders'))
         fields = {**account.value, 'taken': tokens}
         await self.table.commit(Commit((Write(account.key, fields),)))
 
 
-class RacingTest(EditorTest):
-    """Operators who edit one row at once."""
+class ConcurrentEditsTest(EditorTest):
+    """Concurrent edits of one row."""
 
-    async def test_one_of_two_wins_and_the_other_sees_the_row(self):
-        """Two operators edit the version they both saw.
+    async def test_loser_of_two_edits_gets_the_current_row(self):
+        """Guards against a lost update.
 
-        Symptom: the second is refused with the row as it stands. Events:
-        both read version 1; both send their edit. Cause: the second edit
-        names a version that is no longer there.
+        Two operators read version 1 and both edit it. The second edit expects a
+        version that is gone, so it is refused with the current row.
         """
         outcomes = await asyncio.gather(
-            self.editor.apply(edit('a', self.made.version, weight=2)),
-            self.editor.apply(edit('b', self.made.version, weight=3)),
+            self.editor.apply(edit('a', self.created.version, weight=2)),
+            self.editor.apply(edit('b', self.created.version, weight=3)),
         )
         self.assertIsInstance(outcomes[0], Accepted)
         self.assertEqual(outcomes[1], STALE_EDIT)
         self.assertEqual(outcomes[1].row.value['weight'], 2)
         self.assertEqual(outcomes[1].row.version, outcomes[0].version)
 
-    async def test_draws_make_no_edit_stale(self):
-        """A router draws between an edit's read and its commit.
+    async def test_draws_do_not_make_an_edit_stale(self):
+        """Guards against a stale edit reported to an operator without a rival.
 
-        Symptom: an operator who raced nobody is told of a stale edit.
-        Events: the editor reads row and account, a draw commits, the
-        editor's commit fails its check of the account. Cause: the account
-        is checked together with the row.
+        The account is checked together with the row. A router draws between the
+        editor's read and its commit, so the check of the account fails.
         """
-        busy = _Busy(self.table, self.take, times=3)
-        editor = Editor(busy, self.clock, random.Random(1))
+        contended = _ContendedTable(self.table, self.draw_tokens, max_draws=3)
+        editor = Editor(contended, self.clock, random.Random(1))
         outcome = await editor.apply(
-            edit('more', self.made.version, prepaid=200),
+            edit('more', self.created.version, prepaid=200),
         )
         self.assertIsInstance(outcome, Accepted)
         account = await self.read(account_key('winders'))
         self.assertEqual(account.value['prepaid'], 200)
         self.assertEqual(account.value['taken'], 3)
 
-    async def test_edit_of_other_fields_leaves_the_account_alone(self):
-        busy = _Busy(self.table, self.take, times=99)
-        editor = Editor(busy, self.clock, random.Random(1))
-        await editor.apply(edit('w', self.made.version, weight=2))
-        self.assertEqual(busy.conflicts, 0)
+    async def test_edit_of_other_fields_ignores_the_account(self):
+        contended = _ContendedTable(self.table, self.draw_tokens, max_draws=99)
+        editor = Editor(contended, self.clock, random.Random(1))
+        await editor.apply(edit('w', self.created.version, weight=2))
+        self.assertEqual(contended.conflicts, 0)
 
-    async def test_racing_top_ups_add_up(self):
-        tops = [
+    async def test_concurrent_top_ups_add_up(self):
+        top_ups = [
             Edit(f'top-{number}', 'anna', TEAM, -1, None, top_up=number)
             for number in range(1, 6)
         ]
-        await asyncio.gather(*map(self.editor.apply, tops + tops))
+        await asyncio.gather(*map(self.editor.apply, top_ups + top_ups))
         row = await self.read(TEAM)
         self.assertEqual(row.value['prepaid'], 100 + 15)
         account = await self.read(account_key('winders'))
@@ -114,14 +111,13 @@
 
 
 class LostAnswerTest(EditorTest):
-    """Edits whose answers do not arrive."""
+    """Commits whose answers don't arrive."""
 
-    async def test_lost_answer_is_found_by_the_edit_id(self):
-        """The commit takes effect and its answer is lost.
+    async def test_lost_answer_is_recovered_by_edit_id(self):
+        """Guards against a top-up that counts twice.
 
-        Symptom: a top-up would count twice. Events: the commit is applied,
-        the answer lost; the editor tries again. Cause: without its record
-        the editor can't tell its own commit from another's.
+        The commit takes effect but its answer is lost, and the editor retries.
+        Only the edit record tells its own commit from that of another editor.
         """
         self.platform.weather.lose_answers = 1
         top_up = Edit('top', 'anna', TEAM, -1, None, top_up=50)
@@ -131,29 +127,28 @@
         again = await self.editor.apply(top_up)
         self.assertEqual(again, outcome)
 
-    async def test_away_after_a_lost_answer_is_unknown(self):
-        """The service goes away just after a commit.
+    async def test_service_down_after_lost_answer_is_unknown(self):
+        """Guards against a committed edit reported as unchanged.
 
-        Symptom: the operator would be told that nothing changed. Events:
-        a commit's answer is lost, and the read that follows is refused.
-        Cause: the last refusal says nothing of the first commit.
+        A commit's answer is lost and the read after it is refused. The refusal
+        says nothing about the commit.
         """
-        service = _Failing(self.table, commits=[UNKNOWN], reads=1)
+        service = _FailingTable(self.table, commits=[UNKNOWN], reads=1)
         editor = Editor(service, self.clock, random.Random(1))
         self.assertEqual(await editor.apply(edit('x', -1)), EDIT_UNKNOWN)
 
-    async def test_away_before_anything_was_sent(self):
-        service = _Failing(self.table, commits=[UNAVAILABLE], reads=9)
+    async def test_service_down_before_any_commit(self):
+        service = _FailingTable(self.table, commits=[UNAVAILABLE], reads=9)
         editor = Editor(service, self.clock, random.Random(1))
         self.assertEqual(await editor.apply(edit('x', -1)), TABLE_AWAY)
 
-    async def test_id_of_another_edit(self):
+    async def test_edit_id_of_another_edit(self):
         outcome = await self.editor.apply(edit('make', 0, prepaid=101))
         self.assertEqual(outcome, ID_TAKEN)
 
 
 class RefusedTest(EditorTest):
-    """Edits that change nothing."""
+    """Refused edits write nothing."""
 
     @parameterized.expand(
         [
@@ -173,17 +168,17 @@
             ('bad id', edit('a/b', 1), BAD_ROW),
             ('empty id', edit('', 1), BAD_ROW),
             ('below taken', edit('x', 1, prepaid=50), BELOW_TAKEN),
-            ('there already', edit('x', 0), STALE_EDIT),
+            ('exists already', edit('x', 0), STALE_EDIT),
         ]
     )
-    async def test_refusal(self, _, asked, fault):
-        await self.take(60)
+    async def test_refused_edit_writes_nothing(self, _, refused_edit, fault):
+        await self.draw_tokens(60)
         writes = self.platform.weather.writes
-        self.assertEqual(await self.editor.apply(asked), fault)
+        self.assertEqual(await self.editor.apply(refused_edit), fault)
         self.assertEqual(self.platform.weather.writes, writes)
 
-    async def test_deleted_row_may_be_made_anew(self):
-        deletion = Edit('d', 'anna', TEAM, self.made.version, None)
+    async def test_deleted_row_can_be_created_again(self):
+        deletion = Edit('d', 'anna', TEAM, self.created.version, None)
         await self.editor.apply(deletion)
         self.assertIsNone((await self.read(TEAM)).value)
         again = await self.editor.apply(edit('m', 0, prepaid=100))
@@ -200,24 +195,23 @@
         self.assertEqual({type(outcome) for outcome in outcomes}, {Accepted})
         self.assertEqual(len(self.published), 101)
 
-    async def test_refused_edit_keeps_no_other_back(self):
+    async def test_refused_edit_does_not_affect_others(self):
         batch = (*_batch(3), edit('stale', 99, weight=1))
         outcomes = await self.editor.apply_all(batch)
         self.assertEqual(outcomes[3], STALE_EDIT)
         self.assertIsInstance(outcomes[0], Accepted)
 
-    async def test_busy_account_holds_up_itself_only(self):
-        """One team of a batch is drawn on without pause.
+    async def test_busy_account_delays_no_other_edit(self):
+        """Guards against an import that fails because of one busy team.
 
-        Symptom: a whole import fails for one busy team. Events: each
-        commit of the batch meets a new draw on that team's account. Cause:
-        a commit of many rows fails if one check does.
+        Every commit of the batch conflicts with a new draw on that team's
+        account, and a commit of many rows fails if one check fails.
         """
-        busy = _Busy(self.table, self.take, times=999)
-        editor = Editor(busy, self.clock, random.Random(1))
+        contended = _ContendedTable(self.table, self.draw_tokens, max_draws=999)
+        editor = Editor(contended, self.clock, random.Random(1))
         batch = (
             *_batch(8),
-            edit('hot', self.made.version, prepaid=200),
+            edit('hot', self.created.version, prepaid=200),
         )
         outcomes = await editor.apply_all(batch)
         accepted = [o for o in outcomes if isinstance(o, Accepted)]
@@ -226,7 +220,7 @@
 
 
 class HistoryTest(EditorTest):
-    """Who changed a row."""
+    """Pages of a row's edit history."""
 
     async def test_newest_first_in_pages(self):
         for number in range(5):
@@ -254,30 +248,30 @@
 
 
 @attrs.define
-class _Busy:
-    """A table on whose account something draws before each commit."""
+class _ContendedTable:
+    """A table service on which a draw precedes each of the next commits."""
 
     table: object
     draw: object
-    times: int
+    max_draws: int
     conflicts: int = 0
-    drawn: int = 0
+    draws: int = 0
 
     async def read(self, keys):
         return await self.table.read(keys)
 
     async def commit(self, change):
-        if self.drawn < self.times:
-            self.drawn += 1
-            await self.draw(self.drawn)
+        if self.draws < self.max_draws:
+            self.draws += 1
+            await self.draw(self.draws)
         outcome = await self.table.commit(change)
         self.conflicts += outcome == CONFLICT
         return outcome
 
 
 @attrs.define
-class _Failing:
-    """A table whose next commits fail and whose reads end."""
+class _FailingTable:
+    """A table service whose commits fail and whose reads fail after a few."""
 
     table: object
     commits: list
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -1,59 +1,58 @@
-"""Start and life of a router's table, with the platform up, down or cut."""
+"""A router's table from start-up on, with the platform up, down or cut off."""
 
 import asyncio
 import unittest
 
 from balsamreach.table.edits import Edit
-from balsamreach.table.follower import IDLE_FACTOR
-from balsamreach.table.readers import rank_in_zone
-from balsamreach.table.snapshots import PREFIX
+from balsamreach.table.follower import NON_READER_POLL_FACTOR
+from balsamreach.table.reader_rank import rank_in_zone
+from balsamreach.table.snapshots import SNAPSHOT_PREFIX
 from tests.fake_net import FakeNet
 from tests.table_fleet import TableFleet, edit
 
 
 class FollowerTest(unittest.IsolatedAsyncioTestCase):
-    """Routers that start while a table is there."""
+    """Routers that start after a table was made."""
 
     async def asyncSetUp(self):
         self.fleet = TableFleet()
-        await self.fleet.started('a', 'b')
+        await self.fleet.start_routers('a', 'b')
         self.a = self.fleet.stations[0]
         self.b = self.fleet.stations[1]
         await self.a.parts.editor.apply(edit('make', 0, prepaid=100))
         self.fleet.clock.seconds += 61
         for station in self.fleet.stations:
             await station.step()
-        await self.fleet.beat()
+        await self.fleet.send_heartbeats()
 
 
 class StartTest(FollowerTest):
-    """What a router needs before it serves."""
+    """Conditions under which a router becomes ready."""
 
-    async def test_from_the_log(self):
+    async def test_reads_the_log(self):
         late = self.fleet.join('late')
         await late.step()
         self.assertTrue(late.view.complete)
         self.assertEqual(late.prepaid(), 100)
 
-    async def test_cut_off_with_peers(self):
-        """A router restarts in a zone that is cut off from the platform.
+    async def test_catches_up_with_neighbours(self):
+        """Guards against a start with a table older than the neighbours'.
 
-        Symptom: it would serve with the table of the snapshot, in which the
-        team is not paused yet. Events: a snapshot is written, the team is
-        paused, the zone is cut off, a router restarts. Cause: the object
-        store's copy is older than what its neighbours have in force.
+        A snapshot is written, then the team is paused and the router restarts
+        in a zone that is cut off from the platform. The snapshot shows the team
+        as active.
         """
         await self.a.parts.editor.apply(edit('pause', state='paused'))
         await self.a.step()
-        await self.fleet.beat()
+        await self.fleet.send_heartbeats()
         late = self.fleet.join('late')
         late.way.cut = True
         await late.step()
         self.assertTrue(late.view.complete)
         self.assertEqual(late.team().state, 'paused')
-        self.assertIsNone(late.parts.follower.age)
+        self.assertIsNone(late.parts.follower.confirmed_age)
 
-    async def test_takes_the_newest_of_its_neighbours(self):
+    async def test_catches_up_with_the_newest_neighbour(self):
         self.fleet.fabric.cut('a', 'b')
         await self.a.parts.editor.apply(edit('w', weight=5))
         await self.a.step()
@@ -63,13 +62,12 @@
         await late.step()
         self.assertEqual(late.team().weight, 5)
 
-    async def test_reaches_nobody(self):
-        """A router starts and reaches neither platform nor neighbours.
+    async def test_not_ready_while_cut_off_from_all(self):
+        """Guards against a router that is ready without a current table.
 
-        Symptom: it must not call itself ready. Events: its host is cut off
-        from all, it starts, later the cut heals. Cause: without a table it
-        would refuse every team; with an old one it would bring back what
-        operators changed.
+        It starts cut off from the platform and from all neighbours, and later
+        the cut heals. Without a table it would refuse every team; with an old
+        one it would revert operators' edits.
         """
         late = self.fleet.join('late')
         late.way.cut = True
@@ -88,7 +86,7 @@
         self.assertEqual(late.prepaid(), 100)
         self.assertFalse(late.view.complete)
 
-    async def test_neighbour_without_a_table_is_no_source(self):
+    async def test_neighbour_without_a_table_is_not_used(self):
         fleet = TableFleet()
         first = fleet.join('x')
         second = fleet.join('y')
@@ -98,12 +96,11 @@
         await second.step()
         self.assertFalse(first.view.complete or second.view.complete)
 
-    async def test_neighbour_with_a_snapshot_only_is_no_source(self):
-        """Two routers restart while the table service is away.
+    async def test_neighbour_with_only_a_snapshot_is_not_used(self):
+        """Guards against routers that trust each other's snapshot.
 
-        Symptom: both would serve the snapshot's old table. Events: each
-        loads the snapshot, then asks the other, which has a table. Cause:
-        that table was not brought up to date by anybody.
+        The table service is away. Each router loads the snapshot and then asks
+        the other one, whose table is no newer.
         """
         self.fleet.fabric.cut('ab', 'xy')
         first = self.fleet.join('x')
@@ -114,24 +111,23 @@
         self.assertEqual(first.prepaid(), 100)
         self.assertFalse(first.view.complete or second.view.complete)
 
-    async def test_refused_page_is_not_the_end_of_a_full_read(self):
-        """A start under a rate limit reads the table page by page.
+    async def test_full_read_resumes_after_a_refused_page(self):
+        """Guards against routers that never become ready under a rate limit.
 
-        Symptom: routers that all start at once never get ready. Events: a
-        page is refused; the next look starts from the first page again.
-        Cause: each look reads more than the limit leaves to it.
+        All start at once and the service refuses a page. If each poll began
+        with the first page again, it would read more than the limit allows.
         """
-        late = await self.start_page_by_page()
+        late = await self.start_under_rate_limit()
         self.assertTrue(late.view.complete)
         self.assertEqual(len(late.view.teams), 2501)
 
-    async def test_age_of_a_full_read_counts_from_its_first_page(self):
-        """Guards against edits between its pages that nobody looked for."""
-        late = await self.start_page_by_page()
-        self.assertEqual(late.parts.follower.age, 3)
+    async def test_age_of_a_full_read_starts_at_its_first_page(self):
+        """Guards against missed edits that were made between two pages."""
+        late = await self.start_under_rate_limit()
+        self.assertEqual(late.parts.follower.confirmed_age, 3)
 
-    async def start_page_by_page(self):
-        """Return a router that read a page in each of the last 3 s."""
+    async def start_under_rate_limit(self):
+        """Return a router that read one page per second for 3 s."""
         edits = [
             Edit(f'e{n}', 'a', f'table/team/t{n}', 0, {}) for n in range(2500)
         ]
@@ -150,22 +146,21 @@
         return late
 
 
-class GoOnTest(FollowerTest):
-    """Edits while the platform is up, away, or reached by some only."""
+class UpdateTest(FollowerTest):
+    """Edits while all, some or no routers reach the platform."""
 
-    async def test_only_a_peer_reaches_the_platform(self):
+    async def test_only_a_neighbour_reaches_the_platform(self):
         self.b.way.cut = True
         await self.a.parts.editor.apply(edit('w', weight=4))
         await self.b.step()
         await self.fleet.settle()
         self.assertEqual(self.b.team().weight, 4)
 
-    async def test_edit_accepted_by_a_router_that_died_at_once(self):
-        """The router that accepted an edit dies before it told anybody.
+    async def test_edit_of_a_router_that_dies_after_the_commit(self):
+        """Guards against an edit that is committed but not in force.
 
-        Symptom: the edit would be committed and not in force. Events: the
-        commit is applied, the router dies. Cause: only readers of the log
-        learn of it then.
+        The router that commits it dies before it broadcasts the row. The others
+        learn of it only from the log.
         """
         self.fleet.fabric.cut('a', 'b')
         await self.a.parts.editor.apply(edit('w', weight=4))
@@ -174,13 +169,12 @@
         await self.b.step()
         self.assertEqual(self.b.team().weight, 4)
 
-    async def test_import_leaves_turns_to_requests(self):
-        """An import makes every open stream stand still.
+    async def test_import_does_not_block_the_event_loop(self):
+        """Guards against an import that blocks the streams of all routers.
 
-        Symptom: all streams of all routers halt at the same time. Events:
-        an operator imports thousands of rows. Cause: all rows of a page
-        come into force in one turn of the event loop. In parts, the version
-        must wait for the last, or a crash between would hide the rest.
+        Rows of a page must not all be applied in one iteration of the event
+        loop. When they are applied in parts, the version must advance only
+        after the last part, or a crash in between would hide the rest.
         """
         self.fleet.fabric.cut('a', 'b')
         edits = tuple(
@@ -190,44 +184,47 @@
             await self.a.parts.editor.apply_all(edits[start : start + 100])
         view = self.b.view
         before = view.version
-        reading = asyncio.create_task(self.b.step())
-        between = set()
-        while not reading.done():
+        polling = asyncio.create_task(self.b.step())
+        observed = set()
+        while not polling.done():
             await asyncio.sleep(0)
-            between.add((len(view.teams), view.version))
-        grown = {teams for teams, version in between if version == before}
+            observed.add((len(view.teams), view.version))
+        grown = {teams for teams, version in observed if version == before}
         self.assertGreaterEqual(len(grown), 4)
         self.assertEqual(len(view.teams), 501)
         self.assertGreater(view.version, before)
 
-    async def test_outage_leaves_the_table_in_force(self):
+    async def test_table_stays_in_force_during_an_outage(self):
         self.fleet.platform.weather.down = True
         self.fleet.clock.seconds += 60
         await self.a.step()
         self.assertEqual(self.a.prepaid(), 100)
-        self.assertEqual(self.a.parts.follower.age, 60)
+        self.assertEqual(self.a.parts.follower.confirmed_age, 60)
 
-    async def test_age_of_a_look_counts_from_its_question(self):
-        """Guards against a late answer that passes for a new one."""
-        self.b.way.between = self.wait_for_the_answer
+    async def test_age_starts_at_the_request(self):
+        """Guards against a late answer that counts as a new one."""
+        self.b.way.after_scan = self.delay_answer
         await self.b.step()
-        self.assertEqual(self.b.parts.follower.age, 30)
+        self.assertEqual(self.b.parts.follower.confirmed_age, 30)
 
-    async def wait_for_the_answer(self):
-        """Let time pass while an answer is on its way."""
+    async def delay_answer(self):
+        """Let 30 s pass while an answer is on its way."""
         self.fleet.clock.seconds += 30
 
     async def test_confirmed_while_the_service_answers(self):
-        """Guards against a healthy router that can't deny anything."""
+        """Guards against a healthy router whose table is never confirmed.
+
+        Such a router couldn't deny requests by its table.
+        """
         follower = self.b.parts.follower
-        longest = follower.cfg.table.poll_interval * IDLE_FACTOR
+        longest = follower.cfg.table.poll_interval * NON_READER_POLL_FACTOR
         for _ in range(3):
             await self.b.step()
             self.fleet.clock.seconds += longest
             self.assertTrue(follower.is_confirmed())
 
     async def test_not_confirmed_by_peers_alone(self):
-        """Guards against denials by a table that only a peer has told."""
+        """Guards against denials by a table that only peers have sent."""
         late = self.fleet.join('late')
         late.way.cut = True
         await late.step()
@@ -237,8 +234,8 @@
         await late.step()
         self.assertTrue(late.parts.follower.is_confirmed())
 
-    async def test_confirmed_no_longer_than_edits_take(self):
-        """Guards against denials once an edit must be in force elsewhere."""
+    async def test_confirmation_expires_before_edits_take_force(self):
+        """Guards against denials after the time in which edits take force."""
         await self.b.step()
         self.fleet.platform.weather.down = True
         self.fleet.clock.seconds += 5
@@ -246,11 +243,10 @@
         self.assertFalse(self.b.parts.follower.is_confirmed())
 
     async def test_commit_between_two_pages_of_a_full_read(self):
-        """A row changes while the table is read whole.
+        """Guards against a change that a full read misses for good.
 
-        Symptom: the change would be missed for good. Events: page one is
-        read, a row of it changes, page two is read. Cause: the last page's
-        number covers commits that the first page did not see.
+        A row of the first page changes before the second page is read. The
+        version of the last page covers that commit, but the rows read don't.
         """
         edits = tuple(
             Edit(f'e{n}', 'a', f'table/team/t{n:04}', 0, {})
@@ -262,16 +258,16 @@
         self.fleet.fabric.cut(('late',), 'ab')
         late.way.objects_cut = True
         change = Edit('c', 'a', 'table/team/t0000', -1, {'weight': 9})
-        late.way.between = lambda: self.a.parts.editor.apply(change)
+        late.way.after_scan = lambda: self.a.parts.editor.apply(change)
         await late.step()
         await late.step()
         self.assertEqual(late.team('t0000').weight, 9)
 
 
-class PaceTest(FollowerTest):
-    """How often routers look."""
+class PollIntervalTest(FollowerTest):
+    """How often routers poll."""
 
-    async def test_readers_of_a_zone(self):
+    async def test_rank_in_zone(self):
         fabric = FakeNet()
         nets = [fabric.join(f'r{n}') for n in range(30)]
         other = fabric.join('elsewhere', 'zone-b')
@@ -283,7 +279,7 @@
         left = [net for net in nets if net is not first]
         self.assertEqual(min(map(rank_in_zone, left)), 0)
 
-    async def test_idle_routers_look_seldom(self):
+    async def test_non_readers_poll_less_often(self):
         for number in range(6):
             self.fleet.join(f'r{number}')
         pauses = []
@@ -295,9 +291,9 @@
         interval = 0.5
         quick = [pause for pause in pauses if pause <= interval]
         self.assertEqual(len(quick), 2)
-        self.assertLessEqual(max(pauses), interval * IDLE_FACTOR)
+        self.assertLessEqual(max(pauses), interval * NON_READER_POLL_FACTOR)
 
-    async def test_start_in_an_outage_slows_down(self):
+    async def test_start_in_an_outage_backs_off(self):
         late = self.fleet.join('late')
         late.way.cut = True
         self.fleet.fabric.cut(('late',), 'ab')
@@ -310,10 +306,10 @@
         self.assertGreater(pauses[-1], 4 * pauses[0])
 
 
-class SnapshotPaceTest(FollowerTest):
-    """Who writes snapshots, and when."""
+class SnapshotIntervalTest(FollowerTest):
+    """Which router writes snapshots, and when."""
 
-    async def test_one_router_of_the_zone_writes_when_much_changed(self):
+    async def test_one_router_per_zone_writes_after_many_changes(self):
         edits = tuple(
             Edit(f'e{n}', 'a', f'table/team/t{n}', 0, {}) for n in range(600)
         )
@@ -322,9 +318,9 @@
         self.fleet.clock.seconds += 61
         for station in self.fleet.stations:
             await station.step()
-        names = await self.fleet.platform.objects.names(PREFIX)
+        names = await self.fleet.platform.objects.names(SNAPSHOT_PREFIX)
         version = self.a.view.version
-        self.assertEqual(names[-1], f'{PREFIX}{version:020d}')
+        self.assertEqual(names[-1], f'{SNAPSHOT_PREFIX}{version:020d}')
         written = sum(
             writer.metrics.counted('balsamreach_table_snapshots_written_total')
             for writer in self.fleet.stations
@@ -334,5 +330,5 @@
         await self.a.parts.editor.apply(edit('w', weight=3))
         for station in self.fleet.stations:
             await station.step()
-        again = await self.fleet.platform.objects.names(PREFIX)
+        again = await self.fleet.platform.objects.names(SNAPSHOT_PREFIX)
         self.assertEqual(again, names)
--- a/tests/test_table_pruning.py
+++ b/tests/test_table_pruning.py
@@ -1,4 +1,4 @@
-"""Old records of edits are deleted, and only old ones."""
+"""Only expired edit records and history entries are deleted."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 from balsamreach.table.editor import Editor
 from balsamreach.table.faults import TABLE_AWAY
 from balsamreach.table.history import EDIT_PREFIX, HISTORY_PREFIX
-from balsamreach.table.pruning import PAGE_EVERY_S, PRUNING_KEY, Pruner
+from balsamreach.table.pruning import PAGE_INTERVAL_S, PRUNING_KEY, Pruner
 from balsamreach.telemetry.metrics import Metrics
 from tests.support import FakeClock
 from tests.table_fleet import edit
@@ -18,7 +18,7 @@
 
 
 class PruningTest(unittest.IsolatedAsyncioTestCase):
-    """Edits are kept for a week as ids and for 400 days as history."""
+    """Edit ids are kept for a week and history entries for 400 days."""
 
     async def asyncSetUp(self):
         self.clock = FakeClock(_START)
@@ -34,24 +34,24 @@
         return Pruner(cfg, self.table, self.clock, Metrics())
 
     async def step(self, number=0):
-        """Let one router look at a page that is due."""
-        self.clock.advance(PAGE_EVERY_S)
+        """Let one router prune after a page has become due."""
+        self.clock.advance(PAGE_INTERVAL_S)
         return await self.pruners[number].step()
 
     async def pass_days(self, days):
-        """Let time pass, with pages looked at; return what was deleted."""
+        """Advance the clock, prune twice a day; return the number deleted."""
         deleted = 0
         for _ in range(days * 2):
-            self.clock.advance(_DAY_S / 2 - PAGE_EVERY_S)
+            self.clock.advance(_DAY_S / 2 - PAGE_INTERVAL_S)
             deleted += await self.step()
         return deleted
 
     async def count(self, prefix):
-        """Return how many records there are."""
+        """Return the number of records."""
         page = await self.table.scan(Scan(prefix))
         return len(page.rows)
 
-    async def test_ids_go_before_history(self):
+    async def test_edit_ids_expire_before_history(self):
         self.assertEqual(await self.pass_days(6), 0)
         self.assertEqual(await self.pass_days(3), 1)
         self.assertEqual(await self.count(EDIT_PREFIX), 0)
@@ -64,10 +64,10 @@
         self.assertEqual(await self.pruners[1].step(), 0)
         self.assertEqual(self.platform.weather.reads - reads, 1)
 
-    async def test_goes_on_behind_a_full_page(self):
+    async def test_continues_after_a_full_page(self):
         await self.pass_days(8)
         for first in range(0, 1200, 200):
-            # The first page is all new, and the old ones are behind it.
+            # The first page has only new records; expired ones follow.
             at = _START if first >= 1000 else self.clock.wall()
             writes = tuple(
                 Write(f'{EDIT_PREFIX}id-{number:04}', {'at': at})
@@ -79,17 +79,16 @@
         self.assertEqual(await self.count(EDIT_PREFIX), 1000)
 
     async def test_clock_far_ahead_deletes_nothing(self):
-        """A host with a wrong clock must not delete the history.
+        """Guards against the loss of all history to a wrong clock.
 
-        Symptom: the history of all rows is gone.
-        Sequence: a host's clock is years ahead; it finds a page due.
-        Cause: records are dated by the clocks of hosts.
+        Records are dated by hosts. To a host with a clock years ahead, all of
+        them look expired.
         """
         self.clock.advance(_DAY_S * 1000)
         self.assertEqual(await self.step(), 0)
         self.assertEqual(await self.count(HISTORY_PREFIX), 1)
 
-    async def test_platform_away(self):
+    async def test_platform_down(self):
         self.platform.weather.down = True
         self.assertEqual(await self.step(), TABLE_AWAY)
         self.platform.weather.down = False
--- a/tests/test_table_rows.py
+++ b/tests/test_table_rows.py
@@ -1,4 +1,4 @@
-"""Rows are read strictly, and errors name the field."""
+"""Row decoding is strict, and errors name the field."""
 
 import unittest
 
@@ -7,11 +7,11 @@
 from balsamreach.table.faults import BAD_ROW
 from balsamreach.table.rows import decode
 
-_PLACE = {'address': '127.0.0.1:9', 'zone': 'a', 'service': 'llm'}
+_REQUIRED = {'address': '127.0.0.1:9', 'zone': 'a', 'service': 'llm'}
 
 
 class DecodeTest(unittest.TestCase):
-    """One table of wrong fields for each kind of row."""
+    """Invalid fields of each kind of row."""
 
     @parameterized.expand(
         [
@@ -39,10 +39,10 @@
             ({'name': 'other'}, 'name'),
         ]
     )
-    def test_bad_team(self, fields, named):
+    def test_invalid_team(self, fields, field):
         fault = decode('table/team/t', fields)
         self.assertEqual(fault, BAD_ROW)
-        self.assertIn(named, fault.reason)
+        self.assertIn(field, fault.reason)
         self.assertNotIn('my-secret-key', fault.reason)
 
     @parameterized.expand(
@@ -61,24 +61,24 @@
             ({'price': 0.5}, 'price'),
         ]
     )
-    def test_bad_target(self, fields, named):
-        fault = decode('table/target/t', _PLACE | fields)
+    def test_invalid_target(self, fields, field):
+        fault = decode('table/target/t', _REQUIRED | fields)
         self.assertEqual(fault, BAD_ROW)
-        self.assertIn(named, fault.reason)
+        self.assertIn(field, fault.reason)
 
     @parameterized.expand(
         [('127.0.0.1:9',), ('[::1]:9',)],
     )
-    def test_good_address(self, address):
-        row = decode('table/target/t', _PLACE | {'address': address})
+    def test_valid_address(self, address):
+        row = decode('table/target/t', _REQUIRED | {'address': address})
         self.assertEqual(row.address, address)
 
-    def test_missing_fields_are_named(self):
+    def test_error_names_missing_fields(self):
         fault = decode('table/target/t', {'zone': 'a'})
         self.assertIn('address and service', fault.reason)
 
     @parameterized.expand(
         [('table/region/t', {}), ('table/team/t', []), ('table/team/t', 'x')],
     )
-    def test_no_row_at_all(self, key, fields):
+    def test_invalid_key_or_type(self, key, fields):
         self.assertEqual(decode(key, fields), BAD_ROW)
--- a/tests/test_table_view.py
+++ b/tests/test_table_view.py
@@ -1,4 +1,4 @@
-"""The table in force: never older than it was."""
+"""The view applies only newer rows and finds rows by its indexes."""
 
 import unittest
 
@@ -6,55 +6,54 @@
 
 from balsamreach.services.base import Row
 from balsamreach.table.rows import ENGINE, PLAIN_SERVICE
-from balsamreach.table.view import TableView, adopt, hash_key
-from tests.table_fleet import TEAM, gone, row
+from balsamreach.table.view import TableView, apply_copy, hash_key
+from tests.table_fleet import TEAM, deleted_row, row
 
 
 def _target(version, **fields):
-    place = {'address': '127.0.0.1:9', 'zone': 'a', 'service': 'llm'}
-    return Row('table/target/t', version, place | fields)
+    required = {'address': '127.0.0.1:9', 'zone': 'a', 'service': 'llm'}
+    return Row('table/target/t', version, required | fields)
 
 
 class ApplyTest(unittest.TestCase):
-    """Rows in any order leave the newest in force."""
+    """The newest row is in force, in whatever order rows arrive."""
 
     @parameterized.expand(
         [
             ('newer', [row(3, prepaid=1), row(5, prepaid=2)], 2),
-            ('late older', [row(5, prepaid=2), row(3, prepaid=1)], 2),
+            ('older one last', [row(5, prepaid=2), row(3, prepaid=1)], 2),
             ('twice', [row(5, prepaid=2), row(5, prepaid=2)], 2),
-            ('deleted', [row(3), gone(5)], None),
-            ('late after deletion', [gone(5), row(3, prepaid=1)], None),
-            ('made anew', [gone(5), row(6, prepaid=7)], 7),
+            ('deleted', [row(3), deleted_row(5)], None),
+            ('late after deletion', [deleted_row(5), row(3, prepaid=1)], None),
+            ('created again', [deleted_row(5), row(6, prepaid=7)], 7),
         ]
     )
-    def test_order(self, _, rows, prepaid):
+    def test_newest_row_in_any_order(self, _, rows, prepaid):
         view = TableView()
         for changed in rows:
             view.apply((changed,), 0)
         team = view.teams.get('winders')
         self.assertEqual(team and team.prepaid, prepaid)
 
-    def test_deletion_that_is_forgotten_still_holds(self):
-        """A row that was deleted comes back.
+    def test_unrecorded_deletion_still_holds(self):
+        """Guards against a deleted row that comes back.
 
-        Symptom: a deleted team is served again. Events: the view has read
-        the whole log to 9, in which the team was deleted at 8; a message
-        with the team's row of version 5, delayed in a queue, arrives.
-        Cause: the full read shows no deletions, so none was remembered.
+        The view has read the log up to 9, and the team was deleted at 8. A full
+        read contains no deletions, so none was recorded. A delayed message then
+        brings the team's row of version 5.
         """
         view = TableView()
         view.apply((), 9)
         self.assertEqual(view.apply((row(5, prepaid=1),), 0), ())
         self.assertEqual(view.teams, {})
 
-    def test_version_never_falls(self):
+    def test_version_never_decreases(self):
         view = TableView()
         view.apply((), 9)
         view.apply((), 4)
         self.assertEqual(view.version, 9)
 
-    def test_row_that_cannot_be_read_leaves_the_one_before(self):
+    def test_invalid_row_keeps_the_previous_one(self):
         view = TableView()
         view.apply((row(3, prepaid=1),), 3)
         view.apply((row(5, prepaid='much'),), 5)
@@ -64,49 +63,49 @@
         view.apply((row(6, prepaid=2),), 6)
         self.assertEqual(view.rejected, {})
 
-    def test_unknown_kind_touches_no_target(self):
+    def test_unknown_kind_changes_no_target(self):
         view = TableView()
         view.apply((_target(1),), 1)
         view.apply((Row('table/region/t', 2, {}),), 2)
         view.apply((Row('table/region/t', 3, None),), 3)
         self.assertIn('t', view.targets)
 
-    def test_watchers_hear_of_new_rows_only(self):
-        heard = []
-        view = TableView(watchers=[heard.append])
+    def test_watchers_get_new_rows_only(self):
+        notified = []
+        view = TableView(watchers=[notified.append])
         view.apply((row(3),), 3)
         view.apply((row(3),), 3)
-        self.assertEqual(heard, [(row(3),)])
+        self.assertEqual(notified, [(row(3),)])
 
 
 class SinceTest(unittest.TestCase):
-    """What a view tells to one that is behind."""
+    """Rows for a router that is behind."""
 
     def test_rows_since(self):
         view = TableView()
-        view.apply((row(3, 'b'), row(2, 'a'), gone(4, 'c')), 4)
+        view.apply((row(3, 'b'), row(2, 'a'), deleted_row(4, 'c')), 4)
         keys = [found.key for found in view.rows_since(2)]
         self.assertEqual(keys, ['table/team/b', 'table/team/c'])
 
-    def test_adopt_drops_what_the_other_lacks(self):
+    def test_apply_copy_removes_missing_rows(self):
         view = TableView()
         view.apply((row(2, 'a'), row(3, 'b'), row(12, 'ahead')), 3)
-        other = TableView()
-        other.apply((row(9, 'b', prepaid=9),), 9)
-        adopt(view, other)
+        copy = TableView()
+        copy.apply((row(9, 'b', prepaid=9),), 9)
+        apply_copy(view, copy)
         self.assertEqual(sorted(view.teams), ['ahead', 'b'])
         self.assertEqual(view.teams['b'].prepaid, 9)
 
-    def test_adopt_takes_nothing_older(self):
+    def test_apply_copy_ignores_an_older_copy(self):
         view = TableView()
         view.apply((row(3, 'a'),), 9)
-        adopt(view, TableView(version=5))
+        apply_copy(view, TableView(version=5))
         self.assertIn('a', view.teams)
 
     def test_tombstones_are_bounded(self):
         view = TableView()
         for version in range(1, 5001):
-            view.apply((gone(version, f't{version}'),), version)
+            view.apply((deleted_row(version, f't{version}'),), version)
         self.assertEqual(view.versions.floor, 5000 - 4096)
         self.assertEqual(len(list(view.rows_since(0))), 4096)
 
@@ -126,12 +125,11 @@
         view.apply((_target(3, kind=PLAIN_SERVICE, models=['n']),), 3)
         self.assertEqual(list(view.engines_for('n')), [])
 
-    def test_one_key_in_two_rows_is_the_same_team_everywhere(self):
-        """Two routers bill a key to different teams.
+    def test_key_in_two_rows_has_one_owner(self):
+        """Guards against routers that bill one key to different teams.
 
-        Symptom: a team's requests are billed now to one, now to another.
-        Events: an operator copies a row with its key; routers read the two
-        rows in different orders. Cause: the last row read took the key.
+        An operator copies a row with its key, and routers read the two rows in
+        different orders. The last row read must not take the key.
         """
         digest = [hash_key('secret')]
         rows = [row(1, 'b', key_hashes=digest), row(2, 'a', key_hashes=digest)]
