--- a/tests/test_sessions_targets.py
+++ b/tests/test_sessions_targets.py
@@ -1,9 +1,11 @@
 """Golden sessions of targets that crash, leave or fall silent."""
 
 import asyncio
+from unittest import mock
 
 import attrs
 
+from balsamreach.standins.engine_http import CacheEventsHandler, LoadHandler
 from tests.failure_case import FailureCase, ask
 from tests.failure_rig import HELD_MS, Rig, wait
 from tests.failure_session import receive
@@ -172,9 +174,15 @@
         await self.rig.start(2)
         engine = self.rig.engine.core
         engine.cfg.leaving_header = engine.cfg.incarnation
-        sent = ask('Quote', key='quote-1')
-        await self.session.say('quote', self.address(0), sent)
-        await wait(lambda: all(map(_is_leaving, self.rig.routers)))
+        # A poll between setting the header and the quote would tell the
+        # router first, and the quote would be refused.
+        with (
+            mock.patch.object(LoadHandler, 'announce'),
+            mock.patch.object(CacheEventsHandler, 'announce'),
+        ):
+            sent = ask('Quote', key='quote-1')
+            await self.session.say('quote', self.address(0), sent)
+            await wait(lambda: all(map(_is_leaving, self.rig.routers)))
         for number in (0, 1):
             sent = ask('Quote', key=f'later-{number}')
             title = f'another at router {number}'
