--- a/src/balsamreach/platform/__init__.py
+++ b/src/balsamreach/platform/__init__.py
@@ -1,1 +1,1 @@
-"""All that only translates between balsamreach and the users' platform."""
+"""Adapters between the router and the users' platform."""
--- a/src/balsamreach/platform/boot.py
+++ b/src/balsamreach/platform/boot.py
@@ -1,4 +1,4 @@
-"""Reads the settings file of the platform into overrides of our own."""
+"""Converts the platform's settings file into overrides of our settings."""
 
 import os
 import tomllib
@@ -15,73 +15,78 @@
 
 
 @attrs.frozen
-class _Key:
-    """How one field of the platform's file becomes a key of ours.
+class _FieldMapping:
+    """Maps a field of the platform's file to one of our settings.
 
     Parameters
     ----------
     field : str
-        Its name there, tables separated by dots.
-    key : str
-        ``section.key`` here.
+        Dotted path of the field in the TOML file.
+    setting : str
+        Our setting, as ``section.key``.
     unit : str
-        Unit that our text needs behind the number.
+        Suffix to append to the number (``s``), or how to format the value:
+        ``whole`` as an integer, ``share`` as a percentage, ``list`` as
+        comma-separated values.
     part : str
-        ``address`` or ``port``, where the field holds both.
+        ``address`` or ``port``, if the field holds ``address:port``.
     optional : bool
-        Whether it may be missing; our default holds then.
+        Whether the field may be missing; our default applies then.
     """
 
     field: str
-    key: str
+    setting: str
     unit: str = ''
     part: str = ''
     optional: bool = False
 
 
-#: The platform calls a host a machine and a router a node; what it calls a
-#: front is our listener for callers.
-_KEYS = (
-    _Key('node', 'host.name'),
-    _Key('ip', 'host.address'),
-    _Key('zone', 'host.zone'),
-    _Key('limits.link_mbps', 'host.link', unit='whole', optional=True),
-    _Key('listen.front', 'callers.address', part='address'),
-    _Key('listen.front', 'callers.port', part='port'),
-    _Key('listen.ready', 'probes.address', part='address'),
-    _Key('listen.ready', 'probes.port', part='port'),
-    # The platform leaves it to us what a role speaks on "control"; there the
-    # routers listen for each other, and ``seeds`` names such addresses.
-    _Key('listen.control', 'peers.address', part='address'),
-    _Key('listen.control', 'peers.port', part='port'),
-    _Key('seeds', 'peers.seeds', unit='list'),
-    _Key('bounds.retry_budget_ratio', 'relay.retry_share', unit='share'),
-    _Key('bounds.budget_slack', 'relay.retry_slack', unit='whole'),
-    _Key('bounds.budget_window_s', 'relay.retry_window', unit='s'),
-    _Key('bounds.grace_s', 'relay.grace', unit='s'),
+#: The platform calls a host a machine, a router a node and the listener for
+#: callers a front.
+_FIELD_MAPPINGS = (
+    _FieldMapping('node', 'host.name'),
+    _FieldMapping('ip', 'host.address'),
+    _FieldMapping('zone', 'host.zone'),
+    _FieldMapping('limits.link_mbps', 'host.link', unit='whole', optional=True),
+    _FieldMapping('listen.front', 'callers.address', part='address'),
+    _FieldMapping('listen.front', 'callers.port', part='port'),
+    _FieldMapping('listen.ready', 'probes.address', part='address'),
+    _FieldMapping('listen.ready', 'probes.port', part='port'),
+    # The platform doesn't prescribe a protocol for "control". Routers accept
+    # peer connections there, and ``seeds`` holds such addresses.
+    _FieldMapping('listen.control', 'peers.address', part='address'),
+    _FieldMapping('listen.control', 'peers.port', part='port'),
+    _FieldMapping('seeds', 'peers.seeds', unit='list'),
+    _FieldMapping(
+        'bounds.retry_budget_ratio', 'relay.retry_share', unit='share'
+    ),
+    _FieldMapping('bounds.budget_slack', 'relay.retry_slack', unit='whole'),
+    _FieldMapping('bounds.budget_window_s', 'relay.retry_window', unit='s'),
+    _FieldMapping('bounds.grace_s', 'relay.grace', unit='s'),
 )
-_STORE = 'platform.address'
+_STORE_ADDRESS = 'platform.address'
 
 
 def read_boot(path: str | None = None) -> tuple[str, ...] | ConfigFault:
-    """Return the platform's settings as overrides of our settings.
+    """Read the platform's settings file as overrides of our settings.
 
     Parameters
     ----------
     path : str or None
-        The platform's file; None for the one that the environment names.
+        Path of the file; None to take it from BALSAMREACH_BOOT.
 
     Returns
     -------
     tuple of str or ConfigFault
-        Texts like ``callers.port=8080``; BAD_SETTINGS with every problem.
+        Overrides such as ``callers.port=8080``, or BAD_SETTINGS that lists
+        every problem.
     """
     path = path or os.environ.get(PATH_VARIABLE, '')
     if not path:
         return BAD_SETTINGS.listing(
             (f'{PATH_VARIABLE}: not set; name the settings file in it',),
         )
-    fields = _load(Path(path))
+    fields = _load_toml(Path(path))
     if isinstance(fields, ConfigFault):
         return fields
     problems: list[str] = []
@@ -91,7 +96,7 @@
     return tuple(overrides)
 
 
-def _load(path: Path) -> Mapping[str, Any] | ConfigFault:
+def _load_toml(path: Path) -> Mapping[str, Any] | ConfigFault:
     try:
         return tomllib.loads(path.read_text(encoding='utf-8'))
     except OSError as exc:
@@ -106,22 +111,22 @@
     path: str,
     problems: list[str],
 ) -> Iterator[str]:
-    store = _find(fields, _STORE)
+    store = _get_nested(fields, _STORE_ADDRESS)
     if store is None:
         problems.append(f'{path}: [platform] address: missing; name the store')
     yield f'platform.table=http://{store}'
-    for key in _KEYS:
-        found = _find(fields, key.field)
-        if found is None and key.optional:
+    for mapping in _FIELD_MAPPINGS:
+        value = _get_nested(fields, mapping.field)
+        if value is None and mapping.optional:
             continue
-        if found is None:
-            section, _, name = key.field.rpartition('.')
+        if value is None:
+            section, _, name = mapping.field.rpartition('.')
             problems.append(f'{path}: [{section}] {name}: missing')
             continue
-        yield f'{key.key}={_text(found, key)}'
+        yield f'{mapping.setting}={_format_value(value, mapping)}'
 
 
-def _find(fields: Any, dotted: str) -> Any:
+def _get_nested(fields: Any, dotted: str) -> Any:
     for name in dotted.split('.'):
         if isinstance(fields, list) and name.isdecimal():
             fields = fields[int(name)] if int(name) < len(fields) else None
@@ -132,14 +137,14 @@
     return fields
 
 
-def _text(found: Any, key: _Key) -> str:
-    if key.part:
-        address, _, port = str(found).rpartition(':')
-        return address if key.part == 'address' else port
-    if key.unit == 'share':
-        return f'{found * 100:g}%'
-    if key.unit == 'list':
-        return ','.join(found)
-    if key.unit == 'whole':
-        return str(int(found))
-    return f'{found}{key.unit}'
+def _format_value(value: Any, mapping: _FieldMapping) -> str:
+    if mapping.part:
+        address, _, port = str(value).rpartition(':')
+        return address if mapping.part == 'address' else port
+    if mapping.unit == 'share':
+        return f'{value * 100:g}%'
+    if mapping.unit == 'list':
+        return ','.join(value)
+    if mapping.unit == 'whole':
+        return str(int(value))
+    return f'{value}{mapping.unit}'
--- a/src/balsamreach/platform/configuration.py
+++ b/src/balsamreach/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as it is stored there."""
+"""Parses the configuration that operators store on the platform."""
 
 import json
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -21,92 +21,99 @@
 
 _MS = 1000
 _DEFAULT_TIMEOUT_MS = 30_000
-_DEFAULT_AIM_MS = 1000
+_DEFAULT_TARGET_LATENCY_MS = 1000
 _STREAM = 'streaming'
 _IDEMPOTENT = 'idempotent'
 
 Fields = Mapping[str, Any]
 Entry = TypeVar('Entry')
 
-#: Entries that are read anew at once, rather than looked up by name first.
-_FEW = 32
-_NONE = (None, None)
-_name = itemgetter('name')
+#: Number of unmatched entries above which an index by name is built.
+_NAME_LOOKUP_THRESHOLD = 32
+_NOT_FOUND = (None, None)
+_get_name = itemgetter('name')
 
 
 @attrs.define(eq=False)
 class EntriesReader(Generic[Entry]):
-    """Reads the entries of one list, again and again.
+    """Parses a list of entries and reuses entries that haven't changed.
 
-    An entry is read once as long as it stays the same. Thousands of them read
-    anew for each change, ten times a second, would keep a small host from its
-    requests for as long as the changes last.
+    Parsing thousands of entries for each change, ten times a second, would
+    leave a small host no CPU time for requests.
 
     Parameters
     ----------
-    read_one : callable
-        Reads one entry.
+    parse_entry : callable
+        Parses the fields of one entry.
     """
 
-    read_one: Callable[[Fields], Entry]
+    parse_entry: Callable[[Fields], Entry]
     _fields: tuple[Fields, ...] = ()
     _entries: tuple[Entry, ...] = ()
 
-    def read(self, listed: Iterable[Fields]) -> tuple[Entry, ...]:
-        """Return the entries in the order of the list."""
-        fields = tuple(listed)
-        # What a patch left alone is the same object, found without a look at
-        # what it holds.
-        others = map(is_not, fields, chain(self._fields, repeat(None)))
-        places = list(compress(count(), others))
-        if places or len(fields) < len(self._fields):
-            self._entries = self._read_places(fields, places)
+    def read(self, raw_entries: Iterable[Fields]) -> tuple[Entry, ...]:
+        """Parse a list and return its entries in the same order."""
+        fields = tuple(raw_entries)
+        # A patch keeps unchanged entries as the same objects, so an identity
+        # check avoids comparing their contents.
+        differs = map(is_not, fields, chain(self._fields, repeat(None)))
+        positions = list(compress(count(), differs))
+        if positions or len(fields) < len(self._fields):
+            self._entries = self._update_positions(fields, positions)
             self._fields = fields
         return self._entries
 
-    def _read_places(
+    def _update_positions(
         self,
         fields: Sequence[Fields],
-        places: Iterable[int],
+        positions: Iterable[int],
     ) -> tuple[Entry, ...]:
         entries = list(self._entries[: len(fields)])
         entries.extend(repeat(None, len(fields) - len(entries)))
         known = self._fields
         changed = [
-            place
-            for place in places
-            if place >= len(known) or fields[place] != known[place]
+            position
+            for position in positions
+            if position >= len(known) or fields[position] != known[position]
         ]
-        missing = []
-        # Behind one that is new or gone all others stand elsewhere.
+        unmatched = []
+        # An added or removed entry shifts the position of all later ones.
         shift = len(known) - len(fields)
-        for place in changed:
-            there = place + shift
-            if shift and there >= 0 and known[there] is fields[place]:
-                entries[place] = self._entries[there]
+        for position in changed:
+            old_position = position + shift
+            if (
+                shift
+                and old_position >= 0
+                and known[old_position] is fields[position]
+            ):
+                entries[position] = self._entries[old_position]
             else:
-                missing.append(place)
-        by_name = self._by_name() if len(missing) > _FEW else {}
-        for place in missing:
-            entries[place] = self._read_one(by_name, fields[place])
+                unmatched.append(position)
+        by_name = (
+            self._index_by_name()
+            if len(unmatched) > _NAME_LOOKUP_THRESHOLD
+            else {}
+        )
+        for position in unmatched:
+            entries[position] = self._reuse_or_parse(by_name, fields[position])
         return tuple(entries)
 
-    def _by_name(self) -> dict[str, tuple[Fields, Entry]]:
+    def _index_by_name(self) -> dict[str, tuple[Fields, Entry]]:
         pairs = zip(self._fields, self._entries, strict=True)
-        return dict(zip(map(_name, self._fields), pairs, strict=True))
+        return dict(zip(map(_get_name, self._fields), pairs, strict=True))
 
-    def _read_one(
+    def _reuse_or_parse(
         self,
         known: Mapping[str, tuple[Fields, Entry]],
-        one: Fields,
+        fields: Fields,
     ) -> Entry:
-        before, entry = known.get(_name(one), _NONE)
-        return entry if before == one else self.read_one(one)
+        before, entry = known.get(_get_name(fields), _NOT_FOUND)
+        return entry if before == fields else self.parse_entry(fields)
 
 
 @attrs.define(eq=False)
 class CatalogueReader:
-    """Reads one configuration after the other."""
+    """Parses successive versions of the configuration."""
 
     _services: EntriesReader[Service] = attrs.field(
         factory=lambda: EntriesReader(_read_service),
@@ -120,29 +127,29 @@
     _index: RouteIndex = attrs.field(factory=RouteIndex)
 
     def decode(self, document: str) -> Catalogue | None:
-        """Read what another router sent; None if it is none."""
+        """Parse a JSON document from another router; None if it is invalid."""
         try:
             return self.read(json.loads(document))
         except (KeyError, TypeError, ValueError):
             return None
 
     def read(self, fields: Fields) -> Catalogue:
-        """Read a whole configuration.
+        """Parse a complete configuration.
 
         Parameters
         ----------
         fields : mapping
-            The stored object; the store takes only valid ones.
+            The stored object; the store validates it on write.
 
         Returns
         -------
         Catalogue
-            The same in our terms.
+            The parsed configuration.
 
         Raises
         ------
         KeyError, TypeError, ValueError
-            If the object is none that the store would take.
+            If the object is not a valid configuration.
         """
         services = self._services.read(fields['services'])
         teams = self._teams.read(fields.get('tenants') or ())
@@ -170,7 +177,8 @@
         idempotent=kind == _IDEMPOTENT,
         resumable=bool(fields.get('stream_resume')),
         timeout=(fields.get('timeout_ms') or _DEFAULT_TIMEOUT_MS) / _MS,
-        aim=(fields.get('target_latency_ms') or _DEFAULT_AIM_MS) / _MS,
+        aim=(fields.get('target_latency_ms') or _DEFAULT_TARGET_LATENCY_MS)
+        / _MS,
         event_gap=(fields.get('gap_aim_ms') or 0) / _MS,
         priority=int(fields.get('priority') or 0),
         most_targets=int(fields.get('max_attempts') or 1),
@@ -179,7 +187,7 @@
 
 
 def _read_splits(fields: Fields) -> tuple[Split, ...]:
-    # A route names either one service or a list of services by weight.
+    # A route has either a single service or a list of weighted services.
     split = fields.get('traffic_split')
     if split:
         return tuple(Split(one['service'], one['weight']) for one in split)
@@ -193,7 +201,7 @@
         traits = EngineTraits(
             slots=int(engine['slots']),
             cache_tokens=int(engine['kv_capacity']),
-            # A stride is the number of tokens in one event of a stream.
+            # The stride is the number of tokens per stream event.
             tokens_per_event=int(engine.get('stride') or 1),
         )
     return Service(
@@ -216,15 +224,17 @@
 
 
 def _read_limits(fields: Fields) -> CallerLimits:
-    usual = CallerLimits()
+    default = CallerLimits()
     return CallerLimits(
-        header_bytes=int(fields.get('max_header_bytes') or usual.header_bytes),
-        body_bytes=int(fields.get('max_body_bytes') or usual.body_bytes),
-        header_time=_seconds(fields, 'header_timeout_ms', usual.header_time),
-        idle_time=_seconds(fields, 'idle_timeout_ms', usual.idle_time),
+        header_bytes=int(
+            fields.get('max_header_bytes') or default.header_bytes
+        ),
+        body_bytes=int(fields.get('max_body_bytes') or default.body_bytes),
+        header_time=_seconds(fields, 'header_timeout_ms', default.header_time),
+        idle_time=_seconds(fields, 'idle_timeout_ms', default.idle_time),
     )
 
 
-def _seconds(fields: Fields, name: str, usual: float) -> float:
+def _seconds(fields: Fields, name: str, default: float) -> float:
     milliseconds = fields.get(name)
-    return milliseconds / _MS if milliseconds else usual
+    return milliseconds / _MS if milliseconds else default
--- a/src/balsamreach/platform/feed.py
+++ b/src/balsamreach/platform/feed.py
@@ -1,8 +1,9 @@
-"""Follows one table of the store.
+"""Follows the changes of one table in the store.
 
-In a large fleet one router of each zone follows it for the others, and these
-ask the store only where they hear nothing. Did each ask for itself, the calls
-would grow with the fleet beyond what the store takes.
+In a large fleet one hub per zone polls the store and shares the changes with
+the other routers of the zone, which poll only if they receive no pages. If
+every router polled, the number of calls would grow with the fleet beyond what
+the store can serve.
 """
 
 import asyncio
@@ -13,45 +14,45 @@
 
 from balsamreach.catalogue.currency import ConfigurationSource
 from balsamreach.clock import Clock
+from balsamreach.platform.feed_reader import FeedReader
 from balsamreach.platform.pages import PageSharing, newest_rows
-from balsamreach.platform.reading import TableReading
-from balsamreach.platform.rows import HISTORY_GONE, RowStore, StoredRows
+from balsamreach.platform.row_store import HISTORY_GONE, RowStore, StoredRows
 from balsamreach.services.faults import TOO_LARGE, PlatformFault
 from balsamreach.telemetry.logs import log_event
 from balsamreach.telemetry.metrics import Metrics
 
-FAULTS = 'balsamreach_store_feed_faults_total'
+FAULTS_METRIC = 'balsamreach_store_feed_faults_total'
 
 _logger = logging.getLogger(__name__)
 _MS = 1000
-#: Faults of a store that does answer.
-_ANSWERED = (HISTORY_GONE, TOO_LARGE)
-#: Seconds between two tries at a store that refuses.
-_PAUSE_S = 0.2
-#: Seconds after which a router that has heard nothing asks the store itself.
-#: Who follows it hears within 0.6 s, also where nothing changes.
-_FRESH_S = 1.0
+#: Faults that show that the store is reachable.
+_ANSWERED_FAULTS = (HISTORY_GONE, TOO_LARGE)
+#: Seconds to wait after a failed call.
+_RETRY_DELAY_S = 0.2
+#: Seconds without a page after which a router polls the store itself. A hub
+#: gets an answer from the store within 0.6 s, even if nothing changed.
+_HUB_TIMEOUT_S = 1.0
 
 
 @attrs.frozen(kw_only=True)
 class FeedParts:
-    """What every feed runs on.
+    """Dependencies shared by all feeds.
 
     Parameters
     ----------
     store : RowStore
-        Where the tables are.
+        Client of the store.
     probe : RowStore
-        The same, asked while it does not answer: with short timeouts, and
-        without a wait for news. Asked the usual way, a store that is back
-        would be noticed a second late or more, and requests of teams that
-        have nothing left here would be refused meanwhile.
+        Client used while the store is unreachable, with short timeouts and
+        without long polling. With ``store`` a recovery would be noticed a
+        second late or more, and until then requests of teams with no budget
+        left at this router would be refused.
     clock : Clock
-        Time.
+        Source of the current time.
     metrics : Metrics
-        Counts calls that failed.
+        Counts failed calls.
     pages : PageSharing
-        Passes on what is heard, and hands over what others heard.
+        Exchanges pages with the other routers of the zone.
     """
 
     store: RowStore
@@ -63,146 +64,148 @@
 
 @attrs.define
 class Feed(ConfigurationSource):
-    """Follows one table: first all of it, then what changes.
+    """Reads a table in full once, then follows its changes.
 
     Parameters
     ----------
     table : str
-        The table.
+        Name of the table.
     parts : FeedParts
-        What it runs on.
-    take : callable
-        Takes a page of rows.
+        Shared dependencies.
+    handle_rows : callable
+        Called with each page that is complete or holds changed rows.
     failed_at : float
-        When the last call failed.
+        Monotonic seconds of the last failed call.
     """
 
     table: str
     parts: FeedParts
-    take: Callable[[StoredRows], None]
+    handle_rows: Callable[[StoredRows], None]
     failed_at: float = float('-inf')
-    _answered_at: float = float('-inf')
-    _since: int | None = None
+    _confirmed_at: float = float('-inf')
+    _version: int | None = None
     _away: bool = False
-    _told_at: float = float('-inf')
-    _reading: TableReading = attrs.field(init=False)
-    _missed: asyncio.Event = attrs.field(factory=asyncio.Event)
+    _hub_page_at: float = float('-inf')
+    _reader: FeedReader = attrs.field(init=False)
+    _poll_needed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def __attrs_post_init__(self) -> None:
-        """Take from now on what another router hears."""
-        self._reading = TableReading(
+        """Subscribe to the pages that the hub of the zone shares."""
+        self._reader = FeedReader(
             self.table,
             self.parts.pages,
             self.parts.clock,
-            lambda: self._since,
+            lambda: self._version,
         )
-        self.parts.pages.on(self.table, self.hear)
+        self.parts.pages.register_handler(self.table, self.receive_page)
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the table until cancelled."""
         while True:
-            await self._while_told()
-            asked_at = self.parts.clock.now()
-            page = await self._next()
+            await self._wait_while_hub_reports()
+            requested_at = self.parts.clock.now()
+            page = await self._read_next()
             if page == HISTORY_GONE:
-                self._since = None
+                self._version = None
             elif isinstance(page, PlatformFault):
-                self._fail(page)
-                await self.parts.clock.sleep(_PAUSE_S)
+                self._handle_failure(page)
+                await self.parts.clock.sleep(_RETRY_DELAY_S)
             else:
-                self._take_answer(page, asked_at)
+                self._handle_response(page, requested_at)
 
     async def check(self) -> None:
-        """Ask the store at once, without a wait for news."""
-        if self._since is None:
+        """Poll the store at once, without long polling."""
+        if self._version is None:
             return
-        asked_at = self.parts.clock.now()
-        page = await self._reading.look(self.parts.probe)
+        requested_at = self.parts.clock.now()
+        page = await self._reader.read_changes(self.parts.probe)
         if not isinstance(page, PlatformFault):
-            self._take_answer(page, asked_at)
+            self._handle_response(page, requested_at)
             return
-        if page not in _ANSWERED:
-            self._fail(page)
-        # Otherwise it would ask again only when the hub is silent.
-        self._missed.set()
+        if page not in _ANSWERED_FAULTS:
+            self._handle_failure(page)
+        # Without this ``run`` would poll again only after the hub timeout.
+        self._poll_needed.set()
 
     def confirmed_at(self) -> float:
-        """Return when the last call was sent that the store answered."""
-        return self._answered_at
+        """Return the send time of the last call that the store answered."""
+        return self._confirmed_at
 
     def is_away(self) -> bool:
-        """Return whether the store does not answer this router."""
+        """Return whether the store is unreachable from this router."""
         return self._away
 
-    def hear(self, since: int, page: StoredRows) -> None:
-        """Take what the router that follows the store has heard.
+    def receive_page(self, since: int, page: StoredRows) -> None:
+        """Apply a page that a hub shared.
 
         Parameters
         ----------
         since : int
-            Version after which the rows changed, if they aren't all.
+            Version that the changes start from; unused in a complete page.
         page : StoredRows
-            The rows.
+            The page.
         """
-        # A page that is missing between this one and the last may have told
-        # of a change that nobody would tell of again.
-        known = self._since is not None and since <= self._since
-        if not page.whole and not known:
-            self._missed.set()
+        # A page that was lost in between may hold changes that no later page
+        # repeats.
+        follows_last = self._version is not None and since <= self._version
+        if not page.whole and not follows_last:
+            self._poll_needed.set()
             return
-        self._told_at = self.parts.clock.now()
-        self._take(page)
-
-    async def _while_told(self) -> None:
-        """Wait as long as another router tells all that there is."""
-        self._missed.clear()
-        while self._since is not None and not self._missed.is_set():
-            left = self._told_at + _FRESH_S - self.parts.clock.now()
-            # Whether the store answers this router, no other one can tell.
-            if left <= 0 or self._away or self.parts.pages.follows():
+        self._hub_page_at = self.parts.clock.now()
+        self._apply(page)
+
+    async def _wait_while_hub_reports(self) -> None:
+        """Wait while the pages of a hub keep this router up to date."""
+        self._poll_needed.clear()
+        while self._version is not None and not self._poll_needed.is_set():
+            left = self._hub_page_at + _HUB_TIMEOUT_S - self.parts.clock.now()
+            # Only a call of its own shows a router that its store is back.
+            if left <= 0 or self._away or self.parts.pages.reads_store():
                 return
-            missed = asyncio.ensure_future(self._missed.wait())
-            await asyncio.wait({missed}, timeout=left)
-            missed.cancel()
+            poll_needed = asyncio.ensure_future(self._poll_needed.wait())
+            await asyncio.wait({poll_needed}, timeout=left)
+            poll_needed.cancel()
 
-    async def _next(self) -> StoredRows | PlatformFault:
+    async def _read_next(self) -> StoredRows | PlatformFault:
         store = self.parts.probe if self._away else self.parts.store
-        return await self._reading.read(store)
+        return await self._reader.read(store)
 
-    def _take_answer(self, page: StoredRows, asked_at: float) -> None:
-        self._answered_at = max(self._answered_at, asked_at)
-        _log_rows(self, page, asked_at)
+    def _handle_response(self, page: StoredRows, requested_at: float) -> None:
+        self._confirmed_at = max(self._confirmed_at, requested_at)
+        _log_rows(self, page, requested_at)
         if self._away:
             self._away = False
-            _log_state(self, self._since, 'store_feed_back')
-        self._pass_on(page)
-        self._take(page)
+            _log_transition(self, self._version, 'store_feed_back')
+        self._share(page)
+        self._apply(page)
 
-    def _pass_on(self, page: StoredRows) -> None:
-        if self._since is not None:
-            self.parts.pages.tell(self.table, self._since, page)
+    def _share(self, page: StoredRows) -> None:
+        if self._version is not None:
+            self.parts.pages.share(self.table, self._version, page)
 
-    def _take(self, page: StoredRows) -> None:
-        self.parts.pages.note(page.rows)
-        if self._since is None and not page.whole:
+    def _apply(self, page: StoredRows) -> None:
+        self.parts.pages.remember(page.rows)
+        if self._version is None and not page.whole:
             return
-        # An answer of the store may come behind what another router told.
-        if self._since is not None and page.version < self._since:
+        # A page of the hub may overtake an answer of the store.
+        if self._version is not None and page.version < self._version:
             return
-        self._since = page.version
+        self._version = page.version
         if page.whole or page.rows:
-            self.take(page)
+            self.handle_rows(page)
 
-    def _fail(self, fault: PlatformFault) -> None:
+    def _handle_failure(self, fault: PlatformFault) -> None:
         self.failed_at = self.parts.clock.now()
-        self.parts.metrics.count(FAULTS, table=self.table, code=fault.code)
+        self.parts.metrics.count(
+            FAULTS_METRIC, table=self.table, code=fault.code
+        )
         if not self._away:
             self._away = True
             reason = fault.reason or fault.code
-            _log_state(self, self._since, 'store_feed_lost', reason)
+            _log_transition(self, self._version, 'store_feed_lost', reason)
 
 
-def _log_rows(feed: Feed, page: StoredRows, asked_at: float) -> None:
+def _log_rows(feed: Feed, page: StoredRows, requested_at: float) -> None:
     if not page.rows:
         return
     log_event(
@@ -213,13 +216,13 @@
         version=page.version,
         rows=len(page.rows),
         distinct_rows=len(newest_rows(page.rows)),
-        took_ms=round((feed.parts.clock.now() - asked_at) * _MS),
+        took_ms=round((feed.parts.clock.now() - requested_at) * _MS),
     )
 
 
-def _log_state(
+def _log_transition(
     feed: Feed,
-    since: int | None,
+    version: int | None,
     event: str,
     reason: str | None = None,
 ) -> None:
@@ -229,5 +232,5 @@
         event,
         reason=reason,
         table=feed.table,
-        version=since,
+        version=version,
     )
--- a/src/balsamreach/platform/feeds.py
+++ b/src/balsamreach/platform/feeds.py
@@ -1,4 +1,4 @@
-"""Brings what the store says of configuration and targets into force."""
+"""Feeds that apply configuration and target changes from the store."""
 
 import logging
 from collections.abc import Callable
@@ -12,77 +12,86 @@
 from balsamreach.platform.configuration import CatalogueReader
 from balsamreach.platform.feed import Feed, FeedParts
 from balsamreach.platform.pages import newest_rows
-from balsamreach.platform.rows import StoredRow, StoredRows
+from balsamreach.platform.row_store import StoredRow, StoredRows
 from balsamreach.platform.targets import read_target
 from balsamreach.telemetry.logs import log_event
 
 _logger = logging.getLogger(__name__)
-#: Seconds after the last failed call in which entries that vanished while the
-#: store was away may come back; targets write there again once it answers.
-#: Source: the users' pages.
-_BACK_WITHIN_S = 2.2
+#: Seconds after the last failed call during which targets whose entries are
+#: missing are kept; targets write their entries again once the store is back.
+_RESTORE_GRACE_S = 2.2
 
 _CONFIG_TABLE = 'op'
 _CONFIG_KEY = 'config'
-_EVACUATE = 'evacuate/'
-_STORE = 'store'
+_EVACUATION_PREFIX = 'evacuate/'
+_SOURCE = 'store'
 #: The platform calls targets servers.
 _TARGETS_TABLE = 'servers'
 
 
-def _ignore(_order: Evacuation) -> None:
-    """Tell nobody."""
+def _discard(_evacuation: Evacuation) -> None:
+    """Do nothing."""
 
 
 @attrs.define
 class ConfigurationFeed:
-    """Brings what the operators write into force.
+    """Applies the configuration and evacuations that operators write.
 
     Parameters
     ----------
     view : CatalogueView
-        The configuration.
+        Configuration in force at this router.
     evacuations : Evacuations
-        Zones whose targets get no new work.
-    tell : callable
-        Tells other routers of an evacuation, or the end of one.
+        Zones whose targets get no new requests.
+    announce : callable
+        Sends the start or end of an evacuation to other routers.
     reader : CatalogueReader
-        Reads configurations.
+        Parses configurations.
     """
 
     view: CatalogueView
     evacuations: Evacuations
-    tell: Callable[[Evacuation], None] = _ignore
+    announce: Callable[[Evacuation], None] = _discard
     reader: CatalogueReader = attrs.field(factory=CatalogueReader)
     feed: Feed = attrs.field(init=False)
 
-    def open(self, parts: FeedParts) -> Feed:
-        """Return the feed, to be run."""
-        self.feed = Feed(_CONFIG_TABLE, parts, self._take)
+    def create_feed(self, parts: FeedParts) -> Feed:
+        """Create the feed; the caller has to run it."""
+        self.feed = Feed(_CONFIG_TABLE, parts, self._apply)
         return self.feed
 
-    def _take(self, page: StoredRows) -> None:
+    def _apply(self, page: StoredRows) -> None:
         rows = newest_rows(page.rows)
         for row in rows:
             if row.key == _CONFIG_KEY and row.fields is not None:
-                self._offer(row)
-        orders = list(filter(None, map(_read_order, rows)))
-        news = [order for order in orders if self._put(order)]
+                self._apply_configuration(row)
+        evacuations = list(filter(None, map(_read_evacuation, rows)))
+        changed = [
+            evacuation
+            for evacuation in evacuations
+            if self._apply_evacuation(evacuation)
+        ]
         if page.whole:
-            listed = {order.zone for order in orders if order.in_force}
-            over = self.evacuations.lift_besides(listed, page.version, _STORE)
-            news.extend(over)
-        for order in news:
-            self.tell(order)
+            listed = {
+                evacuation.zone
+                for evacuation in evacuations
+                if evacuation.in_force
+            }
+            lifted = self.evacuations.lift_besides(
+                listed, page.version, _SOURCE
+            )
+            changed.extend(lifted)
+        for evacuation in changed:
+            self.announce(evacuation)
 
-    def _put(self, order: Evacuation) -> bool:
-        return self.evacuations.put(order, _STORE)
+    def _apply_evacuation(self, evacuation: Evacuation) -> bool:
+        return self.evacuations.put(evacuation, _SOURCE)
 
-    def _offer(self, row: StoredRow) -> None:
+    def _apply_configuration(self, row: StoredRow) -> None:
         try:
             catalogue = self.reader.read(row.fields)
         except (KeyError, TypeError, ValueError) as exc:
-            # The one in force is the best there is; an operator sees this.
+            # Keep the configuration in force; the log entry alerts an operator.
             log_event(
                 _logger,
                 logging.ERROR,
@@ -90,12 +99,12 @@
                 reason=f'{type(exc).__name__}: {exc}',
                 row_version=row.version,
             )
-            self._hear_of(row)
+            self._note_unread_version(row)
             return
-        self.view.offer(catalogue, _STORE)
+        self.view.offer(catalogue, _SOURCE)
 
-    def _hear_of(self, row: StoredRow) -> None:
-        # What is in force is not the newest one any more.
+    def _note_unread_version(self, row: StoredRow) -> None:
+        # The configuration in force is now known to be outdated.
         version = row.fields.get('version')
         if isinstance(version, int):
             self.view.hear(version)
@@ -103,54 +112,55 @@
 
 @attrs.define
 class TargetsFeed:
-    """Keeps the list of targets up to date.
+    """Keeps the list of targets up to date with the store.
 
     Parameters
     ----------
     places : Places
-        The list.
+        The list of targets.
     clock : Clock
-        Time.
-    tell : callable
-        Tells other routers of an entry that is news.
-    tell_gone : callable
-        Tells other routers of a target that is gone, and by which change.
+        Source of the current time.
+    announce : callable
+        Sends a new or changed entry to other routers.
+    announce_removal : callable
+        Sends the id of a removed target and the version of its removal to
+        other routers.
     """
 
     places: Places
     clock: Clock
-    tell: Callable[[TargetEntry], None]
-    tell_gone: Callable[[str, int], None]
+    announce: Callable[[TargetEntry], None]
+    announce_removal: Callable[[str, int], None]
     feed: Feed = attrs.field(init=False)
 
-    def open(self, parts: FeedParts) -> Feed:
-        """Return the feed, to be run."""
-        self.feed = Feed(_TARGETS_TABLE, parts, self._take)
+    def create_feed(self, parts: FeedParts) -> Feed:
+        """Create the feed; the caller has to run it."""
+        self.feed = Feed(_TARGETS_TABLE, parts, self._apply)
         return self.feed
 
     def expire(self) -> tuple[str, ...]:
-        """Forget targets that stayed missing, and return them."""
+        """Drop targets that stayed missing, and return their ids."""
         return self.places.expire(self.clock.now())
 
-    def _take(self, page: StoredRows) -> None:
-        # A row may come twice; the later one holds.
+    def _apply(self, page: StoredRows) -> None:
+        # A page may hold several versions of a row; the last one is current.
         newest = {row.key: row for row in page.rows}
-        listed = list(filter(None, map(self._read, newest.values())))
-        for entry in listed:
-            self._put(entry)
-        present = {found.target_id for found in listed}
+        entries = list(filter(None, map(self._read_entry, newest.values())))
+        for entry in entries:
+            self._update_target(entry)
+        present = {found.target_id for found in entries}
         if page.whole:
             missing = self.places.besides(present, page.version)
         else:
             missing = set(newest).difference(present)
-        self.places.miss(missing, self._gone_at())
+        self.places.miss(missing, self._removal_time())
         for target_id in self.expire():
-            self.tell_gone(target_id, page.version)
+            self.announce_removal(target_id, page.version)
 
-    def _read(self, row: StoredRow) -> TargetEntry | None:
+    def _read_entry(self, row: StoredRow) -> TargetEntry | None:
         entry = read_target(row.key, row.fields, row.version)
-        # Were a broken entry an error, one of another writer would end this
-        # feed; it would show as a list that no longer changes.
+        # Anyone can write this table. If an invalid entry raised an error, it
+        # would end the feed, and the list would no longer change.
         if entry is None and not row.removed:
             log_event(
                 _logger,
@@ -161,10 +171,10 @@
             )
         return entry
 
-    def _put(self, entry: TargetEntry) -> None:
+    def _update_target(self, entry: TargetEntry) -> None:
         known = self.places.find(entry.target_id)
-        if known is None or _is_news(known.entry, entry):
-            self.tell(entry)
+        if known is None or _needs_announcement(known.entry, entry):
+            self.announce(entry)
             log_event(
                 _logger,
                 logging.INFO,
@@ -178,18 +188,18 @@
             )
         self.places.put(entry)
 
-    def _gone_at(self) -> float:
-        # While the store was away targets could not keep their entries, and
-        # at its return the list lacks sound ones for a moment. Taken at its
-        # word it would leave a service without any target.
-        # The time runs from the store's return, not from this list: a target
-        # that leaves a little later must not be kept beyond that.
-        return max(self.clock.now(), self.feed.failed_at + _BACK_WITHIN_S)
+    def _removal_time(self) -> float:
+        # Targets can't renew their entries during an outage of the store, so
+        # that healthy ones are missing for a moment after it. Dropping them at
+        # once would leave a service without targets.
+        # The grace time runs from the last failed call and not from this page,
+        # so that a target removed later is not kept for longer.
+        return max(self.clock.now(), self.feed.failed_at + _RESTORE_GRACE_S)
 
 
-def _read_order(row: StoredRow) -> Evacuation | None:
-    # That the row is there is the order, whatever it holds.
-    zone = row.key.removeprefix(_EVACUATE)
+def _read_evacuation(row: StoredRow) -> Evacuation | None:
+    # The existence of the row is the order; its contents are ignored.
+    zone = row.key.removeprefix(_EVACUATION_PREFIX)
     if zone == row.key or not zone:
         return None
     return Evacuation(
@@ -199,6 +209,6 @@
     )
 
 
-def _is_news(known: TargetEntry, entry: TargetEntry) -> bool:
+def _needs_announcement(known: TargetEntry, entry: TargetEntry) -> bool:
     leaves = entry.leaving and not known.leaving
     return leaves or known.born != entry.born
--- a/src/balsamreach/platform/pages.py
+++ b/src/balsamreach/platform/pages.py
@@ -1,4 +1,4 @@
-"""Passes on what one router of a zone hears from the store."""
+"""Shares pages of changed rows between the routers of a zone."""
 
 import json
 import zlib
@@ -10,171 +10,182 @@
 from balsamreach.clock import Clock
 from balsamreach.peers.base import PeerNet
 from balsamreach.platform.patches import apply_patch, make_patch
-from balsamreach.platform.rows import StoredRow, StoredRows
+from balsamreach.platform.row_store import StoredRow, StoredRows
 from balsamreach.wire.membership import Member
 from balsamreach.wire.tables import TablePage
 
-#: Bytes of packed rows beyond which a page is only announced. The others then
-#: read it from the store, whose link is wide; more sent to a whole zone would
-#: fill the link of a hub for longer than they take for that.
-_MOST_BYTES = 128 * 1024
-#: Seconds without a page after which another hub tells. A hub that hears from
-#: the store tells something twice in that time.
-_SILENT_S = 1.5
-#: Bytes that packed rows may grow to; more is no page of ours.
-_MOST_UNPACKED = 4 * 1024 * 1024
-#: Configurations shrink to a fifth already at the least effort.
-_EFFORT = 1
-#: Entries from which on an object is told by what changed in it.
-_LARGE = 32
+#: Size in bytes of compressed rows above which a page is only announced. The
+#: other routers then read it from the store, which has a fast link. Sending
+#: more to a whole zone would occupy the link of a hub for longer than that.
+_MAX_PACKED_BYTES = 128 * 1024
+#: Seconds without a page after which another hub shares pages. A hub that
+#: reaches the store shares at least two pages in that time.
+_HUB_SILENCE_S = 1.5
+#: Limit in bytes for decompressed rows; no valid page is larger.
+_MAX_UNPACKED_BYTES = 4 * 1024 * 1024
+#: The lowest zlib level already compresses configurations to a fifth.
+_COMPRESSION_LEVEL = 1
+#: Number of list entries from which on an object is sent as a patch.
+_LARGE_ROW_ENTRIES = 32
 _ROW = 'row'
-#: Beside a row without its object: version of the row before, and the changes.
+#: Sent with a row without fields: version that the patch applies to, and patch.
 _BASE = 'base'
 _PATCH = 'patch'
 
-#: Takes a page, and the version after which its rows changed.
-TakePage = Callable[[int, StoredRows], None]
-RowName = tuple[str, str, str]
+#: Called with the version that a page starts from, and the page.
+PageHandler = Callable[[int, StoredRows], None]
+RowId = tuple[str, str, str]
 
 
 @attrs.define(eq=False)
 class PageSharing:
-    """Tells the routers of the zone, or hands over what its hub tells.
+    """Sends pages to the routers of the zone, and receives those of its hub.
 
     Parameters
     ----------
     net : PeerNet
-        The other routers.
+        Network of the other routers.
     clock : Clock
-        Time.
+        Source of the current time.
     """
 
     net: PeerNet
     clock: Clock
-    _heard_at: float = attrs.field(init=False)
-    _takers: dict[str, TakePage] = attrs.field(factory=dict)
-    _known: dict[RowName, StoredRow] = attrs.field(factory=dict)
+    _last_page_at: float = attrs.field(init=False)
+    _handlers: dict[str, PageHandler] = attrs.field(factory=dict)
+    _base_rows: dict[RowId, StoredRow] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Give the first hub its time to tell something."""
-        self._heard_at = self.clock.now()
+        """Start the silence timeout of the first hub."""
+        self._last_page_at = self.clock.now()
 
     def start(self) -> None:
-        """Take the pages of the hub from now on."""
-        self.net.on(TablePage, self._take)
+        """Start to receive pages."""
+        self.net.on(TablePage, self._receive)
 
-    def on(self, table: str, take: TakePage) -> None:
-        """Name who takes the pages of a table."""
-        self._takers[table] = take
+    def register_handler(self, table: str, handler: PageHandler) -> None:
+        """Register the handler for the pages of a table."""
+        self._handlers[table] = handler
 
-    def follows(self) -> bool:
-        """Return whether this router follows the store whoever tells.
+    def reads_store(self) -> bool:
+        """Return whether this router always reads the store itself.
 
-        All hubs do: they need to know whether it answers, and one of them
-        takes the place of the first one when that is gone.
+        All hubs do: they have to know whether the store is reachable, and the
+        next one replaces the first one if that fails. Without hubs every
+        router does.
         """
         hubs = self._hubs()
         return not hubs or self.net.me.incarnation in hubs
 
-    def tell(self, table: str, since: int, page: StoredRows) -> None:
-        """Tell the zone, if this router is the one that does.
+    def share(self, table: str, since: int, page: StoredRows) -> None:
+        """Send a page to the zone if this router is its leader.
 
-        To be called before ``note``: changes are told against what was known
-        before.
+        Has to be called before ``remember``, since patches are made against
+        the rows of earlier pages.
+
+        Parameters
+        ----------
+        table : str
+            Name of the table.
+        since : int
+            Version that the page starts from.
+        page : StoredRows
+            The page.
         """
-        if not self._hubs() or not self.leads():
+        if not self._hubs() or not self.is_leader():
             return
-        rows = _pack(self._shorten(newest_rows(page.rows)))
+        rows = _pack(self._encode_rows(newest_rows(page.rows)))
         message = TablePage(table, since, page.version, rows, page.whole)
-        if len(rows) > _MOST_BYTES:
-            # Who has not this version yet sees that rows are missing.
+        if len(rows) > _MAX_PACKED_BYTES:
+            # A router below this version notices that it lacks rows.
             message = TablePage(table, page.version, page.version)
         self.net.tell_zone(message)
 
-    def note(self, rows: Iterable[StoredRow]) -> None:
-        """Remember large rows, which changes are told against."""
+    def remember(self, rows: Iterable[StoredRow]) -> None:
+        """Keep large rows as the base of later patches."""
         for row in rows:
-            name = _name(row)
-            known = self._known.get(name)
-            if known is not None and known.version >= row.version:
+            row_id = _row_id(row)
+            base = self._base_rows.get(row_id)
+            if base is not None and base.version >= row.version:
                 continue
             if row.fields is not None and _is_large(row.fields):
-                self._known[name] = row
-            elif known is not None:
-                self._known.pop(name)
+                self._base_rows[row_id] = row
+            elif base is not None:
+                self._base_rows.pop(row_id)
 
-    def leads(self) -> bool:
-        """Return whether no other router reads the store for this one.
+    def is_leader(self) -> bool:
+        """Return whether no other router shares pages with this one.
 
-        Another hub takes the first one's part while that tells nothing: the
-        store may turn single routers away.
+        The first hub leads, and every router if there are no hubs. Another hub
+        leads as well while it receives no pages, since the store may reject
+        single routers.
         """
         hubs = self._hubs()
-        mine = self.net.me.incarnation
-        if not hubs or hubs[0] == mine:
+        own = self.net.me.incarnation
+        if not hubs or hubs[0] == own:
             return True
-        is_silent = self.clock.now() > self._heard_at + _SILENT_S
-        return is_silent and mine in hubs
+        is_silent = self.clock.now() > self._last_page_at + _HUB_SILENCE_S
+        return is_silent and own in hubs
 
     def _hubs(self) -> list[str]:
         return [hub.incarnation for hub in self.net.hubs.of(self.net.me.zone)]
 
-    def _shorten(self, rows: Iterable[StoredRow]) -> list[dict[str, Any]]:
-        return [self._shorten_one(row) for row in rows]
+    def _encode_rows(self, rows: Iterable[StoredRow]) -> list[dict[str, Any]]:
+        return [self._encode_row(row) for row in rows]
 
-    def _shorten_one(self, row: StoredRow) -> dict[str, Any]:
-        known = self._known.get(_name(row))
-        if known is None or row.fields is None:
-            return {_ROW: _as_fields(row)}
+    def _encode_row(self, row: StoredRow) -> dict[str, Any]:
+        base = self._base_rows.get(_row_id(row))
+        if base is None or row.fields is None:
+            return {_ROW: _as_dict(row)}
         return {
-            _ROW: _as_fields(attrs.evolve(row, fields=None)),
-            _BASE: known.version,
-            _PATCH: make_patch(known.fields, row.fields),
+            _ROW: _as_dict(attrs.evolve(row, fields=None)),
+            _BASE: base.version,
+            _PATCH: make_patch(base.fields, row.fields),
         }
 
-    async def _take(self, _member: Member, message: TablePage) -> None:
-        take = self._takers.get(message.table)
-        if take is None:
+    async def _receive(self, _member: Member, message: TablePage) -> None:
+        handler = self._handlers.get(message.table)
+        if handler is None:
             return
-        self._heard_at = self.clock.now()
-        rows = self._restore(_unpack(message.rows))
+        self._last_page_at = self.clock.now()
+        rows = self._decode_rows(_unpack(message.rows))
         if rows is None:
-            # The same as a page that was only announced.
-            take(message.version, StoredRows((), message.version))
+            # Treat it like a page that was only announced.
+            handler(message.version, StoredRows((), message.version))
             return
         page = StoredRows(rows, message.version, message.whole)
-        take(message.since, page)
+        handler(message.since, page)
 
-    def _restore(
+    def _decode_rows(
         self,
-        told: Iterable[dict[str, Any]],
+        encoded: Iterable[dict[str, Any]],
     ) -> tuple[StoredRow, ...] | None:
-        """Return the rows that were told, None if one can't be made."""
+        """Return the decoded rows; None if the base of a patch is missing."""
         rows = []
-        for one in told:
-            row = StoredRow(**one[_ROW])
-            if _BASE in one:
-                known = self._known.get(_name(row))
-                # A page that was lost may have changed it in between.
-                if known is None or known.version != one[_BASE]:
+        for item in encoded:
+            row = StoredRow(**item[_ROW])
+            if _BASE in item:
+                base = self._base_rows.get(_row_id(row))
+                # A lost page may have changed the row in between.
+                if base is None or base.version != item[_BASE]:
                     return None
-                whole = apply_patch(known.fields, one[_PATCH])
+                whole = apply_patch(base.fields, item[_PATCH])
                 row = attrs.evolve(row, fields=whole)
             rows.append(row)
         return tuple(rows)
 
 
 def newest_rows(rows: Iterable[StoredRow]) -> tuple[StoredRow, ...]:
-    """Return the last of each row's versions; a page may hold several."""
-    newest = {_name(row): row for row in rows}
+    """Return only the last version of each row."""
+    newest = {_row_id(row): row for row in rows}
     return tuple(newest.values())
 
 
-def _name(row: StoredRow) -> RowName:
+def _row_id(row: StoredRow) -> RowId:
     return (row.table, row.part, row.key)
 
 
-def _as_fields(row: StoredRow) -> dict[str, Any]:
+def _as_dict(row: StoredRow) -> dict[str, Any]:
     return attrs.asdict(row, recurse=False)
 
 
@@ -182,17 +193,17 @@
     entries = sum(
         len(value) for value in fields.values() if isinstance(value, list)
     )
-    return entries >= _LARGE
+    return entries >= _LARGE_ROW_ENTRIES
 
 
 def _pack(rows: list[dict[str, Any]]) -> bytes:
     if not rows:
         return b''
-    return zlib.compress(json.dumps(rows).encode(), _EFFORT)
+    return zlib.compress(json.dumps(rows).encode(), _COMPRESSION_LEVEL)
 
 
 def _unpack(packed: bytes) -> list[dict[str, Any]]:
     if not packed:
         return []
-    document = zlib.decompressobj().decompress(packed, _MOST_UNPACKED)
+    document = zlib.decompressobj().decompress(packed, _MAX_UNPACKED_BYTES)
     return json.loads(document)
--- a/src/balsamreach/platform/patches.py
+++ b/src/balsamreach/platform/patches.py
@@ -1,8 +1,8 @@
-"""Differences between two versions of a row's object.
+"""Patches between two versions of a row's JSON object.
 
-Load pattern: a configuration of hundreds of kilobytes of which a few entries
-change, ten times a second. Sent whole to each router of a zone it fills the
-links of small hosts for seconds.
+A configuration of hundreds of kilobytes may change in a few entries ten times
+a second. Sending it in full to each router of a zone would saturate the links
+of small hosts for seconds.
 """
 
 from collections.abc import Mapping
@@ -12,7 +12,7 @@
 
 Fields = Mapping[str, Any]
 
-#: Tells the entries of a list apart.
+#: Field that identifies the entries of a list.
 _NAME = 'name'
 _CHANGED = 'changed'
 _DROPPED = 'dropped'
@@ -21,23 +21,23 @@
 
 
 def make_patch(before: Fields, after: Fields) -> dict[str, Any]:
-    """Return what makes an object of the one before.
+    """Return the patch that turns one object into another.
 
     Parameters
     ----------
     before, after : mapping
-        JSON objects. Lists of objects with names are compared entry by
-        entry, all else as a whole.
+        JSON objects. Lists of objects with unique names are compared entry
+        by entry, all other fields as a whole.
 
     Returns
     -------
     dict
-        A JSON object for ``apply_patch``.
+        The patch, a JSON object for ``apply_patch``.
     """
     changed: dict[str, Any] = {}
     lists: dict[str, Any] = {}
     for field in after:
-        patch = _patch_list(before.get(field), after[field])
+        patch = _diff_list(before.get(field), after[field])
         if patch is None:
             if field not in before or before[field] != after[field]:
                 changed[field] = after[field]
@@ -48,12 +48,12 @@
 
 
 def apply_patch(before: Fields, patch: Fields) -> dict[str, Any]:
-    """Return the object that a patch makes.
+    """Return the patched object; ``before`` is not modified.
 
     Raises
     ------
     KeyError, TypeError, ValueError, AttributeError
-        If the patch is none, or none for this object.
+        If the patch is invalid or does not fit this object.
     """
     after = dict(before) | patch[_CHANGED]
     for field in patch[_DROPPED]:
@@ -63,28 +63,35 @@
     return after
 
 
-def _patch_list(before: Any, after: Any) -> dict[str, Any] | None:
-    """Return the patch of a list, None where it must be sent whole."""
+def _diff_list(before: Any, after: Any) -> dict[str, Any] | None:
+    """Return the patch of a list; None if the list must be sent in full."""
     if not isinstance(before, list) or not isinstance(after, list):
         return None
     if len(before) == len(after):
-        places = list(compress(count(), map(ne, before, after)))
-        if _keep_names(before, after, places):
-            return {_PUT: [after[place] for place in places], _DROPPED: []}
-    return _patch_names(before, after)
-
-
-def _keep_names(before: list[Any], after: list[Any], places: list[int]) -> bool:
-    """Return whether only what stands at some places changed, not its name."""
-    if not places:
+        positions = list(compress(count(), map(ne, before, after)))
+        if _same_names(before, after, positions):
+            return {
+                _PUT: [after[position] for position in positions],
+                _DROPPED: [],
+            }
+    return _diff_by_name(before, after)
+
+
+def _same_names(
+    before: list[Any], after: list[Any], positions: list[int]
+) -> bool:
+    """Return whether the entries at the positions kept their names."""
+    if not positions:
         return True
-    names = _names(after)
-    old = _names([before[place] for place in places])
-    return bool(names and old) and old == [names[place] for place in places]
+    names = _unique_names(after)
+    old = _unique_names([before[position] for position in positions])
+    return bool(names and old) and old == [
+        names[position] for position in positions
+    ]
 
 
-def _patch_names(before: list[Any], after: list[Any]) -> dict[str, Any] | None:
-    old, new = _names(before), _names(after)
+def _diff_by_name(before: list[Any], after: list[Any]) -> dict[str, Any] | None:
+    old, new = _unique_names(before), _unique_names(after)
     if old is None or new is None:
         return None
     known = dict(zip(old, before, strict=True))
@@ -94,7 +101,7 @@
         _PUT: list(compress(after, differs)),
         _DROPPED: [name for name in old if name not in present],
     }
-    # New entries go to the end; a list in another order is none of these.
+    # A patch appends new entries, so it can't express any other order.
     kept = [name for name in old if name in present]
     added = [name for name in new if name not in known]
     return patch if [*kept, *added] == new else None
@@ -108,15 +115,15 @@
     return list(entries.values())
 
 
-def _names(entries: list[Any]) -> list[str] | None:
-    """Return the names of a list's entries, None where they tell none apart."""
-    if not _hold(dict, entries):
+def _unique_names(entries: list[Any]) -> list[str] | None:
+    """Return the names of a list's entries; None if they are not unique."""
+    if not _all_of_type(dict, entries):
         return None
     names = [entry.get(_NAME) for entry in entries]
-    if not _hold(str, names) or len(set(names)) != len(names):
+    if not _all_of_type(str, names) or len(set(names)) != len(names):
         return None
     return names
 
 
-def _hold(kind: type, found: list[Any]) -> bool:
-    return set(map(type, found)) <= {kind}
+def _all_of_type(expected: type, values: list[Any]) -> bool:
+    return set(map(type, values)) <= {expected}
--- a/src/balsamreach/platform/requests.py
+++ b/src/balsamreach/platform/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests, attempts at targets and answers, as spoken there."""
+"""Translates requests and answers from and to the platform's HTTP."""
 
 import json
 import random
@@ -12,7 +12,7 @@
 from balsamreach.placement.notices import TargetNotice
 from balsamreach.placement.places import TargetEntry
 from balsamreach.placement.prompts import Part, Prompt
-from balsamreach.platform import names
+from balsamreach.platform import header_names
 from balsamreach.relay import faults
 from balsamreach.relay.call import RelayCall
 from balsamreach.relay.codec import (
@@ -26,10 +26,10 @@
 
 _MS = 1000
 _MISDIRECTED = 421
-_LAST_RANK = 9
-_ID = re.compile(r'[!-~]{1,200}')
-_COUNTS = re.compile(r'(\d{1,12}),(\d{1,12})')
-_PART = re.compile(r'([0-9a-fA-F]{1,64}):(\d{1,12})')
+_LOWEST_PRIORITY = 9
+_REQUEST_ID = re.compile(r'[!-~]{1,200}')
+_TOKEN_COUNTS = re.compile(r'(\d{1,12}),(\d{1,12})')
+_PROMPT_PART = re.compile(r'([0-9a-fA-F]{1,64}):(\d{1,12})')
 _BEARER = re.compile(r'[Bb]earer +(\S+)')
 
 _STATUS = {
@@ -51,8 +51,8 @@
     faults.TARGET_FAILED: 502,
     faults.ABANDONED: 502,
 }
-_MAYBE_RUN = 502
-_IS_SET = '1'
+_MAY_HAVE_RUN_STATUS = 502
+_FLAG_SET = '1'
 
 
 @attrs.define
@@ -62,7 +62,7 @@
     Parameters
     ----------
     rng : random.Random
-        Chooses among the services of a route by their weights.
+        Picks among the weighted services of a route.
     """
 
     rng: random.Random
@@ -72,20 +72,22 @@
         request: CallerRequest,
         catalogue: Catalogue,
     ) -> RelayCall | RelayFault:
-        """Return the call that a request makes under a configuration."""
+        """Parse a request with a configuration, or return why it is refused."""
         headers = _Headers(request.headers)
         path = request.path.partition('?')[0]
-        route = catalogue.find_route(headers.one('host'), path)
+        route = catalogue.find_route(headers.get('host'), path)
         if route is None:
-            return faults.NO_ROUTE.because('no route has this host and path')
+            return faults.NO_ROUTE.because('no route matches the host and path')
         team = _read_team(headers, route, catalogue)
         if isinstance(team, RelayFault):
             return team
-        request_id = headers.one(names.REQUEST_ID)
-        if not _ID.fullmatch(request_id):
-            return faults.MALFORMED.because(f'{names.REQUEST_ID} is missing')
+        request_id = headers.get(header_names.REQUEST_ID)
+        if not _REQUEST_ID.fullmatch(request_id):
+            return faults.MALFORMED.because(
+                f'{header_names.REQUEST_ID} is missing or malformed'
+            )
         prompt = _read_prompt(headers)
-        time_left = _read_time(headers, route)
+        time_left = _read_time_left(headers, route)
         for outcome in (prompt, time_left):
             if isinstance(outcome, RelayFault):
                 return outcome
@@ -93,15 +95,15 @@
             request_id=request_id,
             method=request.method,
             path=request.path,
-            headers=headers.for_target(),
+            headers=headers.to_forward(),
             body=request.body,
             route=route,
-            service=self._pick(route),
+            service=self._pick_service(route),
             priority=_priority(route, team),
             deadline=request.arrived + min(time_left, route.timeout),
             team=team,
             prompt=prompt,
-            last_event=headers.one(names.LAST_EVENT),
+            last_event=headers.get(header_names.LAST_EVENT_ID),
             catalogue_version=catalogue.version,
         )
 
@@ -112,41 +114,41 @@
         time_left: float,
         last_event: str,
     ) -> list[tuple[str, str]]:
-        """Return the headers of an attempt."""
+        """Return the headers to send to a target."""
         added = [
-            (names.TIME_LEFT_MS, str(max(1, int(time_left * _MS)))),
-            (names.MEANT_FOR, target.target_id),
+            (header_names.TIME_LEFT_MS, str(max(1, int(time_left * _MS)))),
+            (header_names.EXPECTED_INSTANCE, target.target_id),
         ]
         if call.prompt is not None:
-            rank = min(_LAST_RANK, max(0, call.priority))
-            added.append((names.RANK, str(rank)))
+            priority = min(_LOWEST_PRIORITY, max(0, call.priority))
+            added.append((header_names.PRIORITY, str(priority)))
         if call.team is not None:
-            added.append((names.TEAM, call.team.name))
+            added.append((header_names.TEAM, call.team.name))
         if last_event:
-            added.append((names.LAST_EVENT, last_event))
+            added.append((header_names.LAST_EVENT_ID, last_event))
         return [*call.headers, *added]
 
     def read_answer(self, status: int, headers: dict[str, str]) -> AnswerHead:
-        """Return what the head of an answer says."""
-        passed = tuple(
+        """Parse the status and headers of a target's answer."""
+        forwarded = tuple(
             (name, text)
             for name, text in headers.items()
-            if name not in names.ONE_CONNECTION or name == 'content-length'
+            if name not in header_names.HOP_BY_HOP or name == 'content-length'
         )
         return AnswerHead(
             status=status,
-            headers=passed,
-            request_id=headers.get(names.REQUEST_ID.lower(), ''),
-            signed=names.SIGNATURE.lower() in headers,
-            not_run=names.NOT_RUN.lower() in headers,
+            headers=forwarded,
+            request_id=headers.get(header_names.REQUEST_ID.lower(), ''),
+            signed=header_names.SIGNATURE.lower() in headers,
+            not_run=header_names.NOT_RUN.lower() in headers,
             misdirected=status == _MISDIRECTED,
             usable=not headers.get('content-encoding'),
             notice=_read_notice(status, headers),
         )
 
     def refuse(self, fault: RelayFault) -> OwnAnswer:
-        """Return the answer that tells a caller of a fault."""
-        status = _STATUS.get(fault, _MAYBE_RUN)
+        """Return the answer to a caller whose request failed."""
+        status = _STATUS.get(fault, _MAY_HAVE_RUN_STATUS)
         body = json.dumps({'error': fault.code, 'reason': fault.reason})
         headers = [
             ('Content-Type', 'application/json'),
@@ -160,7 +162,7 @@
             body=body.encode(),
         )
 
-    def _pick(self, route: Route) -> str:
+    def _pick_service(self, route: Route) -> str:
         weights = [split.weight for split in route.splits]
         chosen = self.rng.choices(route.splits, weights)
         return chosen[0].service
@@ -168,24 +170,28 @@
 
 @attrs.define
 class _Headers:
-    """Headers of a request, found by name in any case."""
+    """Case-insensitive lookup of request headers."""
 
     lines: Sequence[tuple[str, str]]
 
-    def one(self, name: str) -> str:
-        """Return a header's text, empty if there is none."""
+    def get(self, name: str) -> str:
+        """Return the value of a header; empty if it is missing."""
         wanted = name.lower()
         for found, text in self.lines:
             if found.lower() == wanted:
                 return text.strip()
         return ''
 
-    def for_target(self) -> tuple[tuple[str, str], ...]:
-        """Return what a target gets of the caller's headers."""
-        named = {
-            word.strip().lower() for word in self.one('connection').split(',')
+    def to_forward(self) -> tuple[tuple[str, str], ...]:
+        """Return the caller's headers that are forwarded to a target."""
+        connection_options = {
+            word.strip().lower() for word in self.get('connection').split(',')
         }
-        dropped = names.ONE_CONNECTION | names.ROUTERS_OWN | named
+        dropped = (
+            header_names.HOP_BY_HOP
+            | header_names.ROUTER_ONLY
+            | connection_options
+        )
         return tuple(
             (name, text)
             for name, text in self.lines
@@ -194,9 +200,9 @@
 
 
 def _read_notice(status: int, headers: dict[str, str]) -> TargetNotice:
-    leaving = headers.get(names.LEAVING.lower(), '')
+    leaving = headers.get(header_names.LEAVING.lower(), '')
     return TargetNotice(
-        leaving=_IS_SET in map(str.strip, leaving.split(',')),
+        leaving=_FLAG_SET in map(str.strip, leaving.split(',')),
         retry_after=read_retry_after(status, headers),
     )
 
@@ -208,34 +214,38 @@
 ) -> Team | RelayFault | None:
     if route.public or not catalogue.teams:
         return None
-    match = _BEARER.fullmatch(headers.one(names.AUTHORIZATION))
+    match = _BEARER.fullmatch(headers.get(header_names.AUTHORIZATION))
     team = catalogue.find_team(match[1]) if match else None
     if team is None:
         return faults.NO_TEAM.because('the key belongs to no team')
     return team
 
 
-def _read_time(headers: _Headers, route: Route) -> float | RelayFault:
-    text = headers.one(names.TIME_LEFT_MS)
+def _read_time_left(headers: _Headers, route: Route) -> float | RelayFault:
+    text = headers.get(header_names.TIME_LEFT_MS)
     if not text:
         return route.timeout
     if not (text.isascii() and text.isdigit()):
-        return faults.MALFORMED.because(f'{names.TIME_LEFT_MS} is no number')
+        return faults.MALFORMED.because(
+            f'{header_names.TIME_LEFT_MS} is no valid number'
+        )
     return int(text) / _MS
 
 
 def _read_prompt(headers: _Headers) -> Prompt | RelayFault | None:
-    counts = headers.one(names.TOKENS)
+    counts = headers.get(header_names.TOKEN_COUNTS)
     if not counts:
         return None
-    match = _COUNTS.fullmatch(counts)
+    match = _TOKEN_COUNTS.fullmatch(counts)
     if match is None:
-        return faults.MALFORMED.because(f'{names.TOKENS} is not two numbers')
-    parts = _read_parts(headers.one(names.PROMPT_PARTS))
+        return faults.MALFORMED.because(
+            f'{header_names.TOKEN_COUNTS} is not a pair of numbers'
+        )
+    parts = _read_parts(headers.get(header_names.PROMPT_PARTS))
     if isinstance(parts, RelayFault):
         return parts
     return Prompt(
-        model=headers.one(names.MODEL),
+        model=headers.get(header_names.MODEL),
         tokens=int(match[1]),
         most_output=int(match[2]),
         parts=parts,
@@ -245,9 +255,11 @@
 def _read_parts(text: str) -> tuple[Part, ...] | RelayFault:
     parts = []
     for entry in filter(None, text.split(',')):
-        match = _PART.fullmatch(entry.strip())
+        match = _PROMPT_PART.fullmatch(entry.strip())
         if match is None:
-            return faults.MALFORMED.because(f'{names.PROMPT_PARTS} is no list')
+            return faults.MALFORMED.because(
+                f'{header_names.PROMPT_PARTS} has no valid list of id:tokens'
+            )
         parts.append(Part(match[1].lower(), int(match[2])))
     return tuple(parts)
 
--- a/src/balsamreach/platform/router.py
+++ b/src/balsamreach/platform/router.py
@@ -1,4 +1,4 @@
-"""Puts a router together that speaks to the users' platform."""
+"""Assembles a router that runs on the users' platform."""
 
 import random
 from functools import partial
@@ -12,43 +12,43 @@
 from balsamreach.platform.configuration import CatalogueReader
 from balsamreach.platform.feed import FeedParts
 from balsamreach.platform.feeds import ConfigurationFeed, TargetsFeed
-from balsamreach.platform.hosts import RouterList
 from balsamreach.platform.pages import PageSharing
 from balsamreach.platform.requests import PlatformCodec
-from balsamreach.platform.rows import RowStore
-from balsamreach.platform.table import RowTableService
+from balsamreach.platform.router_list import RouterList
+from balsamreach.platform.row_store import RowStore
+from balsamreach.platform.row_table import RowTableService
 from balsamreach.services.http import PlatformClient
 from balsamreach.services.outside import Outside
 from balsamreach.services.times import ServiceClock
 
-#: Where the platform's balancer asks.
+#: Path of the readiness check of the platform's load balancer.
 _READY_PATH = '/v1/ready'
-#: Seconds that a call may wait for news. Each ends soon even where there is
-#: none, so that a connection that went silent is noticed in time for changes
-#: that must be in force within seconds.
+#: Seconds that a long poll waits for changes. Each poll ends soon even without
+#: changes, so that a dead connection is noticed in time: changes must be in
+#: force within seconds.
 _FOLLOW_WAIT_S = 0.6
-#: Seconds beyond that wait in which the answer must come; a slow store
-#: answers in a quarter of one.
-_ANSWER_S = 0.5
-#: Seconds in which a store that was away must accept a connection, and answer
-#: a question. A slow one answers in a quarter of a second.
-_PROBE_CONNECT_S = 0.25
-_PROBE_S = 0.6
-#: Seconds in which the answer to a change must come. Requests wait for some
-#: of them; a slow store answers within half of this.
-_CHANGE_S = 0.8
+#: Seconds that the answer may take beyond that wait; a slow store answers
+#: within 0.25 s.
+_RESPONSE_TIMEOUT_S = 0.5
+#: Timeouts in seconds for connecting to and for calling a store that was
+#: unreachable. A slow store answers within 0.25 s.
+_PROBE_CONNECT_TIMEOUT_S = 0.25
+_PROBE_TIMEOUT_S = 0.6
+#: Timeout in seconds for writes, some of which hold up requests. A slow store
+#: answers within half of this time.
+_CHANGE_TIMEOUT_S = 0.8
 
 
 def make_router(cfg: Settings) -> RelayRouter:
-    """Make a router; nothing is started or sent yet."""
+    """Create a router without starting it or sending anything."""
     clock = SystemClock()
     times = ServiceClock(clock)
-    changes = _make_store(cfg, _CHANGE_S, times)
-    hosts = RouterList(changes, clock)
+    store = _make_store(cfg, _CHANGE_TIMEOUT_S, times)
+    hosts = RouterList(store, clock)
     parts = make_relay_parts(
         cfg,
         PlatformCodec(random.Random()),
-        Outside(RowTableService(changes), hosts, times),
+        Outside(RowTableService(store), hosts, times),
     )
     exchange = _make_exchange(parts)
     configuration, targets = _make_feeds(
@@ -67,7 +67,7 @@
         (
             configuration.feed.run,
             targets.feed.run,
-            partial(hosts.enter, address, cfg.host.zone),
+            partial(hosts.register, address, cfg.host.zone),
         ),
         (targets.expire, exchange.catch_up),
     )
@@ -96,7 +96,7 @@
     pages = PageSharing(parts.net, parts.clock)
     pages.start()
     feeds = FeedParts(
-        store=_make_store(cfg, _FOLLOW_WAIT_S + _ANSWER_S, times),
+        store=_make_store(cfg, _FOLLOW_WAIT_S + _RESPONSE_TIMEOUT_S, times),
         probe=_make_probe(cfg, times),
         clock=parts.clock,
         metrics=parts.metrics,
@@ -107,14 +107,14 @@
         parts.chooser.evacuations,
         exchange.tell_evacuation,
     )
-    configuration.open(feeds)
+    configuration.create_feed(feeds)
     targets = TargetsFeed(
         parts.places,
         parts.clock,
         exchange.tell_target,
         exchange.tell_gone,
     )
-    targets.open(feeds)
+    targets.create_feed(feeds)
     return configuration, targets
 
 
@@ -132,5 +132,7 @@
 
 
 def _make_probe(cfg: Settings, times: ServiceClock) -> RowStore:
-    client = PlatformClient(cfg.platform.table, _PROBE_CONNECT_S, _PROBE_S)
+    client = PlatformClient(
+        cfg.platform.table, _PROBE_CONNECT_TIMEOUT_S, _PROBE_TIMEOUT_S
+    )
     return RowStore(client, 0, times)
--- a/src/balsamreach/platform/rows.py
+++ b/src/balsamreach/platform/row_store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store of rows."""
+"""Client of the platform's row store."""
 
 import base64
 import json
@@ -30,7 +30,7 @@
     503: UNAVAILABLE,
     _PRECONDITION_FAILED: CONFLICT,
 }
-#: The store no longer has the history that was asked for.
+#: The store no longer holds the changes since the requested version.
 HISTORY_GONE = PlatformFault('history_gone')
 
 
@@ -41,14 +41,14 @@
     Parameters
     ----------
     table, part, key : str
-        Where it lies. Rows of one part are changed one after the other.
+        Key of the row. Changes within one part are serialised.
     fields : mapping or None
-        Its JSON object; None for a row that was removed, and for one of
-        another writer that holds none.
+        JSON object of the row; None if the row was removed or holds
+        something else, which only other writers produce.
     version : int
-        Number of the change that wrote it.
+        Version of the store at which the row was written.
     removed : bool
-        Whether it was removed.
+        Whether the row was removed.
     """
 
     table: str
@@ -61,16 +61,16 @@
 
 @attrs.frozen
 class StoredRows:
-    """Rows and the newest version of the store at their moment.
+    """Rows, and the version of the store that they are complete up to.
 
     Parameters
     ----------
     rows : tuple of StoredRow
         The rows.
     version : int
-        Version up to which nothing else changed.
+        Version up to which the rows hold all changes.
     whole : bool
-        Whether they are all there are, and not only what changed.
+        Whether these are all rows, and not only the changed ones.
     """
 
     rows: tuple[StoredRow, ...]
@@ -79,8 +79,8 @@
 
 
 @attrs.frozen
-class RowPlace:
-    """Where a row lies."""
+class RowKey:
+    """Key of a row: table, part, and key within the part."""
 
     table: str
     part: str
@@ -94,11 +94,11 @@
     Parameters
     ----------
     client : PlatformClient
-        Sends the calls.
+        HTTP client of the store.
     follow_wait : float
-        Seconds that a call that follows a table may wait for news.
+        Seconds that ``follow`` waits for changes.
     times : ServiceClock
-        Gets the store's time of each answer.
+        Records the time of the store from each answer.
     """
 
     client: PlatformClient
@@ -112,14 +112,14 @@
         first: str = '',
         end: str = '',
     ) -> StoredRows | PlatformFault:
-        """Read all rows of one part whose keys lie in a range.
+        """Read all rows of one part with keys in a range.
 
         Parameters
         ----------
         table, part : str
-            Where to read.
+            Table and part to read.
         first, end : str
-            Keys; the range leaves the second out. Empty for no bound.
+            First key, and end of the range (exclusive). Empty for no bound.
         """
         rows: list[StoredRow] = []
         version = None
@@ -131,8 +131,8 @@
             if isinstance(page, PlatformFault):
                 return page
             rows.extend(map(_read_row, page['rows']))
-            # Rows of an earlier page may have changed before a later one was
-            # read: only up to the first one's version all changes are here.
+            # Rows of an earlier page may change before a later page is read,
+            # so the rows are complete only up to the version of the first page.
             version = page['ver'] if version is None else version
             if not page.get('more_pages') or not page['rows']:
                 return StoredRows(tuple(rows), version, whole=True)
@@ -143,86 +143,88 @@
         self,
         table: str,
         since: int,
-        most_bytes: int = 0,
+        max_bytes: int = 0,
     ) -> StoredRows | PlatformFault:
-        """Wait a while for rows of a table that changed after a version.
+        """Long-poll for rows of a table that changed after a version.
 
-        Each change of a row is told, not only its last one.
+        The rows hold every change of a row, not only the last one.
 
         Parameters
         ----------
         table : str
-            The table.
+            Name of the table.
         since : int
-            The version.
-        most_bytes : int
-            Size of an answer that is wanted; 0 for any.
+            Version after which changes are wanted.
+        max_bytes : int
+            Maximum size of the answer; 0 for no limit.
 
         Returns
         -------
         StoredRows or PlatformFault
-            HISTORY_GONE where the whole table must be read anew, TOO_LARGE
-            where the changes are larger than wanted.
+            HISTORY_GONE if the table must be read in full, TOO_LARGE if the
+            changes exceed the maximum size.
         """
-        # ``after_rev`` holds a version here; elsewhere a name of an object.
+        # ``after_rev`` is a version here; elsewhere it is an object name.
         query = {
             'table': table,
             'after_rev': since,
             'wait_ms': int(self.follow_wait * _MS),
         }
-        page = await self._get('/v1/rows-feed', query, most_bytes)
+        page = await self._get('/v1/rows-feed', query, max_bytes)
         if isinstance(page, PlatformFault):
             return page
         return StoredRows(tuple(map(_read_row, page['rows'])), page['ver'])
 
     async def change(
         self,
-        writes: Iterable[tuple[RowPlace, Write]],
-        checks: Iterable[tuple[RowPlace, Check]],
+        writes: Iterable[tuple[RowKey, Write]],
+        checks: Iterable[tuple[RowKey, Check]],
     ) -> int | PlatformFault:
-        """Write and remove rows if all checks hold.
+        """Write and remove rows in one transaction if all checks hold.
 
         Returns
         -------
         int or PlatformFault
-            The number of the change, or as ``TableService.commit``.
+            Version of the change, or a fault as in ``TableService.commit``.
         """
         written = list(writes)
         checked = list(checks)
-        parts = {place.part for place, _ in (*written, *checked)}
+        parts = {row_key.part for row_key, _ in (*written, *checked)}
         body = {
             'expected_rev': [
-                _place_fields(place) | {'ver': check.version}
-                for place, check in checked
+                _key_fields(row_key) | {'ver': check.version}
+                for row_key, check in checked
             ],
             'writes': [
-                _place_fields(place) | {'value': _encode(write.value)}
-                for place, write in written
+                _key_fields(row_key) | {'value': _encode(write.value)}
+                for row_key, write in written
                 if write.value is not None
             ],
             'remove': [
-                _place_fields(place)
-                for place, write in written
+                _key_fields(row_key)
+                for row_key, write in written
                 if write.value is None
             ],
         }
         if len(parts) > 1:
             body['across'] = True
         call = Call('POST', '/v1/rows-tx', json.dumps(body).encode(), True)
-        answer = await self._exchange(call)
+        answer = await self._send(call)
         return answer if isinstance(answer, PlatformFault) else answer['ver']
 
     async def _get(
         self,
         path: str,
         query: dict[str, Any],
-        most_bytes: int = 0,
+        max_bytes: int = 0,
     ) -> dict[str, Any] | PlatformFault:
-        asked = f'{path}?{urlencode(query)}'
-        return await self._exchange(Call('GET', asked, most_bytes=most_bytes))
+        path_and_query = f'{path}?{urlencode(query)}'
+        return await self._send(
+            Call('GET', path_and_query, most_bytes=max_bytes)
+        )
 
-    async def _exchange(self, call: Call) -> dict[str, Any] | PlatformFault:
-        sent = self.times.clock.now()
+    async def _send(self, call: Call) -> dict[str, Any] | PlatformFault:
+        sent_at = self.times.clock.now()
         answer = await self.client.exchange(call)
         if isinstance(answer, PlatformFault):
             return answer
@@ -235,17 +237,17 @@
             fields = json.loads(answer.body)
         except ValueError:
             return UNKNOWN.because('the answer is not JSON')
-        self._note_time(fields, sent)
+        self._record_time(fields, sent_at)
         return fields
 
-    def _note_time(self, fields: Mapping[str, Any], sent: float) -> None:
-        told = fields.get('now_ms')
-        if told is not None:
-            self.times.note(told / _MS, sent, self.times.clock.now())
+    def _record_time(self, fields: Mapping[str, Any], sent_at: float) -> None:
+        server_ms = fields.get('now_ms')
+        if server_ms is not None:
+            self.times.note(server_ms / _MS, sent_at, self.times.clock.now())
 
 
-def _place_fields(place: RowPlace) -> dict[str, Any]:
-    return attrs.asdict(place)
+def _key_fields(row_key: RowKey) -> dict[str, Any]:
+    return attrs.asdict(row_key)
 
 
 def _encode(fields: Mapping[str, Any]) -> str:
@@ -269,6 +271,6 @@
     try:
         fields = json.loads(base64.b64decode(encoded))
     except (TypeError, ValueError, RecursionError):
-        # Rows of others may hold anything; none of ours is like that.
+        # Only rows of other writers can hold invalid values.
         return None
     return fields if isinstance(fields, dict) else None
--- a/src/balsamreach/platform/targets.py
+++ b/src/balsamreach/platform/targets.py
@@ -1,4 +1,4 @@
-"""Entries of the list of targets, as stored there."""
+"""Parses entries of the platform's list of targets."""
 
 import re
 from collections.abc import Mapping
@@ -7,13 +7,13 @@
 from balsamreach.placement.places import TargetEntry
 
 _MS = 1000
-#: States of a target, and whether it is leaving in each.
+#: Whether a target is leaving, by its state.
 _STATES = {'ready': False, 'draining': True}
 _ADDRESS = re.compile(r'\d{1,3}(?:\.\d{1,3}){3}:\d{1,5}')
-_LAST_PORT = 65535
-#: Milliseconds beyond which nobody means a time to warm up: a day. A whole
-#: number of any length may stand there, and one can't be divided.
-_LONGEST_COLD_MS = 86_400_000
+_MAX_PORT = 65535
+#: Longest plausible warm-up time in milliseconds, one day. The field may hold
+#: an integer of any length, and dividing a huge one fails.
+_MAX_COLD_MS = 86_400_000
 
 Fields = Mapping[str, Any]
 
@@ -23,26 +23,26 @@
     fields: Fields | None,
     version: int,
 ) -> TargetEntry | None:
-    """Read a target's entry in the list.
+    """Parse a target's entry.
 
-    The platform calls targets servers, and each start of one an instance.
+    The platform calls a target a server, and each start of it an instance.
 
     Parameters
     ----------
     target_id : str
         Key of the entry.
     fields : mapping or None
-        Its object; None where there is none.
+        JSON object of the entry; None if it has none.
     version : int
-        Number of the change that wrote it.
+        Version of the store at which the entry was written.
 
     Returns
     -------
     TargetEntry or None
-        None where the entry names no target to use: anybody may have
-        written it, with fields missing, of another type, or unknown.
+        None if the entry is invalid. Anyone can write entries, so fields may
+        be missing, unknown or of another type.
     """
-    if fields is None or not _is_sound(fields):
+    if fields is None or not _is_valid(fields):
         return None
     return TargetEntry(
         target_id=target_id,
@@ -57,7 +57,7 @@
     )
 
 
-def _is_sound(fields: Fields) -> bool:
+def _is_valid(fields: Fields) -> bool:
     return all(
         (
             _is_name(fields.get('service')),
@@ -65,7 +65,7 @@
             isinstance(fields.get('zone'), str),
             _is_state(fields.get('state')),
             _is_count(fields.get('slots'), least=1),
-            _is_amount(fields.get('cold_left_ms', 0)),
+            _is_duration_ms(fields.get('cold_left_ms', 0)),
             _is_count(fields.get('born', 0)),
         ),
     )
@@ -76,24 +76,24 @@
 
 
 def _is_state(value: object) -> bool:
-    # Lists and objects can't be looked up.
+    # Lists and objects are not hashable and can't be looked up.
     return isinstance(value, str) and value in _STATES
 
 
 def _is_address(value: object) -> bool:
     if not isinstance(value, str) or not _ADDRESS.fullmatch(value):
         return False
-    return 0 < int(value.rpartition(':')[2]) <= _LAST_PORT
+    return 0 < int(value.rpartition(':')[2]) <= _MAX_PORT
 
 
 def _is_count(value: object, least: int = 0) -> bool:
-    # A truth value is a whole number to Python, though nobody means one.
+    # bool is a subclass of int.
     if isinstance(value, bool) or not isinstance(value, int):
         return False
     return value >= least
 
 
-def _is_amount(value: object) -> bool:
+def _is_duration_ms(value: object) -> bool:
     if isinstance(value, bool) or not isinstance(value, int | float):
         return False
-    return 0 <= value <= _LONGEST_COLD_MS
+    return 0 <= value <= _MAX_COLD_MS
--- a/tests/listed_fleet.py
+++ b/tests/listed_fleet.py
@@ -1,4 +1,4 @@
-"""Whole routers before stand-ins of the users' platform, under load."""
+"""A fleet of routers under load, with stand-ins for store and targets."""
 
 import asyncio
 import itertools
@@ -28,12 +28,12 @@
 
 LLM = 'llm'
 DESK = 'desk'
-#: Requests to a target after it asked for none, from half a second after
-#: that on, which the users allow a router.
-_MOST_WHILE_BACKING_OFF = 2
+#: Requests that a router may send to a target during the back-off that the
+#: target asked for, not counting the first half second of it.
+_MAX_LATE_REQUESTS = 2
 _BACK_OFF_GRACE_S = 0.5
-#: Seconds after its start in which a router hears what the others know.
-_START_S = 2.0
+#: Seconds after its start within which a router learns what its peers know.
+_STARTUP_S = 2.0
 _ROUTE = {'host': 'host.example', 'max_attempts': 2, 'timeout_ms': 5000}
 _CONFIGURATION = {
     'version': 3,
@@ -63,17 +63,17 @@
 
 
 @attrs.frozen
-class PassedOn:
-    """An answer that a router passed on to a caller.
+class ForwardedNotice:
+    """A forwarded answer that announced that its target is leaving.
 
     Parameters
     ----------
     router : str
-        The router.
+        Router that forwarded the answer.
     target_id : str
-        The target that signed it.
+        Target that signed the answer.
     at : float
-        Monotonic seconds at which the caller had it.
+        Monotonic seconds at which the caller received it.
     """
 
     router: str
@@ -83,26 +83,26 @@
 
 @attrs.define(eq=False)
 class ListedFleet:
-    """Routers, targets of two services, and a store.
+    """Routers, a store, and the targets of two services.
 
     Parameters
     ----------
     seed : int
-        Source of what callers ask for, and when.
+        Seed of the random requests and their times.
     routers : list of RelayRouter
-        All routers; callers know them by their places here.
+        All routers ever started; callers refer to them by index.
     targets : dict of str to ListedTarget
-        All targets by their ids.
-    asked_at : dict of str to float
-        Monotonic seconds at which each request was sent by its caller.
-    leaving : list of PassedOn
-        Answers that said that their targets leave.
+        All targets by id.
+    sent_at : dict of str to float
+        Monotonic seconds at which each request was sent, by request id.
+    leaving_notices : list of ForwardedNotice
+        Forwarded answers whose targets announced that they are leaving.
     statuses : Counter
-        What callers got, by service and status.
+        Number of answers by service and status.
     refused : set of str
-        Requests of which callers were told that they did not run.
+        Ids of requests that were answered as not run.
     ready_at : dict of str to float
-        Monotonic seconds at which each router began to serve.
+        Monotonic seconds at which each router was ready.
     """
 
     seed: int
@@ -110,12 +110,12 @@
     store: RowStoreState = attrs.field(factory=RowStoreState)
     routers: list[RelayRouter] = attrs.field(factory=list)
     targets: dict[str, ListedTarget] = attrs.field(factory=dict)
-    asked_at: dict[str, float] = attrs.field(factory=dict)
-    leaving: list[PassedOn] = attrs.field(factory=list)
+    sent_at: dict[str, float] = attrs.field(factory=dict)
+    leaving_notices: list[ForwardedNotice] = attrs.field(factory=list)
     statuses: Counter = attrs.field(factory=Counter)
     refused: set[str] = attrs.field(factory=set)
     ready_at: dict[str, float] = attrs.field(factory=dict)
-    _live: list[int] = attrs.field(factory=list)
+    _running: list[int] = attrs.field(factory=list)
     rng: random.Random = attrs.field(init=False)
     _servers: list[HTTPServer] = attrs.field(factory=list)
     _ids: Iterator[int] = attrs.field(factory=itertools.count)
@@ -123,19 +123,19 @@
     _store_url: str = ''
 
     def __attrs_post_init__(self) -> None:
-        """Open nothing but the callers' client."""
+        """Create the random source and the HTTP client of the callers."""
         self.rng = random.Random(self.seed)
         self._client = AsyncHTTPClient(force_instance=True, max_clients=500)
 
     async def start(self, routers: int, **targets: int) -> None:
-        """Start everything and wait until all routers serve.
+        """Start all parts and wait until all routers are ready.
 
         Parameters
         ----------
         routers : int
-            How many routers.
+            Number of routers.
         **targets : int
-            How many targets of each service.
+            Number of targets of each service.
         """
         self.store.write('op', 'config', _CONFIGURATION)
         app = make_row_store(self.store)
@@ -147,7 +147,7 @@
             await self.add_router()
 
     def add_target(self, target_id: str, service: str) -> ListedTarget:
-        """Start a target and list it."""
+        """Start a target and add it to the list in the store."""
         target = ListedTarget(target_id=target_id, clock=self.clock)
         self.targets[target_id] = target
         address = self._serve(make_listed_target(target))
@@ -155,7 +155,7 @@
         return target
 
     def list_target(self, target_id: str, service: str, address: str) -> None:
-        """Write a target's entry, as one that takes requests."""
+        """Write the entry of a ready target to the store."""
         fields = {
             'service': service,
             'address': address,
@@ -166,8 +166,8 @@
         self.store.write('servers', target_id, fields)
 
     async def add_router(self) -> RelayRouter:
-        """Start a router and wait until it serves and knows the others."""
-        known = [self.routers[number].parts.net for number in self._live]
+        """Start a router and wait until it is ready and has all its peers."""
+        known = [self.routers[number].parts.net for number in self._running]
         seeds = ', '.join(net.me.address for net in known)
         router = make_router(
             read_settings(
@@ -184,7 +184,7 @@
                     'callers.port=0',
                     'probes.address=127.0.0.1',
                     'probes.port=0',
-                    # A loop that stands still must not count as a dead target.
+                    # A blocked event loop must not look like a dead target.
                     'relay.connect_timeout=30s',
                 ),
             ),
@@ -194,23 +194,23 @@
         self.routers.append(router)
         assert await until(lambda: router.state == 'ready')
         net = router.parts.net
-        others = len(self._live)
+        others = len(self._running)
         assert await until(lambda: len(net.neighbours()) >= others)
         self.ready_at[f'router-{number}'] = self.clock.now()
-        self._live.append(number)
+        self._running.append(number)
         return router
 
     async def replace_router(self) -> None:
-        """Let a router leave, and start another one in its place."""
-        number = self._live.pop(self.rng.randrange(len(self._live)))
+        """Shut down a random router while starting another one."""
+        number = self._running.pop(self.rng.randrange(len(self._running)))
         leaving = asyncio.ensure_future(self.routers[number].leave())
         await self.add_router()
         await leaving
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all routers and stand-ins."""
         self.store.answer()
-        routers = (self.routers[number] for number in self._live)
+        routers = (self.routers[number] for number in self._running)
         await asyncio.gather(*(router.leave() for router in routers))
         for server in self._servers:
             server.stop()
@@ -218,26 +218,26 @@
         self._client.close()
 
     async def load(self, seconds: float, rate: float) -> None:
-        """Send requests at random times until their callers have answers.
+        """Send requests at random times and wait for all answers.
 
         Parameters
         ----------
         seconds : float
-            How long requests are sent.
+            Seconds during which requests are sent.
         rate : float
-            Requests a second.
+            Mean number of requests per second.
         """
-        until_at = self.clock.now() + seconds
+        ends_at = self.clock.now() + seconds
         sending = []
-        while self.clock.now() < until_at:
-            router = self.rng.choice(self._live)
+        while self.clock.now() < ends_at:
+            router = self.rng.choice(self._running)
             service = self.rng.choice((LLM, DESK))
             sending.append(asyncio.ensure_future(self.send(router, service)))
             await self.clock.sleep(self.rng.expovariate(rate))
         await asyncio.gather(*sending)
 
     async def send(self, number: int, service: str) -> HTTPResponse:
-        """Send one request to one router and return its answer."""
+        """Send a request to a router and return the answer."""
         sender, request_id = f'router-{number}', f'request-{next(self._ids)}'
         router = self.routers[number]
         headers = {
@@ -251,7 +251,7 @@
             headers['Model-Name'] = 'model-a'
             headers['Token-Counts'] = '100,50'
             headers['Prompt-Prefix'] = f'{prompt:x}:60,{prompt + 100:x}:40'
-        self.asked_at[request_id] = self.clock.now()
+        self.sent_at[request_id] = self.clock.now()
         answer = await self._client.fetch(
             HTTPRequest(
                 f'http://{router.callers.address}/{service}/x',
@@ -266,32 +266,32 @@
         if answer.headers.get('Server-Leaving'):
             target_id = answer.headers['Response-Stamp']
             now = self.clock.now()
-            self.leaving.append(PassedOn(sender, target_id, now))
+            self.leaving_notices.append(ForwardedNotice(sender, target_id, now))
         return answer
 
     def back_off_breaches(self) -> list[str]:
-        """Return where a target got requests after it had asked for none."""
+        """Return the targets that got too many requests during a back-off."""
         breaches = []
         for target in self.targets.values():
             for arrival in target.arrivals:
                 late = _count_late(target, arrival)
-                if late > _MOST_WHILE_BACKING_OFF:
-                    told = f'{late} requests of {arrival.sender}'
-                    breaches.append(f'{target.target_id}: {told}')
+                if late > _MAX_LATE_REQUESTS:
+                    detail = f'{late} requests of {arrival.sender}'
+                    breaches.append(f'{target.target_id}: {detail}')
         return breaches
 
     def leaving_breaches(self, bound: float) -> list[str]:
-        """Return requests that reached a target after it had said it leaves.
+        """Return requests that reached a target that was leaving.
 
         Parameters
         ----------
         bound : float
-            Seconds after which none may have been sent by a caller whose
-            router, or any other one, has passed such an answer on.
+            Seconds from the first forwarded answer that announced the leaving,
+            by any router; requests that callers send later are breaches.
         """
         first = {}
-        for passed in self.leaving:
-            first.setdefault(passed.target_id, passed.at)
+        for notice in self.leaving_notices:
+            first.setdefault(notice.target_id, notice.at)
         return [
             f'{target_id}: {arrival.request_id} of {arrival.sender}'
             for target_id, at in first.items()
@@ -299,8 +299,8 @@
             if self._is_late(arrival, at + bound)
         ]
 
-    def untrue_refusals(self) -> list[str]:
-        """Return requests that ran though their callers were told not."""
+    def false_refusals(self) -> list[str]:
+        """Return requests that ran although they were answered as not run."""
         ran = {
             arrival.request_id
             for target in self.targets.values()
@@ -310,10 +310,11 @@
         return sorted(ran & self.refused)
 
     def _is_late(self, arrival: Arrival, ends: float) -> bool:
-        # A router that has just started may hear it from its peers last.
+        # A router that has just started still has to learn this from its
+        # peers.
         ready_at = self.ready_at[arrival.sender]
-        asked_at = self.asked_at[arrival.request_id]
-        return asked_at > max(ends, ready_at + _START_S)
+        sent_at = self.sent_at[arrival.request_id]
+        return sent_at > max(ends, ready_at + _STARTUP_S)
 
     def _serve(self, app: Application) -> str:
         listener, port = bind_unused_port()
--- a/tests/notices_run.py
+++ b/tests/notices_run.py
@@ -1,6 +1,6 @@
-"""Seeded runs of a fleet whose targets leave, reject and come anew.
+"""Seeded runs of a fleet whose targets leave, reject and get replaced.
 
-``python -m tests.notices_run FIRST LAST`` plays a range of seeds.
+``python -m tests.notices_run FIRST LAST`` runs a range of seeds.
 """
 
 import asyncio
@@ -13,29 +13,29 @@
 
 from tests.listed_fleet import DESK, LLM, ListedFleet
 
-#: Seconds in which a leaving target may still be sent requests.
-_DRAIN_S = 2
-_RATE = 90
+#: Seconds during which a leaving target may still get requests.
+_DRAIN_BOUND_S = 2
+_REQUESTS_PER_S = 90
 _STEPS = 12
 _STEP_S = 0.5
 _ROUTERS = 3
 _TARGETS = 4
-#: Targets of a service that stay, so that it can be served.
-_STAYING = 2
+#: Targets of each service that never leave, so that some always serve.
+_PERMANENT_TARGETS = 2
 
 Step = Callable[[], Awaitable[None]]
 
 
 @attrs.define(eq=False)
 class NoticesRun:
-    """One run: load, and a random event every half second.
+    """A run under load, with a random event every half second.
 
     Parameters
     ----------
     seed : int
-        Source of all that happens.
+        Seed of all random choices.
     events : list of str
-        What happened.
+        Names of the events so far.
     """
 
     seed: int
@@ -44,16 +44,19 @@
     rng: random.Random = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Make the fleet."""
+        """Create the fleet and the random source."""
         self.fleet = ListedFleet(self.seed)
-        # What happens must not depend on how many requests were sent by then.
+        # Separate from the source of the fleet: the events must not depend on
+        # the number of requests sent.
         self.rng = random.Random(self.seed)
 
     async def run(self) -> list[str]:
-        """Return all breaches of a run from its start to its end."""
+        """Run from start to end and return all breaches."""
         fleet = self.fleet
         await fleet.start(_ROUTERS, llm=_TARGETS, desk=_TARGETS)
-        load = asyncio.ensure_future(fleet.load(_STEPS * _STEP_S, _RATE))
+        load = asyncio.ensure_future(
+            fleet.load(_STEPS * _STEP_S, _REQUESTS_PER_S)
+        )
         for _ in range(_STEPS):
             await asyncio.sleep(_STEP_S)
             await self._step()
@@ -61,8 +64,8 @@
         await fleet.stop()
         return [
             *fleet.back_off_breaches(),
-            *fleet.leaving_breaches(_DRAIN_S),
-            *fleet.untrue_refusals(),
+            *fleet.leaving_breaches(_DRAIN_BOUND_S),
+            *fleet.false_refusals(),
         ]
 
     async def _step(self) -> None:
@@ -82,18 +85,18 @@
         self.events.append(step.__name__.strip('_'))
         await step()
 
-    def _some_target(self) -> str:
+    def _pick_target(self) -> str:
         service = self.rng.choice((LLM, DESK))
         number = self.rng.randrange(_TARGETS)
         return f'{service}-{number}'
 
     async def _reject(self) -> None:
-        target = self.fleet.targets[self._some_target()]
+        target = self.fleet.targets[self._pick_target()]
         target.rejects = True
         target.retry_after = self.rng.choice((0, 0.7, 1, 2, 3))
 
     async def _narrow(self) -> None:
-        """Let all targets of a service bear little, and say when to retry."""
+        """Reduce the capacity of all targets of a service."""
         service = self.rng.choice((LLM, DESK))
         for name, target in self.fleet.targets.items():
             if name.startswith(service):
@@ -108,8 +111,8 @@
             target.work = 0
 
     async def _leave(self) -> None:
-        name = self._some_target()
-        if int(name.rpartition('-')[2]) >= _STAYING:
+        name = self._pick_target()
+        if int(name.rpartition('-')[2]) >= _PERMANENT_TARGETS:
             self.fleet.targets[name].leaving = True
 
     async def _replace(self) -> None:
@@ -124,16 +127,16 @@
             self.fleet.store.answer()
 
     async def _burst(self) -> None:
-        await self.fleet.load(_STEP_S / 2, 3 * _RATE)
+        await self.fleet.load(_STEP_S / 2, 3 * _REQUESTS_PER_S)
 
     async def _restart_router(self) -> None:
-        # Without the store a router can't start.
+        # A router can't start without the store.
         self.fleet.store.answer()
         await self.fleet.replace_router()
 
 
 def main() -> int:
-    """Play a range of seeds; 1 if one of them broke a bound."""
+    """Run a range of seeds; return 1 if there were breaches, else 0."""
     logging.getLogger().setLevel(logging.CRITICAL)
     first, last = map(int, sys.argv[1:])
     broken = 0
@@ -141,9 +144,9 @@
         run = NoticesRun(seed)
         breaches = asyncio.run(run.run())
         broken += bool(breaches)
-        told = f'{len(breaches)} breaches {breaches[:3]}'
+        summary = f'{len(breaches)} breaches {breaches[:3]}'
         served = dict(run.fleet.statuses)
-        sys.stdout.write(f'seed {seed}: {told} {served} {run.events}\n')
+        sys.stdout.write(f'seed {seed}: {summary} {served} {run.events}\n')
         sys.stdout.flush()
     sys.stdout.write(f'{last - first + 1} seeds, {broken} broken\n')
     return 1 if broken else 0
--- a/tests/test_platform_boot.py
+++ b/tests/test_platform_boot.py
@@ -32,7 +32,7 @@
 
 
 class ReadBootTest(unittest.TestCase):
-    """Each field becomes a key of ours, or a line that names its place."""
+    """Fields become overrides; problems name the file and the field."""
 
     def setUp(self):
         directory = self.enterContext(tempfile.TemporaryDirectory())
@@ -42,7 +42,7 @@
         self.path.write_text(text, encoding='utf-8')
         return read_boot(str(self.path))
 
-    def test_all_fields_make_sound_settings(self):
+    def test_all_fields_are_converted(self):
         cfg = read_settings(None, self.read(_FILE))
         self.assertNotIsInstance(cfg, ConfigFault)
         self.assertEqual(cfg.host.zone, 'zone-a')
@@ -66,19 +66,19 @@
         self.assertIn(place, fault.problems[0])
         self.assertTrue(fault.problems[0].startswith(str(self.path)))
 
-    def test_a_field_that_may_be_missing(self):
+    def test_optional_field(self):
         self.assertNotIn('host.link=', ' '.join(self.read(_FILE)))
         fields = f'{_FILE}[limits]\nlink_mbps = 10.0\n'
         cfg = read_settings(None, self.read(fields))
         self.assertEqual(cfg.host.link, 10)
 
-    def test_text_that_is_no_toml(self):
+    def test_invalid_toml(self):
         self.assertIn('not TOML', self.read('node = ').problems[0])
 
-    def test_file_that_is_not_there(self):
+    def test_missing_file(self):
         fault = read_boot(str(self.path))
         self.assertIn('name a readable file', fault.problems[0])
 
-    def test_variable_that_is_not_set(self):
+    def test_unset_variable(self):
         with mock.patch.dict('os.environ', clear=True):
             self.assertIn(PATH_VARIABLE, read_boot().problems[0])
--- a/tests/test_platform_configuration.py
+++ b/tests/test_platform_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of configurations that are read one after the other."""
+"""Tests of parsing successive versions of a configuration."""
 
 import copy
 import itertools
@@ -43,11 +43,11 @@
     return {'name': name, 'max_conns': rng.randrange(3)}
 
 
-_MAKE = {'routes': _route, 'tenants': _team, 'services': _service}
+_FACTORIES = {'routes': _route, 'tenants': _team, 'services': _service}
 
 
-def _longest(routes, host, path):
-    """Return the first of a host's routes with the longest prefix."""
+def _find_longest_prefix(routes, host, path):
+    """Return the first route of a host with the longest matching prefix."""
     found = [
         route
         for route in routes
@@ -56,47 +56,47 @@
     return max(found, key=lambda route: len(route.prefix), default=None)
 
 
-class _Operators:
-    """Changes a configuration at random."""
+class _RandomConfiguration:
+    """A configuration that changes at random."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
-        self.made = 0
+        self.created = 0
         self.fields = {'version': 0, 'limits': {}}
         size = self.rng.choice(_SIZES)
-        for field in _MAKE:
-            self.fields[field] = [self.new(field) for _ in range(size)]
+        for field in _FACTORIES:
+            self.fields[field] = [self.make(field) for _ in range(size)]
 
-    def new(self, field):
-        self.made += 1
-        return _MAKE[field](f'n{self.made}', self.rng)
+    def make(self, field):
+        self.created += 1
+        return _FACTORIES[field](f'n{self.created}', self.rng)
 
     def change(self):
-        """Change some entries, and return the whole as it came by JSON."""
+        """Change some entries; return the configuration decoded from JSON."""
         self.fields['version'] += 1
         most = self.rng.choice((0, 1, 2, 50))
         for _ in range(most):
-            field = self.rng.choice(tuple(_MAKE))
+            field = self.rng.choice(tuple(_FACTORIES))
             edit = self.rng.choice(
-                (self.put, self.put, self.add, self.drop, self.move),
+                (self.replace, self.replace, self.add, self.remove, self.move),
             )
             edit(field, self.fields[field])
         return json.loads(json.dumps(self.fields))
 
-    def put(self, field, entries):
+    def replace(self, field, entries):
         if not entries:
             return
-        place = self.rng.randrange(len(entries))
-        fresh = self.new(field)
+        position = self.rng.randrange(len(entries))
+        fresh = self.make(field)
         if self.rng.randrange(5):
-            fresh['name'] = entries[place]['name']
-        entries[place] = fresh
+            fresh['name'] = entries[position]['name']
+        entries[position] = fresh
 
     def add(self, field, entries):
-        place = self.rng.choice((0, len(entries) // 2, len(entries)))
-        entries.insert(place, self.new(field))
+        position = self.rng.choice((0, len(entries) // 2, len(entries)))
+        entries.insert(position, self.make(field))
 
-    def drop(self, _field, entries):
+    def remove(self, _field, entries):
         if entries:
             entries.pop(self.rng.randrange(len(entries)))
 
@@ -106,8 +106,8 @@
             entries.insert(self.rng.randrange(len(entries) + 1), entry)
 
 
-class ReadAgainTest(unittest.TestCase):
-    """What is read after others is what would be read alone."""
+class SuccessiveReadsTest(unittest.TestCase):
+    """A reader with reused entries returns the same as a new reader."""
 
     def assert_same(self, found, fields):
         fresh = CatalogueReader().read(copy.deepcopy(fields))
@@ -123,24 +123,24 @@
         for host, path in itertools.product(_HOSTS, _PATHS):
             self.assertEqual(
                 found.find_route(host, path),
-                _longest(fresh.routes, host.lower(), path),
+                _find_longest_prefix(fresh.routes, host.lower(), path),
             )
 
     @parameterized.expand([(seed,) for seed in _SEEDS])
-    def test_any_changes(self, seed):
-        """Symptom: requests are answered by routes that nobody wrote.
+    def test_random_changes(self, seed):
+        """Guards against reusing the wrong entry.
 
-        Sequence: entries change, come, go and move, some at a time; a router
-        reads each version, from the store or as a patch.
-        Cause: an entry was taken for one that stood there before.
+        Entries change, come, go and move between versions, which come from
+        the store or as patches. Reusing an entry of the old list for another
+        one would serve requests by routes that nobody wrote.
         """
-        operators = _Operators(seed)
+        source = _RandomConfiguration(seed)
         reader = CatalogueReader()
-        known = operators.change()
+        known = source.change()
         self.assert_same(reader.read(known), known)
         for _ in range(_STEPS):
-            after = operators.change()
-            if operators.rng.getrandbits(1):
+            after = source.change()
+            if source.rng.getrandbits(1):
                 patch = json.loads(json.dumps(make_patch(known, after)))
                 known = apply_patch(known, patch)
             else:
@@ -149,63 +149,63 @@
             self.assert_same(reader.read(known), after)
 
     @parameterized.expand([(seed,) for seed in _SEEDS])
-    def test_earlier_ones_stay_as_they_were(self, seed):
-        """Symptom: a request in progress finds its route changed.
+    def test_earlier_versions_are_not_modified(self, seed):
+        """Guards against modifying shared entries in place.
 
-        Sequence: a request runs under one version; the next is read.
-        Cause: what both have in common was changed in place.
+        A request in progress keeps using its version while the next one is
+        read, and must not see its route change.
         """
-        operators = _Operators(seed)
+        source = _RandomConfiguration(seed)
         reader = CatalogueReader()
-        versions = [operators.change() for _ in range(_STEPS)]
+        versions = [source.change() for _ in range(_STEPS)]
         read = [reader.read(fields) for fields in versions]
         for found, fields in zip(read, versions, strict=True):
             self.assert_same(found, fields)
 
-    def test_one_that_could_not_be_read(self):
-        """Symptom: a broken version leaves the next one wrong.
+    def test_version_after_an_invalid_one(self):
+        """Guards against keeping a part of an invalid version.
 
-        Sequence: a version holds an entry without a name; the next is sound.
-        Cause: the reader kept half of what it could not read.
+        A version has an entry without a name; the next one is valid and must
+        be read correctly.
         """
-        operators = _Operators(0)
+        source = _RandomConfiguration(0)
         reader = CatalogueReader()
-        for field in _MAKE:
-            fields = operators.change()
+        for field in _FACTORIES:
+            fields = source.change()
             reader.read(fields)
-            broken = operators.change()
+            broken = source.change()
             broken[field] = [*broken[field][1:], {'host': 'a'}]
             with self.assertRaises(KeyError):
                 reader.read(broken)
-            after = operators.change()
+            after = source.change()
             self.assert_same(reader.read(after), after)
 
-    def test_a_name_that_two_routes_have(self):
-        operators = _Operators(3)
+    def test_duplicate_route_names(self):
+        source = _RandomConfiguration(3)
         reader = CatalogueReader()
         for _ in range(_STEPS):
-            fields = operators.change()
+            fields = source.change()
             for route in fields['routes']:
-                route['name'] = operators.rng.choice('ab')
+                route['name'] = source.rng.choice('ab')
             self.assert_same(reader.read(fields), fields)
 
 
-_NEW = _route('new', random.Random(2))
-#: Changes of a list, and how many routes are read anew.
-_CHANGES = (
+_NEW_ROUTE = _route('new', random.Random(2))
+#: Changes of a list, and the number of routes parsed again.
+_ROUTE_CHANGES = (
     ('nothing', lambda routes: routes, 0),
     ('one is gone', lambda routes: routes[:50] + routes[51:], 0),
     ('the first are gone', lambda routes: routes[9:], 0),
     ('the last are gone', lambda routes: routes[:-9], 0),
     ('another order', lambda routes: list(reversed(routes)), 0),
-    ('a new one', lambda routes: [*routes, _NEW], 1),
-    ('a new one first', lambda routes: [_NEW, *routes], 1),
-    ('one for another', lambda routes: [_NEW, *routes[1:]], 1),
+    ('a new one', lambda routes: [*routes, _NEW_ROUTE], 1),
+    ('a new one first', lambda routes: [_NEW_ROUTE, *routes], 1),
+    ('one for another', lambda routes: [_NEW_ROUTE, *routes[1:]], 1),
 )
 
 
 class SharedEntriesTest(unittest.TestCase):
-    """Entries that stay the same are read once."""
+    """Unchanged entries are parsed once."""
 
     def setUp(self):
         rng = random.Random(1)
@@ -217,38 +217,37 @@
         self.reader = CatalogueReader()
         self.before = self.reader.read(self.fields)
 
-    def read_anew(self, after):
-        """Return how many routes were read anew."""
+    def count_parsed(self, after):
+        """Return the number of routes that were parsed again."""
         known = set(map(id, self.before.routes))
         found = self.reader.read(after)
         return sum(id(route) not in known for route in found.routes)
 
-    @parameterized.expand(_CHANGES)
-    def test_one_change(self, _, change, anew):
-        """Symptom: small hosts are late with requests while routes change.
+    @parameterized.expand(_ROUTE_CHANGES)
+    def test_one_change(self, _, change, parsed):
+        """Guards against parsing all routes for each change.
 
-        Sequence: one of many routes changes, comes, or goes.
-        Cause: each change was read as a whole.
+        On a small host that delays requests while routes change, come or go.
         """
         after = self.fields | {'routes': change(self.fields['routes'])}
         decoded = json.loads(json.dumps(after))
-        self.assertEqual(self.read_anew(decoded), anew)
+        self.assertEqual(self.count_parsed(decoded), parsed)
 
-    @parameterized.expand(_CHANGES)
-    def test_one_change_by_a_patch(self, _, change, anew):
+    @parameterized.expand(_ROUTE_CHANGES)
+    def test_one_change_as_patch(self, _, change, parsed):
         after = self.fields | {'routes': change(self.fields['routes'])}
         patch = json.loads(json.dumps(make_patch(self.fields, after)))
         patched = apply_patch(self.fields, patch)
-        self.assertEqual(self.read_anew(patched), anew)
+        self.assertEqual(self.count_parsed(patched), parsed)
 
-    def test_hosts_of_no_changed_route_are_taken_over(self):
+    def test_index_of_unchanged_hosts_is_reused(self):
         routes = list(self.fields['routes'])
         changed = routes[7]['host'].lower()
         routes[7] = routes[7] | {'timeout_ms': 7}
         after = self.reader.read(self.fields | {'routes': routes}).index
-        taken_over = {
+        reused = {
             host
             for host, found in self.before.index.by_host.items()
             if found is after.by_host[host]
         }
-        self.assertEqual(taken_over, set(after.by_host).difference({changed}))
+        self.assertEqual(reused, set(after.by_host).difference({changed}))
--- a/tests/test_platform_pages.py
+++ b/tests/test_platform_pages.py
@@ -1,4 +1,4 @@
-"""Tests of what one router hears from the store for its zone."""
+"""Tests of sharing pages of the store within a zone."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 from balsamreach.platform.feed import FeedParts
 from balsamreach.platform.feeds import ConfigurationFeed
 from balsamreach.platform.pages import PageSharing
-from balsamreach.platform.rows import StoredRows
+from balsamreach.platform.row_store import StoredRows
 from balsamreach.services.faults import UNKNOWN
 from balsamreach.telemetry.metrics import Metrics
 from balsamreach.wire.tables import TablePage
@@ -28,19 +28,19 @@
 _ROUTERS = 5
 
 
-def _noise(size):
-    """Return text that does not shrink."""
+def _incompressible(size):
+    """Return text that can not be compressed well."""
     return random.Random(1).randbytes(size).hex()
 
 
 @attrs.frozen
-class _Named(HubChoice):
-    """The same hubs whatever happens."""
+class _FixedHubs(HubChoice):
+    """A choice of hubs that never changes."""
 
     hubs: tuple
 
     def of(self, _zone):
-        """Return them."""
+        """Return the fixed hubs."""
         return self.hubs
 
     def zones(self):
@@ -49,16 +49,16 @@
 
 
 class PagesTest(StoreCase):
-    """Routers hear from their hub, and ask themselves where it is silent."""
+    """Routers get pages from their hub, and poll the store if it is silent."""
 
     def setUp(self):
         super().setUp()
         self.clock = FakeClock()
-        self.fabric = FakeNet(hubs_per_zone=2)
+        self.network = FakeNet(hubs_per_zone=2)
         self.feeds = {}
         for number in range(_ROUTERS):
             self.join(f'r{number}')
-        net = self.fabric.nets['r0']
+        net = self.network.nets['r0']
         hubs = [hub.incarnation for hub in net.hubs.of('zone-a')]
         self.first = hubs[0]
         self.second = hubs[1]
@@ -67,10 +67,10 @@
         )
 
     def join(self, name):
-        pages = PageSharing(self.fabric.join(name), self.clock)
+        pages = PageSharing(self.network.join(name), self.clock)
         pages.start()
         feed = ConfigurationFeed(CatalogueView(), Evacuations(self.clock))
-        feed.open(
+        feed.create_feed(
             FeedParts(
                 store=self.store,
                 probe=self.store,
@@ -82,23 +82,23 @@
         self.feeds[name] = feed
 
     async def step(self, name):
-        """Let a router ask the store once, and tell of it."""
+        """Let a router poll the store once and share the page."""
         feed = self.feeds[name].feed
-        asked_at = self.clock.now()
-        feed._take_answer(await feed._next(), asked_at)
-        await self.fabric.settle()
+        requested_at = self.clock.now()
+        feed._handle_response(await feed._read_next(), requested_at)
+        await self.network.settle()
 
     def version(self, name):
         return self.feeds[name].view.version
 
-    def has_missed(self, name):
-        """Return whether a router knows that a page is missing."""
+    def needs_poll(self, name):
+        """Return whether a router will poll because it lacks a page."""
         feed = self.feeds[name].feed
-        return feed._missed.is_set()
+        return feed._poll_needed.is_set()
 
-    def is_told(self, name):
-        """Return whether a router waits to be told and asks nobody."""
-        waiting = self.feeds[name].feed._while_told()
+    def waits_for_hub(self, name):
+        """Return whether a router waits for pages instead of polling."""
+        waiting = self.feeds[name].feed._wait_while_hub_reports()
         try:
             waiting.send(None)
         except StopIteration:
@@ -107,7 +107,7 @@
         return True
 
     @gen_test
-    async def test_a_change_reaches_all_by_one_call(self):
+    async def test_one_call_is_enough_for_the_zone(self):
         for name in self.feeds:
             await self.step(name)
         asked = len(self.state.waits)
@@ -116,53 +116,51 @@
         self.assertEqual(len(self.state.waits), asked + 1)
         for name in self.feeds:
             self.assertEqual(self.version(name), 3)
-        self.assertTrue(self.is_told(self.other))
+        self.assertTrue(self.waits_for_hub(self.other))
 
     @gen_test
-    async def test_hubs_ask_whoever_tells(self):
+    async def test_hubs_always_poll(self):
         for name in (*self.feeds, self.first):
             await self.step(name)
-        self.assertFalse(self.is_told(self.first))
-        self.assertFalse(self.is_told(self.second))
-        self.assertTrue(self.is_told(self.other))
+        self.assertFalse(self.waits_for_hub(self.first))
+        self.assertFalse(self.waits_for_hub(self.second))
+        self.assertTrue(self.waits_for_hub(self.other))
 
     @gen_test
-    async def test_a_hub_that_others_held_for_dead(self):
-        """Symptom: nobody in a zone follows the store.
+    async def test_hub_with_a_new_revision(self):
+        """Guards against a zone in which no router polls the store.
 
-        Sequence: peers call a paused hub dead; it takes that back, and its
-        entry in the list has a higher revision from then on.
-        Cause: it did not find itself among the hubs any more.
+        A paused hub that peers considered dead gets a higher revision when it
+        refutes this. It must still recognise itself among the hubs.
         """
         for name in (*self.feeds, self.first):
             await self.step(name)
-        net = self.fabric.nets[self.second]
+        net = self.network.nets[self.second]
         net.me = attrs.evolve(net.me, revision=7)
         feed = self.feeds[self.second].feed
         pages = feed.parts.pages
-        pages.net.hubs = _Named(net.hubs.of('zone-a'))
+        pages.net.hubs = _FixedHubs(net.hubs.of('zone-a'))
         net.me = attrs.evolve(net.me, revision=8)
-        self.assertTrue(pages.follows())
+        self.assertTrue(pages.reads_store())
 
     @gen_test
-    async def test_a_hub_that_is_silent(self):
-        """Symptom: a router stays at an old configuration.
+    async def test_silent_hub(self):
+        """Guards against waiting for a silent hub.
 
-        Sequence: the hub of its zone stands still, or is cut off from the
-        store; the configuration changes.
-        Cause: the router waited to be told.
+        The hub hangs or can't reach the store while the configuration
+        changes; a router that only waits keeps the old one.
         """
         for name in (*self.feeds, self.first):
             await self.step(name)
         self.clock.advance(1.5)
-        self.assertFalse(self.is_told(self.other))
+        self.assertFalse(self.waits_for_hub(self.other))
         self.state.write('op', 'config', _FIELDS)
         await self.step(self.other)
         self.assertEqual(self.version(self.other), 3)
 
     @gen_test
-    async def test_a_store_that_turns_the_first_hub_away(self):
-        """Each router of a zone read the store while its hub could not."""
+    async def test_store_rejects_the_first_hub(self):
+        """Guards against reads by every router if the first hub can't read."""
         for name in (*self.feeds, self.first):
             await self.step(name)
         self.clock.advance(1)
@@ -176,43 +174,44 @@
         self.assertEqual(self.version(self.other), 4)
 
     @gen_test
-    async def test_a_page_that_was_lost(self):
-        """Symptom: a router stays at an old configuration for good.
+    async def test_lost_page(self):
+        """Guards against keeping an old configuration for good.
 
-        Sequence: the hub tells of a change, and the message is dropped; it
-        goes on to tell that nothing has changed since.
-        Cause: what it told later was taken for all that there is.
+        The page with a change is lost, and later pages of the hub hold no
+        changes; these must not count as complete.
         """
         for name in (*self.feeds, self.first):
             await self.step(name)
         self.state.write('op', 'config', _FIELDS)
-        self.fabric.lost[TablePage] = _ROUTERS - 1
+        self.network.lost[TablePage] = _ROUTERS - 1
         await self.step(self.first)
         self.state.write('elsewhere', 'key', {})
         await self.step(self.first)
         self.assertEqual(self.version(self.other), 0)
-        self.assertTrue(self.has_missed(self.other))
+        self.assertTrue(self.needs_poll(self.other))
         await self.step(self.other)
         self.assertEqual(self.version(self.other), 3)
 
     @gen_test
-    async def test_a_large_configuration_is_announced_alone(self):
+    async def test_large_configuration_is_only_announced(self):
         for name in (*self.feeds, self.first):
             await self.step(name)
-        self.state.write('op', 'config', _FIELDS | {'note': _noise(160_000)})
+        self.state.write(
+            'op', 'config', _FIELDS | {'note': _incompressible(160_000)}
+        )
         await self.step(self.first)
         self.assertEqual(self.version(self.first), 3)
         self.assertEqual(self.version(self.other), 0)
-        self.assertTrue(self.has_missed(self.other))
-        pages = [one for one in self.fabric.sent if isinstance(one, TablePage)]
+        self.assertTrue(self.needs_poll(self.other))
+        pages = [one for one in self.network.sent if isinstance(one, TablePage)]
         self.assertEqual(pages[-1].rows, b'')
 
     @gen_test
-    async def test_a_configuration_of_the_usual_size_is_told(self):
-        """Symptom: each change is read from the store by all routers.
+    async def test_configuration_of_usual_size_is_sent(self):
+        """Guards against reads of each change by all routers.
 
-        Sequence: a configuration of 60 kB changes, ten times in six seconds.
-        Cause: such pages were announced alone.
+        This happens if the pages of a 60 kB configuration that changes ten
+        times in six seconds are only announced.
         """
         for name in (*self.feeds, self.first):
             await self.step(name)
@@ -221,32 +220,32 @@
         await self.step(self.first)
         self.assertEqual(self.version(self.other), 3)
 
-    def large(self, number):
-        """Return a configuration of many entries, of which one changes."""
+    def large_configuration(self, number):
+        """Return a version of a configuration with one changing entry."""
         notes = [{'name': f'note-{place}'} for place in range(100)]
-        notes[7]['text'] = _noise(20 + number)
+        notes[7]['text'] = _incompressible(20 + number)
         return _FIELDS | {'version': number, 'notes': notes}
 
-    def told_bytes(self):
-        """Return the bytes of the last page that was told."""
-        pages = [one for one in self.fabric.sent if isinstance(one, TablePage)]
+    def last_page_bytes(self):
+        """Return the size in bytes of the rows of the last page sent."""
+        pages = [one for one in self.network.sent if isinstance(one, TablePage)]
         return len(pages[-1].rows)
 
     @gen_test
-    async def test_changes_of_a_large_configuration_are_told_alone(self):
-        """Symptom: hosts with small links fall behind, and lose their peers.
+    async def test_large_configuration_is_sent_as_patch(self):
+        """Guards against sending or reading a configuration in full.
 
-        Sequence: a large configuration changes ten times a second.
-        Cause: each change was told, or read from the store, as a whole.
+        With a large one that changes ten times a second, hosts with slow
+        links fall behind and lose their peers.
         """
-        self.state.write('op', 'config', self.large(3))
+        self.state.write('op', 'config', self.large_configuration(3))
         for name in (*self.feeds, self.first):
             await self.step(name)
         for number in (4, 5):
-            self.state.write('op', 'config', self.large(number))
+            self.state.write('op', 'config', self.large_configuration(number))
             await self.step(self.first)
             self.assertEqual(self.version(self.other), number)
-            self.assertLess(self.told_bytes(), 400)
+            self.assertLess(self.last_page_bytes(), 400)
         view = self.feeds[self.other].view
         first = self.feeds[self.first].view
         self.assertEqual(
@@ -254,9 +253,9 @@
             json.loads(first.current.write()),
         )
 
-    async def read_beside_the_hub(self, name):
-        """Let a router ask the store while the first hub does; what it read."""
-        asking = asyncio.ensure_future(self.feeds[name].feed._next())
+    async def read_while_hub_reports(self, name):
+        """Poll while the first hub polls; return the rows that were read."""
+        asking = asyncio.ensure_future(self.feeds[name].feed._read_next())
         await until(lambda: self.clock.sleeps_until(math.inf))
         await self.step(self.first)
         self.clock.advance(1)
@@ -266,85 +265,88 @@
         [('other', True), ('second', True), ('second', False)]
     )
     @gen_test
-    async def test_starved_by_reads_of_a_whole_zone(self, reader, was_away):
-        """Each host read whole what its hub tells in a few bytes."""
-        self.state.write('op', 'config', self.large(3))
+    async def test_large_changes_come_from_the_hub(self, reader, was_away):
+        """Guards against full reads of what the hub sends as a small patch."""
+        self.state.write('op', 'config', self.large_configuration(3))
         for name in (*self.feeds, self.first):
             await self.step(name)
         for number in (4, 5):
-            newer = self.large(number) | {'text': 'x' * 70_000}
+            newer = self.large_configuration(number) | {'text': 'x' * 70_000}
             self.state.write('op', 'config', newer)
         router = getattr(self, reader)
         feed = self.feeds[router].feed
-        feed._told_at = self.clock.now()
+        feed._hub_page_at = self.clock.now()
         if was_away:
-            feed._fail(UNKNOWN)
-        self.assertEqual(await self.read_beside_the_hub(router), ())
+            feed._handle_failure(UNKNOWN)
+        self.assertEqual(await self.read_while_hub_reports(router), ())
         self.assertEqual(self.version(router), 5)
 
     @gen_test
-    async def test_a_store_that_turns_one_router_away(self):
-        """Its draws waited for a store that answered only the hub."""
+    async def test_store_rejects_one_router(self):
+        """Guards against taking a page of the hub for an answer of the store.
+
+        Budget draws of this router would otherwise wait for a store that
+        answers only the hub.
+        """
         for name in (*self.feeds, self.first):
             await self.step(name)
         feed = self.feeds[self.other].feed
-        feed._fail(UNKNOWN)
+        feed._handle_failure(UNKNOWN)
         self.state.write('op', 'config', _FIELDS)
         await self.step(self.first)
         self.assertEqual(self.version(self.other), 3)
         self.assertTrue(feed.is_away())
-        self.assertFalse(self.is_told(self.other))
+        self.assertFalse(self.waits_for_hub(self.other))
         await feed.check()
         self.assertFalse(feed.is_away())
 
     @gen_test
-    async def test_a_change_of_what_a_router_does_not_have(self):
-        """Symptom: a router has a configuration that nobody wrote.
+    async def test_patch_for_another_version(self):
+        """Guards against applying a patch to the wrong version.
 
-        Sequence: a page of changes is lost; the next one comes.
-        Cause: it was laid over an older version than it was made for.
+        After a lost page the next patch does not fit the version at the
+        router, and would yield a configuration that nobody wrote.
         """
-        self.state.write('op', 'config', self.large(3))
+        self.state.write('op', 'config', self.large_configuration(3))
         for name in (*self.feeds, self.first):
             await self.step(name)
         feed = self.feeds[self.other].feed
-        known = feed.parts.pages._known['op', '', 'config']
-        feed.parts.pages._known[known.table, known.part, known.key] = (
+        known = feed.parts.pages._base_rows['op', '', 'config']
+        feed.parts.pages._base_rows[known.table, known.part, known.key] = (
             attrs.evolve(known, version=known.version - 1)
         )
-        self.state.write('op', 'config', self.large(4))
+        self.state.write('op', 'config', self.large_configuration(4))
         await self.step(self.first)
         self.assertEqual(self.version(self.other), 3)
-        self.assertTrue(self.has_missed(self.other))
+        self.assertTrue(self.needs_poll(self.other))
         await self.step(self.other)
         self.assertEqual(self.version(self.other), 4)
 
     @gen_test
-    async def test_an_answer_that_comes_behind_a_page(self):
-        """Symptom: a configuration reverts.
+    async def test_answer_overtaken_by_a_page(self):
+        """Guards against reverting to an older configuration.
 
-        Sequence: a router asks the store; before the answer is there, its
-        hub tells of a later change.
-        Cause: the answer was taken as it came.
+        While a router waits for an answer of the store, its hub shares a
+        later change.
         """
         for name in self.feeds:
             await self.step(name)
         feed = self.feeds[self.other].feed
-        late = await feed._next()
+        stale_page = await feed._read_next()
         self.state.write('op', 'config', _FIELDS)
         await self.step(self.first)
-        since = feed._since
-        feed._take(late)
-        self.assertEqual(feed._since, since)
+        since = feed._version
+        feed._apply(stale_page)
+        self.assertEqual(feed._version, since)
         self.assertEqual(self.version(self.other), 3)
 
     @gen_test
-    async def test_a_missed_page_ends_the_wait_at_once(self):
+    async def test_missed_page_ends_the_wait_at_once(self):
         for name in (*self.feeds, self.first):
             await self.step(name)
         feed = self.feeds[self.other].feed
-        waiting = asyncio.ensure_future(feed._while_told())
+        waiting = asyncio.ensure_future(feed._wait_while_hub_reports())
         await asyncio.sleep(0)
         self.assertFalse(waiting.done())
-        feed.hear(feed._since + 5, StoredRows((), feed._since + 6))
+        feed.receive_page(feed._version + 5, StoredRows((), feed._version + 6))
         await asyncio.wait_for(waiting, 1)
--- a/tests/test_platform_patches.py
+++ b/tests/test_platform_patches.py
@@ -1,4 +1,4 @@
-"""Tests of differences between two versions of a row's object."""
+"""Tests of patches between two versions of a row's object."""
 
 import itertools
 import json
@@ -12,43 +12,46 @@
 _SEEDS = range(60)
 
 
-def _named(*pairs):
+def _entries(*pairs):
     return [{'name': name, 'weight': weight} for name, weight in pairs]
 
 
 _BEFORE = {
     'version': 3,
-    'routes': _named(('a', 1), ('b', 2), ('c', 3)),
+    'routes': _entries(('a', 1), ('b', 2), ('c', 3)),
     'limits': {'bytes': 10},
 }
 
 
 class PatchesTest(unittest.TestCase):
-    """What a patch makes is the object that it was made for."""
+    """Applying a patch yields the object that it was made for."""
 
     @parameterized.expand(
         (
             ('nothing', {}),
             ('a field', {'version': 4}),
-            ('an entry', {'routes': _named(('a', 1), ('b', 7), ('c', 3))}),
+            ('an entry', {'routes': _entries(('a', 1), ('b', 7), ('c', 3))}),
             ('a new entry', {'routes': [*_BEFORE['routes'], {'name': 'd'}]}),
-            ('an entry that is gone', {'routes': _named(('a', 1), ('c', 3))}),
-            ('another order', {'routes': _named(('c', 3), ('b', 2), ('a', 1))}),
+            ('an entry that is gone', {'routes': _entries(('a', 1), ('c', 3))}),
+            (
+                'another order',
+                {'routes': _entries(('c', 3), ('b', 2), ('a', 1))},
+            ),
             (
                 'a new one first',
                 {'routes': [{'name': 'd'}, *_BEFORE['routes']]},
             ),
             (
                 'another name at its place',
-                {'routes': _named(('a', 1), ('x', 2), ('c', 3))},
+                {'routes': _entries(('a', 1), ('x', 2), ('c', 3))},
             ),
             (
                 'names that change places',
-                {'routes': _named(('b', 1), ('a', 2), ('c', 3))},
+                {'routes': _entries(('b', 1), ('a', 2), ('c', 3))},
             ),
             (
                 'a name that another has',
-                {'routes': _named(('a', 1), ('c', 2), ('c', 3))},
+                {'routes': _entries(('a', 1), ('c', 2), ('c', 3))},
             ),
             (
                 'a name that is gone',
@@ -61,9 +64,9 @@
             ('an entry that is none', {'routes': [7, *_BEFORE['routes'][1:]]}),
             ('no entries', {'routes': []}),
             ('no names', {'routes': [1, 2]}),
-            ('a name twice', {'routes': _named(('a', 1), ('a', 2))}),
+            ('a name twice', {'routes': _entries(('a', 1), ('a', 2))}),
             ('an inner object', {'limits': {'bytes': 20}}),
-            ('a new list', {'teams': _named(('t', 1))}),
+            ('a new list', {'teams': _entries(('t', 1))}),
         ),
     )
     def test_one_change(self, _, change):
@@ -73,23 +76,23 @@
 
     @parameterized.expand(
         (
-            ('one name', _named(('a', 1), ('b', 2))),
-            ('a name twice', _named(('a', 1), ('a', 2))),
+            ('one name', _entries(('a', 1), ('b', 2))),
+            ('a name twice', _entries(('a', 1), ('a', 2))),
             ('no names', [{}, {}]),
             ('no objects', [1, 2]),
         ),
     )
-    def test_a_list_whose_entries_names_tell_apart_or_not(self, _, entries):
+    def test_lists_with_and_without_unique_names(self, _, entries):
         kinds = (
             {'routes': entries},
             {'routes': [*entries[:1], {'name': 'a', 'weight': 3}]},
-            {'routes': _named(('a', 1), ('b', 3))},
-            {'routes': _named(('a', 1))},
+            {'routes': _entries(('a', 1), ('b', 3))},
+            {'routes': _entries(('a', 1))},
         )
         for one, other in itertools.permutations(kinds, 2):
             self.assertEqual(apply_patch(one, make_patch(one, other)), other)
 
-    def test_a_field_that_is_gone(self):
+    def test_removed_field(self):
         after = {'version': 4, 'routes': _BEFORE['routes']}
         self.assertEqual(
             apply_patch(_BEFORE, make_patch(_BEFORE, after)),
@@ -97,22 +100,21 @@
         )
 
     @parameterized.expand([(seed,) for seed in _SEEDS])
-    def test_any_change(self, seed):
+    def test_random_change(self, seed):
         rng = random.Random(seed)
-        before, after = (_draw(rng) for _ in range(2))
+        before, after = (_random_fields(rng) for _ in range(2))
         self.assertEqual(
             apply_patch(before, make_patch(before, after)),
             after,
         )
 
-    def test_a_patch_is_as_large_as_the_change(self):
-        """Symptom: hosts with small links fall seconds behind.
+    def test_patch_size_is_that_of_the_change(self):
+        """Guards against sending the whole configuration for each change.
 
-        Sequence: a configuration of 1,800 routes; ten times a second one of
-        them changes.
-        Cause: each change was told as a whole configuration.
+        With 1,800 routes, of which one changes ten times a second, hosts with
+        slow links would fall seconds behind.
         """
-        routes = _named(*((f'route-{number}', 1) for number in range(1800)))
+        routes = _entries(*((f'route-{number}', 1) for number in range(1800)))
         before = {'version': 1, 'routes': routes}
         routes = list(routes)
         routes[7] = {'name': 'route-7', 'weight': 2}
@@ -121,20 +123,20 @@
         self.assertLess(len(json.dumps(patch)), 200)
         self.assertEqual(apply_patch(before, patch), after)
 
-    def test_what_was_before_stays_as_it_was(self):
+    def test_original_is_not_modified(self):
         kept = json.loads(json.dumps(_BEFORE))
         apply_patch(_BEFORE, make_patch(_BEFORE, {'routes': []}))
         self.assertEqual(_BEFORE, kept)
 
 
-def _draw(rng):
+def _random_fields(rng):
     names = rng.sample('abcdefgh', rng.randrange(8))
     if rng.getrandbits(1):
         names.sort()
     fields = {
         'version': rng.randrange(3),
-        'routes': _named(*((name, rng.randrange(2)) for name in names)),
-        'teams': _named(*((name, 1) for name in names[:2])),
+        'routes': _entries(*((name, rng.randrange(2)) for name in names)),
+        'teams': _entries(*((name, 1) for name in names[:2])),
     }
     if rng.getrandbits(1):
         fields.pop(rng.choice(tuple(fields)))
--- a/tests/test_platform_reading.py
+++ b/tests/test_platform_reading.py
@@ -1,4 +1,4 @@
-"""Tests of what routers of a zone know after much has changed."""
+"""Tests that routers read changes correctly after many changes."""
 
 import random
 
@@ -32,28 +32,28 @@
         return sorted(one.target_id for one in listed)
 
 
-class GoneTargetsTest(StoreCase):
-    """A target that is gone is gone everywhere, however that is told."""
+class RemovedTargetsTest(StoreCase):
+    """A removed target is removed at all routers, however they learn of it."""
 
     def setUp(self):
         super().setUp()
         self.clock = ManualClock()
-        self.fabric = FakeNet(hubs_per_zone=2)
+        self.network = FakeNet(hubs_per_zone=2)
         self.routers = {}
         for number in range(4):
             self.join(f'r{number}')
-        net = self.fabric.nets['r0']
+        net = self.network.nets['r0']
         hubs = net.hubs.of('zone-a')
         names = [hub.incarnation for hub in hubs]
         self.hub = self.routers[names[0]]
         others = [name for name in self.routers if name not in names]
-        self.other = self.routers[others[0]]
+        self.follower = self.routers[others[0]]
 
     def join(self, name):
-        pages = PageSharing(self.fabric.join(name), self.clock)
+        pages = PageSharing(self.network.join(name), self.clock)
         pages.start()
         places = Places(random.Random(1))
-        targets = TargetsFeed(places, self.clock, _ignore, _ignore)
+        targets = TargetsFeed(places, self.clock, _discard, _discard)
         parts = FeedParts(
             store=self.store,
             probe=self.store,
@@ -61,61 +61,73 @@
             metrics=Metrics(),
             pages=pages,
         )
-        self.routers[name] = _Router(targets.open(parts), places)
+        self.routers[name] = _Router(targets.create_feed(parts), places)
 
     async def step(self, router):
-        """Let a router ask the store once, and tell of it."""
-        asked_at = self.clock.now()
-        router.feed._take_answer(await router.feed._next(), asked_at)
-        await self.fabric.settle()
+        """Let a router poll the store once and share the page."""
+        requested_at = self.clock.now()
+        router.feed._handle_response(
+            await router.feed._read_next(), requested_at
+        )
+        await self.network.settle()
 
-    def change_much(self, size):
+    def write_large_change(self, size):
         note = random.Random(1).randbytes(size).hex()
         self.state.write('servers', 'one', _TARGET | {'note': note})
 
     @parameterized.expand(_SIZES)
     @gen_test
-    async def test_one_that_the_hub_never_saw(self, _, size):
-        """Work went to a target that came and went while the hub was away."""
+    async def test_target_unknown_to_the_hub(self, _, size):
+        """Guards against keeping a target that the hub never knew.
+
+        The target is added and removed while the hub can't reach the store,
+        and only another router has read its entry.
+        """
         self.state.write('servers', 'one', _TARGET)
         for router in (*self.routers.values(), self.hub):
             await self.step(router)
-        self.hub.feed._fail(UNKNOWN)
+        self.hub.feed._handle_failure(UNKNOWN)
         two = _TARGET | {'address': '10.0.0.2:1'}
         self.state.write('servers', 'two', two)
-        await self.step(self.other)
-        self.assertEqual(self.other.targets(), ['one', 'two'])
+        await self.step(self.follower)
+        self.assertEqual(self.follower.targets(), ['one', 'two'])
         self.state.write('servers', 'two', None)
-        self.change_much(size)
+        self.write_large_change(size)
         self.clock.seconds += 10
         await self.step(self.hub)
-        await self.step(self.other)
-        self.assertEqual(self.other.targets(), ['one'])
+        await self.step(self.follower)
+        self.assertEqual(self.follower.targets(), ['one'])
 
     @parameterized.expand(_SIZES)
     @gen_test
-    async def test_one_that_a_peer_told_of(self, _, size):
-        """Work went to a target that was gone before the store was back."""
+    async def test_target_learnt_from_a_peer(self, _, size):
+        """Guards against keeping a target that was learnt from a peer.
+
+        The target is removed before the router reads the store again.
+        """
         self.state.write('servers', 'one', _TARGET)
         await self.step(self.hub)
         version = self.state.write('servers', 'two', _TARGET)
         self.hub.places.put(entry('two', 'desk', version=version))
         self.state.write('servers', 'two', None)
-        self.change_much(size)
+        self.write_large_change(size)
         self.clock.seconds += 10
         await self.step(self.hub)
         self.assertEqual(self.hub.targets(), ['one'])
 
 
-class OvertakenTest(StoreCase):
-    """Answers of calls that were under way at the same time."""
+class ConcurrentCallsTest(StoreCase):
+    """Answers of calls that were in progress at the same time."""
 
     @gen_test
-    async def test_changes_without_what_came_before(self):
-        """Evacuations were lifted by a page that held only changes."""
+    async def test_changes_after_a_reset(self):
+        """Guards against lifting evacuations by a page of changes.
+
+        The page arrives after the feed was reset to read the full table.
+        """
         clock = FakeClock()
         evacuations = Evacuations(clock)
-        feed = ConfigurationFeed(CatalogueView(), evacuations).open(
+        feed = ConfigurationFeed(CatalogueView(), evacuations).create_feed(
             FeedParts(
                 store=self.store,
                 probe=self.store,
@@ -125,13 +137,13 @@
             ),
         )
         self.state.write('op', 'evacuate/zone-a', {})
-        feed._take_answer(await feed._next(), clock.now())
+        feed._handle_response(await feed._read_next(), clock.now())
         self.state.write('op', 'config', {'version': 3})
-        changes = await feed._next()
-        feed._since = None
-        feed._take_answer(changes, clock.now())
+        changes = await feed._read_next()
+        feed._version = None
+        feed._handle_response(changes, clock.now())
         self.assertTrue(evacuations.covers('zone-a'))
 
 
-def _ignore(*_told):
-    """Tell nobody."""
+def _discard(*_told):
+    """Do nothing."""
--- a/tests/test_platform_requests.py
+++ b/tests/test_platform_requests.py
@@ -1,4 +1,4 @@
-"""Tests of what is spoken with callers and targets on the platform."""
+"""Tests of parsing and writing the platform's HTTP requests and answers."""
 
 import inspect
 import random
@@ -84,7 +84,7 @@
 
 
 class CatalogueTest(unittest.TestCase):
-    """The stored configuration in our terms."""
+    """Parsing the stored configuration."""
 
     def test_routes(self):
         long = _CATALOGUE.find_route('HOST.example:80', '/a/b/c')
@@ -104,16 +104,16 @@
         self.assertEqual(_CATALOGUE.teams['t'].prepaid, 900)
         self.assertEqual(_CATALOGUE.limits.body_bytes, 4096)
 
-    def test_document_survives_the_way_to_a_peer(self):
+    def test_document_round_trip(self):
         again = CatalogueReader().decode(_CATALOGUE.write())
         self.assertEqual(again.version, 7)
         self.assertEqual(again.routes, _CATALOGUE.routes)
 
-    def test_only_what_has_changed_is_read_anew(self):
-        """Symptom: small hosts are late with requests while routes change.
+    def test_unchanged_routes_are_not_parsed_again(self):
+        """Guards against parsing the whole configuration for each change.
 
-        Sequence: one of 1,800 routes changes, ten times a second.
-        Cause: each change was read as a whole, some 60 ms on such a host.
+        With 1,800 routes, of which one changes ten times a second, each parse
+        takes some 60 ms on a small host and delays requests.
         """
         reader = CatalogueReader()
         before = reader.read(_FIELDS)
@@ -126,12 +126,12 @@
         self.assertEqual(after.routes, fresh.routes)
 
     @parameterized.expand((('no_json', '{'), ('no_routes', '{"version": 1}')))
-    def test_document_that_is_none(self, _, document):
+    def test_invalid_document(self, _, document):
         self.assertIsNone(CatalogueReader().decode(document))
 
 
 class ReadRequestTest(unittest.TestCase):
-    """Callers' requests: read, or refused with the reason."""
+    """Callers' requests are parsed, or refused with a fault."""
 
     def setUp(self):
         self.codec = PlatformCodec(random.Random(1))
@@ -139,7 +139,7 @@
     def read(self, *args, **headers):
         return self.codec.read_request(_request(*args, **headers), _CATALOGUE)
 
-    def test_a_prompt(self):
+    def test_prompt(self):
         call = self.read()
         self.assertEqual(call.request_id, 'a1')
         self.assertEqual(call.prompt.tokens, 1460)
@@ -150,7 +150,7 @@
         self.assertEqual(call.last_event, '12')
         self.assertEqual(call.team_name, 't')
 
-    def test_the_routes_time_bounds_the_callers(self):
+    def test_timeout_of_route_limits_the_deadline(self):
         call = self.read('/a/x', Deadline_Ms='60000')
         self.assertEqual(call.deadline, 100.8)
 
@@ -177,11 +177,11 @@
     def test_refused(self, _, path, headers, fault):
         self.assertEqual(self.read(path, **headers), fault)
 
-    def test_what_a_target_gets(self):
-        """Symptom: a caller takes another's memory, or hands its key on.
+    def test_router_only_headers_are_dropped(self):
+        """Guards against forwarding headers that only the router may set.
 
-        Sequence: it sends headers that only the router may set.
-        Cause: they were passed on.
+        With these a caller could use the cache of another one, and its key
+        would reach the target.
         """
         forged = {
             'Tenant_Name': 'other',
@@ -197,10 +197,10 @@
         call = self.read(**forged)
         target = entry('i-1', 'engines')
         lines = self.codec.target_headers(call, target, 1.5, '3')
-        told = dict(lines)
-        self.assertEqual(len(lines), len(told))
+        sent = dict(lines)
+        self.assertEqual(len(lines), len(sent))
         self.assertEqual(
-            told,
+            sent,
             {
                 'Host': 'host.example:80',
                 'Attempt-Id': 'a1',
@@ -220,11 +220,11 @@
         for _name, fault in inspect.getmembers(faults)
         if isinstance(fault, RelayFault)
     )
-    def test_a_promise_is_made_only_for_what_did_not_run(self, _, fault):
-        """408, 421, 429 and 503 promise that a request never runs."""
+    def test_not_run_statuses(self, _, fault):
+        """408, 421, 429 and 503 are sent only if the request did not run."""
         answer = self.codec.refuse(fault)
-        promises = answer.status in {408, 421, 429, 503}
-        if promises:
+        is_not_run_status = answer.status in {408, 421, 429, 503}
+        if is_not_run_status:
             self.assertTrue(fault.not_run)
         if not fault.not_run:
             self.assertIn(answer.status, {502, 504})
@@ -235,7 +235,7 @@
 
 
 class ReadAnswerTest(unittest.TestCase):
-    """Heads of targets' answers."""
+    """Parsing status and headers of targets' answers."""
 
     @parameterized.expand(
         (
@@ -284,7 +284,7 @@
         expected = TargetNotice(leaving=leaving, retry_after=seconds)
         self.assertEqual(head.notice, expected)
 
-    def test_headers_of_one_connection_stay_there(self):
+    def test_hop_by_hop_headers_are_dropped(self):
         head = PlatformCodec(random.Random(1)).read_answer(
             200,
             {'connection': 'close', 'keep-alive': 'x', 'content-length': '5'},
--- a/tests/test_platform_router.py
+++ b/tests/test_platform_router.py
@@ -1,4 +1,4 @@
-"""Tests of a whole router that passes requests through, on a stand-in."""
+"""Tests of a complete router with a stand-in store."""
 
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 from tornado.testing import AsyncHTTPTestCase, gen_test
@@ -15,27 +15,27 @@
     'service': 'desk',
     'route_type': 'idempotent',
 }
-_FIELDS = {
+_CONFIGURATION = {
     'version': 3,
     'routes': [_ROUTE],
     'services': [{'name': 'desk'}],
     'tenants': [{'name': 'team-a', 'api_keys': ['key-a']}],
 }
-_NEWER = {
+_NEWER_CONFIGURATION = {
     'version': 4,
     'routes': [_ROUTE, _ROUTE | {'name': 'new', 'prefix': '/new/'}],
     'services': [{'name': 'desk'}],
     'tenants': [{'name': 'team-a', 'api_keys': ['key-a', 'key-b']}],
 }
-_NEW_THINGS = (('/new/x', 'key-a', 404), ('/old/x', 'key-b', 401))
+_ADDED_LATER = (('/new/x', 'key-a', 404), ('/old/x', 'key-b', 401))
 
 
-class UnknownThingsTest(AsyncHTTPTestCase):
-    """What a router says of routes and keys that it does not know."""
+class DenialTest(AsyncHTTPTestCase):
+    """Answers for unknown routes and keys."""
 
     def get_app(self):
         self.state = RowStoreState()
-        self.state.write('op', 'config', _FIELDS)
+        self.state.write('op', 'config', _CONFIGURATION)
         return make_row_store(self.state)
 
     async def start(self):
@@ -61,8 +61,8 @@
         await self.router.start()
         await until(lambda: self.parts.view.version == 3)
 
-    async def ask(self, path, key):
-        """Return the status that a request gets."""
+    async def get_status(self, path, key):
+        """Send a request and return the status of the answer."""
         request = HTTPRequest(
             f'http://{self.router.callers.address}{path}',
             headers={
@@ -77,25 +77,25 @@
         return answer.code
 
     async def lose_store(self):
-        """Let the store refuse until the router has noticed."""
+        """Make the store fail and wait until the router notices."""
         self.state.status = 503
         await until(self.parts.holdings.book.is_away)
 
     @gen_test(timeout=60)
-    async def test_denied_by_a_configuration_that_nobody_confirms(self):
-        """Callers got 404 for a route that was added while a host was cut."""
+    async def test_unconfirmed_configuration(self):
+        """Guards against 404 for a route added during an outage."""
         await self.start()
         await self.lose_store()
-        self.state.write('op', 'config', _NEWER)
-        for path, key, denial in _NEW_THINGS:
+        self.state.write('op', 'config', _NEWER_CONFIGURATION)
+        for path, key, denial in _ADDED_LATER:
             with self.subTest(denial=denial):
-                self.assertEqual(await self.ask(path, key), 503)
+                self.assertEqual(await self.get_status(path, key), 503)
         await self.router.leave()
 
     @gen_test(timeout=60)
-    async def test_denied_by_a_confirmed_configuration(self):
+    async def test_confirmed_configuration(self):
         await self.start()
-        for path, key, denial in _NEW_THINGS:
+        for path, key, denial in _ADDED_LATER:
             with self.subTest(denial=denial):
-                self.assertEqual(await self.ask(path, key), denial)
+                self.assertEqual(await self.get_status(path, key), denial)
         await self.router.leave()
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""Tests of the store's client, table service and feeds, over HTTP."""
+"""Tests of the store client, table service and feeds over HTTP."""
 
 import random
 from functools import partial
@@ -12,10 +12,10 @@
 from balsamreach.placement.places import Places
 from balsamreach.platform.feed import FeedParts
 from balsamreach.platform.feeds import ConfigurationFeed, TargetsFeed
-from balsamreach.platform.hosts import RouterList
 from balsamreach.platform.pages import PageSharing
-from balsamreach.platform.rows import HISTORY_GONE, RowStore
-from balsamreach.platform.table import RowTableService
+from balsamreach.platform.router_list import RouterList
+from balsamreach.platform.row_store import HISTORY_GONE, RowStore
+from balsamreach.platform.row_table import RowTableService
 from balsamreach.services.base import Check, Commit, Write
 from balsamreach.services.faults import CONFLICT, UNAVAILABLE, UNKNOWN
 from balsamreach.services.http import PlatformClient
@@ -36,7 +36,7 @@
 
 
 class StoreCase(AsyncHTTPTestCase):
-    """A stand-in store and a client of it."""
+    """Base of tests with a stand-in store and its client."""
 
     def get_app(self):
         self.state = RowStoreState()
@@ -53,14 +53,14 @@
 
 
 class RowTableServiceTest(StoreCase):
-    """Our table service on the store's rows."""
+    """The table service on top of the store."""
 
     def setUp(self):
         super().setUp()
         self.table = RowTableService(self.store)
 
     @gen_test
-    async def test_rows_of_one_team_lie_in_one_part(self):
+    async def test_rows_of_one_team_share_a_part(self):
         writes = (
             Write('account/t', {'taken': 1}),
             Write('allotment/r/t', {'granted': 1}),
@@ -72,7 +72,7 @@
         self.assertEqual(rows[1].value, {'granted': 1})
 
     @gen_test
-    async def test_a_check_that_does_not_hold(self):
+    async def test_failed_check(self):
         write = (Write('account/t', {}),)
         checks = (Check('account/t', 7),)
         self.assertEqual(
@@ -82,40 +82,40 @@
         self.assertEqual(self.state.rows, {})
 
     @gen_test
-    async def test_an_answer_that_is_lost(self):
-        """What may have been done is told to be unknown, and not redone."""
+    async def test_lost_answer(self):
+        """A commit without an answer is UNKNOWN and is not repeated."""
         self.state.lose_answers = 1
         outcome = await self.table.commit(Commit((Write('account/t', {}),)))
         self.assertEqual(outcome, UNKNOWN)
         self.assertEqual(self.state.version, 1)
 
     @gen_test
-    async def test_a_store_that_refuses(self):
+    async def test_unavailable_store(self):
         self.state.status = 503
         outcome = await self.table.commit(Commit((Write('account/t', {}),)))
         self.assertEqual(outcome, UNAVAILABLE)
 
 
 class FeedsTest(StoreCase):
-    """Following the configuration and the list of targets."""
+    """Feeds of the configuration and of the list of targets."""
 
     def setUp(self):
         super().setUp()
         self.clock = FakeClock()
         self.view = CatalogueView()
         self.places = Places(random.Random(1))
-        self.told = []
+        self.announced = []
         self.evacuations = Evacuations(self.clock)
         self.configuration = ConfigurationFeed(
             self.view,
             self.evacuations,
-            self.told.append,
+            self.announced.append,
         )
         self.targets = TargetsFeed(
             self.places,
             self.clock,
-            self.told.append,
-            lambda gone, version: self.told.append((gone, version)),
+            self.announced.append,
+            lambda gone, version: self.announced.append((gone, version)),
         )
         parts = FeedParts(
             store=self.store,
@@ -124,16 +124,16 @@
             metrics=Metrics(),
             pages=PageSharing(FakeNet().join('router'), self.clock),
         )
-        self.configuration.open(parts)
-        self.targets.open(parts)
+        self.configuration.create_feed(parts)
+        self.targets.create_feed(parts)
 
     async def step(self, feed):
-        """Let a feed make one call and take what came."""
-        page = await feed._next()
+        """Let a feed make one call and apply the answer."""
+        page = await feed._read_next()
         if page == HISTORY_GONE:
-            feed._since = None
+            feed._version = None
         else:
-            feed._take_answer(page, self.clock.now())
+            feed._handle_response(page, self.clock.now())
 
     @gen_test
     async def test_configuration(self):
@@ -146,7 +146,7 @@
         self.assertEqual(self.view.version, 9)
 
     @gen_test
-    async def test_a_configuration_that_can_not_be_read_changes_nothing(self):
+    async def test_invalid_configuration_is_ignored(self):
         fields = {'version': 3, 'routes': [], 'services': []}
         self.state.write('op', 'config', fields)
         await self.step(self.configuration.feed)
@@ -156,11 +156,11 @@
         self.assertTrue(self.view.is_behind)
 
     @gen_test
-    async def test_history_that_is_gone(self):
-        """Symptom: a router stays at an old version for ever.
+    async def test_history_gone(self):
+        """Guards against staying at an old version for ever.
 
-        Sequence: the store drops its history while the router waits.
-        Cause: it went on following from a version that can't be followed.
+        The store drops its history while the router waits, so that changes
+        since the known version can't be read any more.
         """
         await self.step(self.configuration.feed)
         fields = {'version': 3, 'routes': [], 'services': []}
@@ -170,64 +170,64 @@
         self.assertEqual(self.view.version, 3)
 
     @gen_test
-    async def test_starved_by_every_change_of_an_outage(self):
-        """Hosts read each of eight large configurations after a cut."""
+    async def test_only_the_last_version_is_read_after_an_outage(self):
+        """Guards against reading all eight large versions after an outage."""
         fields = {'version': 3, 'routes': [], 'services': []}
         self.state.write('op', 'config', fields | {'note': 'x' * 20_000})
         self.state.write('op', 'evacuate/zone-a', {})
         feed = self.configuration.feed
         await self.step(feed)
-        feed._fail(UNKNOWN)
+        feed._handle_failure(UNKNOWN)
         self.state.write('op', 'evacuate/zone-a', None)
         for version in range(4, 12):
             newer = fields | {'version': version, 'note': 'x' * 20_000}
             self.state.write('op', 'config', newer)
-        page = await feed._next()
+        page = await feed._read_next()
         keys = sorted(row.key for row in page.rows)
         self.assertEqual(keys, ['config'])
-        feed._take(page)
+        feed._apply(page)
         self.assertEqual(self.view.version, 11)
         self.assertFalse(self.evacuations.covers('zone-a'))
 
     @parameterized.expand([('large', 0, False), ('refused', 503, True)])
     @gen_test
-    async def test_a_check_that_brings_nothing(self, _, status, is_away):
-        """Each denied caller was held while the store refused."""
+    async def test_check_without_a_page(self, _, status, is_away):
+        """Guards against delaying each denied caller while the store fails."""
         feed = self.configuration.feed
         await self.step(feed)
         self.state.write('op', 'config', {'note': 'x' * 70_000})
         self.state.status = status
         await feed.check()
         self.assertEqual(feed.is_away(), is_away)
-        self.assertTrue(feed._missed.is_set())
+        self.assertTrue(feed._poll_needed.is_set())
 
     @gen_test
-    async def test_what_did_not_change_in_an_outage_is_not_read(self):
+    async def test_unchanged_rows_are_not_read_after_an_outage(self):
         fields = {'version': 3, 'routes': [], 'services': []}
         self.state.write('op', 'config', fields | {'note': 'x' * 200_000})
         feed = self.configuration.feed
         await self.step(feed)
-        feed._fail(UNKNOWN)
-        page = await feed._next()
+        feed._handle_failure(UNKNOWN)
+        page = await feed._read_next()
         self.assertEqual(page.rows, ())
 
     @gen_test
-    async def test_a_change_between_two_pages(self):
-        """A target was kept whose end came between two pages of the list."""
+    async def test_change_between_two_pages(self):
+        """Guards against keeping a target removed between two pages."""
         for name in ('a', 'b', 'c'):
             self.state.write('servers', name, _TARGET)
         self.state.page_rows = 2
-        self.state.on_page = partial(self.change_once, 'a', None)
+        self.state.on_page = partial(self.write_once, 'a', None)
         await self.step(self.targets.feed)
         await self.step(self.targets.feed)
         self.assertIsNone(self.places.find('a'))
 
-    def change_once(self, key, fields):
+    def write_once(self, key, fields):
         self.state.on_page = int
         self.state.write('servers', key, fields)
 
     @gen_test
-    async def test_an_evacuation_and_its_end(self):
+    async def test_evacuation_starts_and_ends(self):
         await self.step(self.configuration.feed)
         self.state.write('op', 'evacuate/zone-a', {})
         await self.step(self.configuration.feed)
@@ -235,16 +235,15 @@
         self.state.write('op', 'evacuate/zone-a', None)
         await self.step(self.configuration.feed)
         self.assertFalse(self.evacuations.covers('zone-a'))
-        told = [(order.zone, order.in_force) for order in self.told]
-        self.assertEqual(told, [('zone-a', True), ('zone-a', False)])
+        announced = [(order.zone, order.in_force) for order in self.announced]
+        self.assertEqual(announced, [('zone-a', True), ('zone-a', False)])
 
     @gen_test
-    async def test_an_evacuation_that_ended_unseen(self):
-        """Symptom: a zone gets no work for good.
+    async def test_evacuation_lifted_in_dropped_history(self):
+        """Guards against keeping a zone evacuated for good.
 
-        Sequence: its evacuation is lifted while a router is cut off; the
-        store's history is gone when it is back.
-        Cause: the list as it is now does not tell of rows that are gone.
+        The evacuation is lifted while a router is cut off, and the store has
+        dropped that history. A full read does not list removed rows.
         """
         self.state.write('op', 'evacuate/zone-a', {})
         await self.step(self.configuration.feed)
@@ -256,7 +255,7 @@
         self.assertFalse(self.evacuations.covers('zone-a'))
 
     @gen_test
-    async def test_whatever_an_evacuation_holds(self):
+    async def test_contents_of_an_evacuation_are_ignored(self):
         self.state.write('op', 'evacuate/zone-a', ['no object'])
         self.state.write('op', 'evacuate/', {})
         await self.step(self.configuration.feed)
@@ -264,17 +263,16 @@
         self.assertEqual(covered, ['zone-a'])
 
     @gen_test
-    async def test_a_store_that_is_back(self):
-        """Symptom: requests are refused for a second after an outage.
+    async def test_store_recovers(self):
+        """Guards against refusing requests for a second after an outage.
 
-        Sequence: the store goes away and comes back, and nothing changes.
-        Cause: the first call that got through waited for news, and the ones
-        before it for connections that a cut had swallowed.
+        Nothing changes meanwhile, so a long poll would not be answered at
+        once, and calls on connections that were cut wait for their timeouts.
         """
         await self.step(self.configuration.feed)
         self.state.status = 503
         feed = self.configuration.feed
-        feed._fail(await feed._next())
+        feed._handle_failure(await feed._read_next())
         self.assertTrue(feed.is_away())
         self.state.status = 0
         self.state.waits.clear()
@@ -285,7 +283,7 @@
         self.assertEqual(self.state.waits, [0, 10])
 
     @gen_test
-    async def test_targets_come_leave_and_go(self):
+    async def test_target_is_added_leaves_and_is_removed(self):
         self.state.write('servers', 'i-1', _TARGET)
         await self.step(self.targets.feed)
         self.state.write('servers', 'i-1', _TARGET | {'state': 'draining'})
@@ -294,15 +292,14 @@
         version = self.state.write('servers', 'i-1', None)
         await self.step(self.targets.feed)
         self.assertEqual(len(self.places), 0)
-        self.assertEqual(self.told[-1], ('i-1', version))
+        self.assertEqual(self.announced[-1], ('i-1', version))
 
     @gen_test
-    async def test_entries_that_lapsed_while_the_store_was_down(self):
-        """Symptom: no target is left for seconds after an outage.
+    async def test_entries_that_expired_in_an_outage(self):
+        """Guards against dropping all targets for seconds after an outage.
 
-        Sequence: the store is down, and entries lapse as nobody can write
-        them; it comes back and its list is empty for a moment.
-        Cause: the list was taken at its word.
+        Entries expire since they can't be renewed while the store is down, so
+        its list is empty for a moment after it recovers.
         """
         self.state.write('servers', 'i-1', _TARGET)
         await self.step(self.targets.feed)
@@ -316,13 +313,12 @@
         self.assertEqual(len(self.places), 0)
 
     @gen_test
-    async def test_a_target_that_vanishes_soon_after_an_outage(self):
-        """Symptom: a request reaches a target 2.1 s after it left the list.
+    async def test_target_removed_soon_after_an_outage(self):
+        """Guards against requests to a target 2.1 s after its removal.
 
-        Sequence: the store is cut off from a router and comes back; 1.8 s
-        later a target's entry is removed without a word before.
-        Cause: the time for entries to come back ran from the removal, so
-        the target was kept for 2.2 s more, beyond the bound of 2 s.
+        The entry is removed without notice 1.8 s after an outage. If the
+        grace time of 2.2 s ran from the removal and not from the outage, the
+        target would be kept beyond the bound of 2 s.
         """
         self.state.write('servers', 'i-1', _TARGET)
         await self.step(self.targets.feed)
@@ -336,12 +332,12 @@
         self.assertEqual(len(self.places), 0)
 
     @gen_test
-    async def test_other_changes_do_not_bring_a_vanished_target_back(self):
-        """Symptom: a target that is gone gets requests for good.
+    async def test_other_changes_do_not_restore_a_removed_target(self):
+        """Guards against keeping a removed target for good.
 
-        Sequence: its entry vanishes soon after an outage, so that it is kept
-        for a moment; meanwhile another target's entry changes.
-        Cause: the second change was taken for a list that has the first.
+        Its entry is removed soon after an outage, so that it is kept for a
+        moment. Meanwhile another entry changes, and that page must not count
+        as a list that holds the removed target.
         """
         self.state.write('servers', 'i-1', _TARGET)
         self.state.write('servers', 'i-2', _TARGET)
@@ -357,12 +353,11 @@
         self.assertIsNotNone(self.places.find('i-2'))
 
     @gen_test
-    async def test_an_entry_of_another_writer(self):
-        """Symptom: a router's list of targets no longer changes.
+    async def test_invalid_entries(self):
+        """Guards against a feed that ends at an invalid entry.
 
-        Sequence: another writer puts entries into the list that are none;
-        the router reads them among sound ones.
-        Cause: reading one ended the feed, and all later changes were lost.
+        Another writer adds invalid entries between valid ones. If one raised
+        an error, all later changes would be lost.
         """
         self.state.write('servers', 'i-1', _TARGET)
         self.state.write('servers', 'i-2', {'service': 7})
@@ -377,12 +372,11 @@
         )
 
     @gen_test
-    async def test_a_target_that_starts_again_under_its_id(self):
-        """Symptom: a target that has started again gets no requests.
+    async def test_target_restarts_with_the_same_id(self):
+        """Guards against ignoring a restarted target.
 
-        Sequence: it says that it leaves, ends, and starts again under its id.
-        Cause: the entry of the new start was taken for a word of the old one,
-        which stays leaving for good.
+        A target leaves, ends and starts again with the same id. The new entry
+        must not count as one of the old start, which is leaving for good.
         """
         leaving = {'state': 'draining', 'born': 1_700_000_000_000}
         self.state.write('servers', 'i-1', _TARGET | leaving)
@@ -397,7 +391,7 @@
         self.assertNotEqual(before.incarnation, after.incarnation)
 
     @gen_test
-    async def test_a_target_that_is_back_in_the_same_page(self):
+    async def test_target_removed_and_added_in_one_page(self):
         self.state.write('servers', 'i-1', _TARGET)
         await self.step(self.targets.feed)
         self.state.write('servers', 'i-1', None)
@@ -407,13 +401,13 @@
 
 
 class RouterListTest(StoreCase):
-    """Routers find each other by their rows."""
+    """Routers register in the store and are listed."""
 
     @gen_test
-    async def test_enter_and_leave(self):
+    async def test_register_and_unregister(self):
         hosts = RouterList(self.store, SystemClock())
-        await hosts.enter('10.0.0.1:5', 'zone-a')
+        await hosts.register('10.0.0.1:5', 'zone-a')
         entries = await hosts.hosts()
         self.assertEqual([one.address for one in entries], ['10.0.0.1:5'])
-        await hosts.leave('10.0.0.1:5')
+        await hosts.unregister('10.0.0.1:5')
         self.assertEqual(await hosts.hosts(), ())
--- a/tests/test_platform_targets.py
+++ b/tests/test_platform_targets.py
@@ -1,4 +1,4 @@
-"""Tests of entries of the list of targets, sound ones and others."""
+"""Tests of parsing valid and invalid entries of the list of targets."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 from balsamreach.placement.places import TargetEntry
 from balsamreach.platform.targets import read_target
 
-_SOUND = {
+_VALID = {
     'service': 'engines',
     'address': '10.128.0.9:8080',
     'zone': 'zone-a',
@@ -20,7 +20,7 @@
     'born': 1_700_000_000_000,
     'sequence': 4,
 }
-_BROKEN = (
+_INVALID = (
     ('no_service', {'service': None}),
     ('service_of_another_type', {'service': 7}),
     ('empty_service', {'service': ''}),
@@ -44,19 +44,19 @@
     ('birth_in_part', {'born': 1.5}),
     ('birth_below_zero', {'born': -1}),
 )
-_PLAIN = st.one_of(st.none(), st.booleans(), st.integers(), st.floats())
+_SCALARS = st.one_of(st.none(), st.booleans(), st.integers(), st.floats())
 _VALUES = st.recursive(
-    _PLAIN | st.text(),
+    _SCALARS | st.text(),
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
     max_leaves=5,
 )
 
 
 class ReadTargetTest(unittest.TestCase):
-    """An entry that anybody may have written."""
+    """Entries may come from any writer."""
 
-    def test_a_sound_one(self):
-        target = read_target('i-1', _SOUND, 9)
+    def test_valid_entry(self):
+        target = read_target('i-1', _VALID, 9)
         self.assertEqual(target.service, 'engines')
         self.assertFalse(target.leaving)
         self.assertEqual(target.slots, 64)
@@ -64,29 +64,29 @@
         self.assertEqual(target.version, 9)
         self.assertEqual(target.incarnation, 'i-1@1700000000000')
 
-    def test_one_that_leaves(self):
-        target = read_target('i-1', _SOUND | {'state': 'draining'}, 9)
+    def test_leaving_target(self):
+        target = read_target('i-1', _VALID | {'state': 'draining'}, 9)
         self.assertTrue(target.leaving)
 
-    def test_one_that_tells_no_birth(self):
-        fields = {key: _SOUND[key] for key in _SOUND if key != 'born'}
+    def test_entry_without_birth(self):
+        fields = {key: _VALID[key] for key in _VALID if key != 'born'}
         self.assertEqual(read_target('i-1', fields, 9).incarnation, 'i-1')
 
-    @parameterized.expand(_BROKEN)
-    def test_one_that_names_no_target(self, _, change):
-        self.assertIsNone(read_target('i-1', _without(_SOUND | change), 9))
+    @parameterized.expand(_INVALID)
+    def test_invalid_entry(self, _, change):
+        self.assertIsNone(read_target('i-1', _drop_missing(_VALID | change), 9))
 
     @parameterized.expand((('no_object', None), ('an_empty_one', {})))
-    def test_one_that_holds_nothing(self, _, fields):
+    def test_empty_entry(self, _, fields):
         self.assertIsNone(read_target('i-1', fields, 9))
 
     @settings(max_examples=300, derandomize=True, deadline=None)
-    @given(st.dictionaries(st.sampled_from(tuple(_SOUND)), _VALUES))
-    def test_any_other_writer(self, change):
-        """Whatever stands there, it is read as a target or as none."""
-        target = read_target('i-1', _SOUND | change, 9)
+    @given(st.dictionaries(st.sampled_from(tuple(_VALID)), _VALUES))
+    def test_arbitrary_values(self, change):
+        """Any values yield either a target or None."""
+        target = read_target('i-1', _VALID | change, 9)
         self.assertIsInstance(target, TargetEntry | None)
 
 
-def _without(fields):
+def _drop_missing(fields):
     return {key: value for key, value in fields.items() if value is not None}
