--- a/src/balsamreach/peers/__init__.py
+++ b/src/balsamreach/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What routers tell each other, and who they are."""
+"""Membership of the fleet's routers and messaging between them."""
--- a/src/balsamreach/peers/tasks.py
+++ b/src/balsamreach/peers/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that are started in passing and ended together."""
+"""Background tasks that are cancelled together."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -9,23 +9,23 @@
 
 
 @attrs.define(eq=False)
-class Tasks:
-    """Keeps tasks from being forgotten while they run."""
+class BackgroundTasks:
+    """Holds references to running tasks, so that none is collected."""
 
     _tasks: set[asyncio.Task] = attrs.field(factory=set)
 
     def start(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task:
-        """Run work in a task that belongs to no request."""
-        # A request may open a link that then serves for days. If its tasks
-        # took over the request's trace, all that they do from then on would
-        # show up as hops of that one request.
+        """Run a coroutine in a task outside the trace of any request."""
+        # A request may open a link that then serves for days. If the task
+        # inherited the trace context of the request, everything it does later
+        # would show up as hops of that one request.
         task = asyncio.create_task(work, context=Context())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     async def cancel(self) -> None:
-        """End all tasks at once."""
+        """Cancel all tasks and wait for them."""
         tasks = tuple(self._tasks)
         for task in tasks:
             task.cancel()
--- a/src/balsamreach/peers/backoff.py
+++ b/src/balsamreach/peers/backoff.py
@@ -1,11 +1,11 @@
-"""Addresses that lately couldn't be reached from here."""
+"""Backoff between attempts to connect to an unreachable router."""
 
 import attrs
 
 from balsamreach.clock import Clock
 
-_FIRST = 5
-_LONGEST = 300
+_FIRST_PAUSE = 5
+_MAX_PAUSE = 300
 
 
 @attrs.define
@@ -16,11 +16,12 @@
 
 @attrs.define(eq=False)
 class Backoff:
-    """Spaces the tries to reach a router that others do reach.
+    """Doubles the pause between attempts to connect to a router.
 
-    Where only the way between two routers is broken, one calls the other
-    dead, the other refutes it, and so on: news without end, in the whole
-    fleet. It would show as deaths and revisions that grow by the second.
+    Where only the path between two routers is broken, one declares the other
+    dead, the other refutes it, and so on. Without pauses these updates spread
+    through the whole fleet without end, and deaths and revisions grow by the
+    second.
 
     Parameters
     ----------
@@ -31,26 +32,26 @@
     clock: Clock
     _failures: dict[str, _Failure] = attrs.field(factory=dict)
 
-    def waits(self, incarnation: str) -> bool:
-        """Return whether it is too early to try again."""
+    def must_wait(self, incarnation: str) -> bool:
+        """Return whether it is too early for the next attempt."""
         failure = self._failures.get(incarnation)
         return failure is not None and self.clock.now() < failure.until
 
-    def failed(self, incarnation: str) -> None:
-        """Wait twice as long as the time before."""
+    def record_failure(self, incarnation: str) -> None:
+        """Double the pause before the next attempt, up to the maximum."""
         failure = self._failures.get(incarnation)
-        pause = _FIRST if failure is None else 2 * failure.pause
-        pause = min(pause, _LONGEST)
+        pause = _FIRST_PAUSE if failure is None else 2 * failure.pause
+        pause = min(pause, _MAX_PAUSE)
         until = self.clock.now() + pause
         self._failures[incarnation] = _Failure(pause, until)
 
-    def succeeded(self, incarnation: str) -> None:
-        """Forget all failures."""
+    def record_success(self, incarnation: str) -> None:
+        """Clear the failures of a router."""
         self._failures.pop(incarnation, None)
 
-    def forget(self) -> None:
-        """Drop failures so old that they say nothing any more."""
-        limit = self.clock.now() - _LONGEST
+    def prune(self) -> None:
+        """Drop failures whose pause ended more than a maximum pause ago."""
+        limit = self.clock.now() - _MAX_PAUSE
         for incarnation, failure in tuple(self._failures.items()):
             if failure.until < limit:
                 self._failures.pop(incarnation)
--- a/src/balsamreach/peers/base.py
+++ b/src/balsamreach/peers/base.py
@@ -1,4 +1,4 @@
-"""Abstract base of the net of routers, as the decision code uses it."""
+"""Abstract interface for messages between routers."""
 
 import abc
 from collections.abc import Awaitable, Callable, Iterable
@@ -9,19 +9,22 @@
 from balsamreach.wire.base import Message
 from balsamreach.wire.membership import Member
 
-#: Takes a message from a member; what it returns answers an ``ask``.
+#: Handles a message from a member; its result answers an ``ask``.
 Taker = Callable[[Member, Message], Awaitable[Message | None]]
-#: Gap timeouts that an answer with much in it may take. The largest frame
-#: passes a link of half a megabit a second in that time.
+#: Gap timeouts allowed for a large answer. The largest frame passes a link of
+#: half a megabit a second in that time.
 FETCH_GAPS = 8
 
 
 class HubChoice(abc.ABC):
-    """Names the routers of each zone that the others of it turn to."""
+    """Selects the hubs of each zone.
+
+    Hubs are the routers that pass messages on to all others of their zone.
+    """
 
     @abc.abstractmethod
     def of(self, zone: str) -> tuple[Member, ...]:
-        """Return a zone's hubs, the first one first; it may have none."""
+        """Return the hubs of a zone, the preferred one first; may be empty."""
 
     @abc.abstractmethod
     def zones(self) -> tuple[str, ...]:
@@ -29,27 +32,27 @@
 
 
 class NoHubs(HubChoice):
-    """A fleet so small that everyone has a connection to everyone."""
+    """No hubs: in a small fleet each router is connected to each other."""
 
     def of(self, _zone: str) -> tuple[Member, ...]:
-        """Return none."""
+        """Return an empty tuple."""
         return ()
 
     def zones(self) -> tuple[str, ...]:
-        """Return none."""
+        """Return an empty tuple."""
         return ()
 
 
 @attrs.define
 class PeerNet(abc.ABC):
-    """Reaches other routers by their incarnation.
+    """Sends messages to other routers, addressed by incarnation.
 
     Parameters
     ----------
     me : Member
         This router.
     hubs : HubChoice
-        Whom the routers of each zone turn to.
+        The hubs of each zone.
     """
 
     me: Member
@@ -57,31 +60,31 @@
 
     @abc.abstractmethod
     def members(self) -> tuple[Member, ...]:
-        """Return all routers held to be alive, this one included."""
+        """Return all routers believed alive, this one included."""
 
     def departed(self) -> tuple[Member, ...]:
-        """Return routers known to have died, as long as that is kept."""
+        """Return the routers known to be dead and not yet forgotten."""
         return ()
 
     @abc.abstractmethod
     def neighbours(self) -> tuple[Member, ...]:
-        """Return the routers to which a lasting connection stands.
+        """Return the routers with a persistent connection to this one.
 
-        They are few, and news spread to them reaches everyone; ``ask`` and
-        ``tell`` reach others as well.
+        They are few, and messages spread over them reach all routers; ``ask``
+        and ``tell`` reach other routers as well.
         """
 
     @abc.abstractmethod
     def home(self, key: str) -> Member:
-        """Return the router of this zone that a key belongs to.
+        """Return the router of this zone that a key is assigned to.
 
-        Rendezvous hashing over the zone's members: routers that know the
+        Rendezvous hashing over the members of the zone: routers that know the
         same members agree, and a change of members moves few keys.
         """
 
     @abc.abstractmethod
-    def on(self, kind: type[Message], taker: Taker) -> None:
-        """Name who takes messages of a kind; one taker for each kind."""
+    def on(self, kind: type[Message], handler: Taker) -> None:
+        """Register the handler of a kind of message; one for each kind."""
 
     @abc.abstractmethod
     async def ask(
@@ -90,76 +93,82 @@
         message: Message,
         gaps: int = 1,
     ) -> Message | PeerFault:
-        """Send a message and wait for the answer to it.
+        """Send a request and wait for the answer.
 
         Parameters
         ----------
         incarnation : str
-            Whom to ask.
+            The router to ask.
         message : Message
-            What to ask.
+            The request.
         gaps : int
-            Gap timeouts that the answer may take while the connection
-            brings something; ``FETCH_GAPS`` where it holds much. On a small
-            link that is long on its way. Given up meanwhile, it would be
-            dropped when it is there, and asked for again each time.
+            Gap timeouts that the answer may take while the connection receives
+            data; ``FETCH_GAPS`` for a large answer, which takes long on a slow
+            link. With a shorter timeout it would be dropped on arrival and
+            requested again each time.
+
+        Returns
+        -------
+        Message or PeerFault
+            The answer, or why there is none.
         """
 
     @abc.abstractmethod
     def tell(self, incarnation: str, message: Message) -> bool:
-        """Send without an answer; False if no connection stands."""
+        """Send a one-way message; False if there is no connection."""
 
     @abc.abstractmethod
     def spread(self, message: Message, besides: str = '') -> None:
-        """Send to all neighbours except the incarnation given.
+        """Send to all neighbours except the incarnation ``besides``.
 
-        A taker that learns something new from a message spreads it on, so
-        that it reaches routers that are no neighbours of its origin.
+        A handler that learns something new from a message spreads it on, so
+        that it reaches routers that are not neighbours of its origin.
         """
 
     def tell_zone(self, message: Message, besides: str = '') -> None:
-        """Send to all other routers of this one's zone but one."""
-        left_out = {self.me.incarnation, besides}
+        """Send to all other routers of this zone except ``besides``."""
+        excluded = {self.me.incarnation, besides}
         for member in self.members():
-            near = member.zone == self.me.zone
-            if near and member.incarnation not in left_out:
+            same_zone = member.zone == self.me.zone
+            if same_zone and member.incarnation not in excluded:
                 self.tell(member.incarnation, message)
 
-    def broadcast(self, message: Message, heard: Member | None = None) -> None:
-        """Send to all routers by the hubs, or as ``spread`` without hubs.
+    def broadcast(self, message: Message, source: Member | None = None) -> None:
+        """Send to all routers through the hubs; ``spread`` without hubs.
 
-        Over neighbours each router gets each piece of news from all of them;
-        in a fleet of hundreds that would be most of what it reads. Each zone
-        has more than one hub, so one that is silent keeps nobody from it.
+        Spread over neighbours, each router receives each message from all of
+        them; in a fleet of hundreds that would be most of what it reads. Each
+        zone has more than one hub, so that the message still arrives if one hub
+        hangs.
 
         Parameters
         ----------
         message : Message
-            News; a taker to whom it is news passes it on by this.
-        heard : Member or None
-            Who told it; None where it began here.
+            The message; a handler to which it is new broadcasts it again.
+        source : Member or None
+            The router it was received from; None if it originates here.
         """
         hubs = self.hubs.of(self.me.zone)
-        source = heard.incarnation if heard else ''
+        source_incarnation = source.incarnation if source else ''
         if not hubs:
-            self.spread(message, besides=source)
-        elif self.me.incarnation in _names(hubs):
-            self._pass_on(message, heard)
-        elif source not in _names(hubs):
-            self._tell_all(hubs, message)
-
-    def _pass_on(self, message: Message, heard: Member | None) -> None:
-        self.tell_zone(message, besides=heard.incarnation if heard else '')
-        if heard is not None and heard.zone != self.me.zone:
+            self.spread(message, besides=source_incarnation)
+        elif self.me.incarnation in _incarnations(hubs):
+            self._forward(message, source)
+        elif source_incarnation not in _incarnations(hubs):
+            self._send_to(hubs, message)
+
+    def _forward(self, message: Message, source: Member | None) -> None:
+        self.tell_zone(message, besides=source.incarnation if source else '')
+        if source is not None and source.zone != self.me.zone:
             return
         for zone in self.hubs.zones():
             if zone != self.me.zone:
-                self._tell_all(self.hubs.of(zone), message)
+                self._send_to(self.hubs.of(zone), message)
 
-    def _tell_all(self, members: Iterable[Member], message: Message) -> None:
+    def _send_to(self, members: Iterable[Member], message: Message) -> None:
         for member in members:
             self.tell(member.incarnation, message)
 
 
-def _names(members: Iterable[Member]) -> frozenset[str]:
+def _incarnations(members: Iterable[Member]) -> frozenset[str]:
     return frozenset(member.incarnation for member in members)
--- a/src/balsamreach/peers/connector.py
+++ b/src/balsamreach/peers/connector.py
@@ -1,4 +1,4 @@
-"""Opens connections to routers and lets in those that they open."""
+"""Opens connections to other routers and accepts theirs."""
 
 import asyncio
 import ipaddress
@@ -10,11 +10,15 @@
 import attrs
 from tornado.iostream import IOStream, SSLIOStream, StreamClosedError
 
-from balsamreach.peers.faults import NOT_CONNECTED, STRANGER, PeerFault
-from balsamreach.peers.greeting import Refusal, greet, welcome
+from balsamreach.peers.faults import HELLO_REFUSED, NOT_CONNECTED, PeerFault
+from balsamreach.peers.handshake import (
+    Refusal,
+    accept_handshake,
+    initiate_handshake,
+)
 from balsamreach.peers.link import Link, LinkContext
+from balsamreach.peers.timeouts import run_with_timeout
 from balsamreach.peers.tls import TlsContexts
-from balsamreach.peers.waiting import within
 from balsamreach.telemetry.logs import log_event
 from balsamreach.wire.codec import MOST_BYTES
 from balsamreach.wire.faults import WireFault
@@ -22,19 +26,19 @@
 from balsamreach.wire.membership import Hello
 
 _logger = logging.getLogger(__name__)
-_MOST_BUFFER = MOST_BYTES + HEAD
+_MAX_BUFFER = MOST_BYTES + HEAD
 
 
 @attrs.define(eq=False)
 class Connector:
-    """Makes links out of connections.
+    """Establishes links: connection, TLS and handshake.
 
     Parameters
     ----------
     context : LinkContext
-        What all links share.
+        Shared by all links.
     hello : callable
-        Returns this router's greeting as of now.
+        Returns the current Hello of this router.
     tls : TlsContexts
         Replaced as a whole when certificates are reloaded.
     """
@@ -44,64 +48,77 @@
     tls: TlsContexts = attrs.field(factory=TlsContexts)
 
     async def dial(self, address: str) -> Link | PeerFault:
-        """Open a connection and greet whoever answers there.
+        """Open a connection to an address and do the handshake.
 
         Parameters
         ----------
         address : str
-            ``ip:port`` of a peers' listener.
+            ``ip:port`` of the listener of a router.
 
         Returns
         -------
         Link or PeerFault
-            The link, NOT_CONNECTED, or STRANGER.
+            The link, NOT_CONNECTED, or HELLO_REFUSED.
         """
         gap = self.context.cfg.gap_timeout
-        link = await within(self.context.clock, gap, self._dial(address))
+        link = await run_with_timeout(
+            self.context.clock, gap, self._dial(address)
+        )
         if link is None:
-            return NOT_CONNECTED.because('no greeting in time')
-        if link == STRANGER:
+            return NOT_CONNECTED.because('no handshake in time')
+        if link == HELLO_REFUSED:
             self._refuse('stranger', link.reason, address)
         return link
 
     async def accept(self, stream: IOStream, address: str) -> Link | None:
-        """Let a router in that opened a connection, or refuse it."""
-        # Small answers would wait for the acknowledgement of what was sent
-        # before them, some 40 ms each time.
+        """Do the handshake on an accepted connection.
+
+        Returns
+        -------
+        Link or None
+            The link, None if the other end was refused.
+        """
+        # Without this option a small answer would wait for the acknowledgement
+        # of earlier data, some 40 ms each time (Nagle's algorithm).
         stream.set_nodelay(True)
         gap = self.context.cfg.gap_timeout
-        link = await within(self.context.clock, gap, self._welcome(stream))
+        link = await run_with_timeout(
+            self.context.clock, gap, self._accept_hello(stream)
+        )
         if isinstance(link, Link):
             return link
-        refusal = link or Refusal('no_greeting', 'no greeting in time')
+        refusal = link or Refusal('no_greeting', 'no handshake in time')
         self._refuse(refusal.code, refusal.reason, address)
         stream.close()
         return None
 
-    async def _welcome(self, stream: IOStream) -> Link | Refusal:
-        hello = await welcome(stream, self.hello())
+    async def _accept_hello(self, stream: IOStream) -> Link | Refusal:
+        hello = await accept_handshake(stream, self.hello())
         if isinstance(hello, Refusal):
             return hello
-        # Where only what this router sends is lost, a peer's greetings still
-        # arrive, one connection after the other, none of which the peer ever
-        # holds for open. Taken for links they would keep the peer alive here
-        # and be asked in vain. Whoever got the answer sends a heartbeat.
-        first = await read_frame(stream, MOST_BYTES)
-        if isinstance(first, WireFault):
-            return Refusal('no_greeting', f'not confirmed: {first.reason}')
+        # If only outgoing packets are lost, the Hello of a peer still arrives,
+        # on one connection after the other, but the peer never sees the answer
+        # and gives up. A link made from it would keep the peer alive here, and
+        # requests to it would time out. A peer that got the answer sends a
+        # heartbeat, so wait for that.
+        first_frame = await read_frame(stream, MOST_BYTES)
+        if isinstance(first_frame, WireFault):
+            return Refusal(
+                'no_greeting', f'handshake not confirmed: {first_frame.reason}'
+            )
         return Link(
             self.context,
             stream,
             hello.member,
             dialled=False,
-            first=first,
+            first_frame=first_frame,
         )
 
     async def _dial(self, address: str) -> Link | PeerFault:
         host, _, port = address.rpartition(':')
-        # One stream from the connection through TLS. Turned into another
-        # one between, it could not be closed while the handshake hangs; the
-        # log would show exceptions that nobody retrieved.
+        # Create the TLS stream before connecting. A stream converted afterwards
+        # could not be closed while the TLS handshake hangs, and the log would
+        # show exceptions that were never retrieved.
         stream = _new_stream(host, self.tls.client)
         try:
             await stream.connect((host, int(port)))
@@ -110,14 +127,14 @@
         except asyncio.CancelledError:
             stream.close()
             raise
-        return await self._greet(stream)
+        return await self._send_hello(stream)
 
-    async def _greet(self, stream: IOStream) -> Link | PeerFault:
+    async def _send_hello(self, stream: IOStream) -> Link | PeerFault:
         try:
-            hello = await greet(stream, self.hello())
+            hello = await initiate_handshake(stream, self.hello())
         except asyncio.CancelledError:
-            # Out of time: left open, the connection would be held for a
-            # live one by the other end.
+            # Timed out: the other end would take a connection left open for a
+            # live one.
             stream.close()
             raise
         if isinstance(hello, PeerFault):
@@ -126,7 +143,7 @@
         return Link(self.context, stream, hello.member, dialled=True)
 
     def _refuse(self, code: str, reason: str, address: str) -> None:
-        self.context.tally.refused(code)
+        self.context.tally.count_refused(code)
         log_event(
             _logger,
             logging.WARNING,
@@ -138,15 +155,15 @@
 
 
 def _new_stream(host: str, tls: ssl.SSLContext | None) -> IOStream:
-    # Addresses are IP numbers, so no resolver and none of its threads.
+    # Addresses are IP addresses, so no resolver and its threads are needed.
     version = ipaddress.ip_address(host).version
     family = socket.AF_INET if version == 4 else socket.AF_INET6
     sock = socket.socket(family, socket.SOCK_STREAM)
-    stream = IOStream(sock, max_buffer_size=_MOST_BUFFER)
+    stream = IOStream(sock, max_buffer_size=_MAX_BUFFER)
     if tls is not None:
         stream = SSLIOStream(
             sock,
-            max_buffer_size=_MOST_BUFFER,
+            max_buffer_size=_MAX_BUFFER,
             ssl_options=tls,
         )
     stream.set_nodelay(True)
--- a/src/balsamreach/peers/counters.py
+++ b/src/balsamreach/peers/counters.py
@@ -1,15 +1,15 @@
-"""Names of what the peers layer measures."""
+"""Names of the metrics of connections between routers."""
 
 MESSAGES = 'balsamreach_peers_messages_total'
 BYTES = 'balsamreach_peers_bytes_total'
-#: Messages that a full queue had no room for, or that nobody awaited.
+#: Messages dropped: the queue was full or no request awaited the answer.
 DROPPED = 'balsamreach_peers_dropped_total'
-#: Connections and messages refused, by reason.
+#: Refused connections and messages, by reason.
 REFUSED = 'balsamreach_peers_refused_total'
-#: Connections that ended, by reason.
-ENDED = 'balsamreach_peers_links_ended_total'
+#: Ended connections, by reason.
+LINKS_ENDED = 'balsamreach_peers_links_ended_total'
 DEATHS = 'balsamreach_peers_deaths_total'
-#: Times that this process itself stood still beyond a heartbeat.
-PAUSES = 'balsamreach_peers_own_pauses_total'
+#: Times that this process was paused for more than two heartbeats.
+OWN_PAUSES = 'balsamreach_peers_own_pauses_total'
 LINKS = 'balsamreach_peers_links'
 MEMBERS = 'balsamreach_peers_members'
--- a/src/balsamreach/peers/discovery.py
+++ b/src/balsamreach/peers/discovery.py
@@ -1,4 +1,4 @@
-"""Addresses at which routers may be found."""
+"""Candidate addresses of routers."""
 
 import attrs
 
@@ -6,7 +6,7 @@
 from balsamreach.services.base import HostList
 from balsamreach.services.faults import PlatformFault
 
-#: Service under which the platform lists the routers.
+#: Service name of the routers in the platform's host list.
 ROUTER_SERVICE = 'router'
 
 _LIVE = 'live'
@@ -14,10 +14,11 @@
 
 @attrs.define(eq=False)
 class Discovery:
-    """The platform's host list, and seeds for when it is away.
+    """Addresses from the platform's host list and from the settings.
 
-    The list lags, so an address in it says neither that a router lives
-    there nor, by its absence, that none does: it is only ever tried.
+    The seeds of the settings serve while the platform is unavailable. The list
+    lags: an address in it may be dead and a live router may be missing, so the
+    addresses are only candidates for connection attempts.
 
     Parameters
     ----------
@@ -32,11 +33,11 @@
     _listed: tuple[str, ...] = ()
 
     def addresses(self) -> tuple[str, ...]:
-        """Return all addresses known, each once."""
+        """Return all candidate addresses without duplicates."""
         return tuple(dict.fromkeys((*self.seeds, *self._listed)))
 
     async def refresh(self) -> PeerFault | None:
-        """Read the host list; without an answer the last one stands."""
+        """Read the host list; if that fails, keep the previous one."""
         entries = await self.hosts.hosts()
         if isinstance(entries, PlatformFault):
             return NOT_CONNECTED.because(entries.reason)
--- a/src/balsamreach/peers/faults.py
+++ b/src/balsamreach/peers/faults.py
@@ -4,24 +4,24 @@
 
 
 class PeerFault(Fault):
-    """A reason why a peer gave no answer, or a connection ended."""
+    """Why a peer gave no answer, or why a connection ended."""
 
 
-#: No connection to the peer stands; the message was not sent.
+#: There is no connection to the peer; the message was not sent.
 NOT_CONNECTED = PeerFault('peer_not_connected')
-#: The message may have arrived, but no answer came in time.
+#: The message may have arrived, but there was no answer in time.
 NO_ANSWER = PeerFault('peer_no_answer')
-#: The peer does not take messages of this kind, or refused this one.
+#: The peer has no handler for this kind of message, or refused this one.
 PEER_REFUSED = PeerFault('peer_refused')
-#: The connection closed, or broke.
+#: The connection was closed or broke.
 LINK_CLOSED = PeerFault('peer_link_closed')
-#: Nothing came over the connection for longer than the gap timeout.
+#: Nothing was received for longer than the gap timeout.
 LINK_SILENT = PeerFault('peer_link_silent')
-#: What came over the connection is not the inner protocol.
-LINK_GARBLED = PeerFault('peer_link_garbled')
-#: One end gave up a connection that it no longer needs.
-LINK_PARTED = PeerFault('peer_link_parted')
-#: The other end does not belong here: another fleet, another version.
-STRANGER = PeerFault('peer_stranger')
-#: The TLS files can't be read or don't fit together.
+#: The received bytes don't follow the wire protocol.
+LINK_MALFORMED = PeerFault('peer_link_garbled')
+#: One end closed a connection that it no longer needed.
+LINK_RELEASED = PeerFault('peer_link_parted')
+#: The handshake was refused: another fleet or protocol version.
+HELLO_REFUSED = PeerFault('peer_stranger')
+#: The TLS files can't be read or don't match.
 BAD_TLS = PeerFault('peer_bad_tls')
--- a/src/balsamreach/peers/gossip.py
+++ b/src/balsamreach/peers/gossip.py
@@ -1,4 +1,4 @@
-"""Spreads what a router learns about routers, and mends what got lost."""
+"""Gossip: spreads membership updates and repairs lost ones."""
 
 import attrs
 
@@ -6,106 +6,108 @@
 from balsamreach.peers.faults import PeerFault
 from balsamreach.peers.membership import (
     Membership,
-    differing,
+    bucket_of,
+    differing_buckets,
     digest,
-    part_of,
 )
 from balsamreach.wire.membership import Member, Members, MembersAsk
 
-#: Most routers in one message.
-MOST_AT_ONCE = 1000
+#: Maximum number of members in one message.
+MAX_MEMBERS_PER_MESSAGE = 1000
 
 
 @attrs.define(eq=False)
 class Gossip:
-    """Keeps the list of routers the same everywhere.
+    """Keeps the membership lists of all routers equal.
 
-    News goes to all neighbours at the next ``flush``, in one message. News
-    that got lost is found by comparing hashes of the parts of the list, so
-    that equal lists cost a few hundred bytes whatever their length.
+    Updates go to all neighbours at the next ``flush``, in one message. Updates
+    that were lost are found by comparing hashes of the buckets of the list, so
+    that comparing equal lists costs a few hundred bytes whatever their length.
 
     Parameters
     ----------
     membership : Membership
         The list.
     net : PeerNet
-        Carries the messages.
+        Sends the messages.
     """
 
     membership: Membership
     net: PeerNet
-    _news: dict[str, tuple[Member, str]] = attrs.field(factory=dict)
+    _updates: dict[str, tuple[Member, str]] = attrs.field(factory=dict)
 
     def start(self) -> None:
-        """Take the messages about routers from now on."""
-        self.net.on(Members, self._take_members)
-        self.net.on(MembersAsk, self._take_ask)
+        """Register the handlers of membership messages."""
+        self.net.on(Members, self._handle_members)
+        self.net.on(MembersAsk, self._handle_members_ask)
 
     def tell(self, member: Member, source: str = '') -> None:
-        """Let the next flush carry news, except to its source."""
-        self._news[member.incarnation] = (member, source)
+        """Queue an update for the next flush; it skips ``source``."""
+        self._updates[member.incarnation] = (member, source)
 
     def learn(self, members: tuple[Member, ...], source: str) -> None:
-        """Merge what a router said, and pass on what is news."""
-        for told in members:
-            if self.membership.merge(told):
-                known = self.membership.find(told.incarnation)
-                same = known == told
-                self.tell(known or told, source if same else '')
+        """Merge members received from a router and pass on what is new."""
+        for reported in members:
+            if self.membership.merge(reported):
+                known = self.membership.find(reported.incarnation)
+                unchanged = known == reported
+                self.tell(known or reported, source if unchanged else '')
 
     def flush(self) -> None:
-        """Send the news to all neighbours."""
-        if not self._news:
+        """Send the queued updates to all neighbours."""
+        if not self._updates:
             return
-        news = tuple(self._news.values())
-        self._news.clear()
+        updates = tuple(self._updates.values())
+        self._updates.clear()
         for neighbour in self.net.neighbours():
             incarnation = neighbour.incarnation
             wanted = [
-                member for member, source in news if source != incarnation
+                member for member, source in updates if source != incarnation
             ]
             if wanted:
                 self.net.tell(
                     incarnation,
-                    Members(tuple(wanted[:MOST_AT_ONCE])),
+                    Members(tuple(wanted[:MAX_MEMBERS_PER_MESSAGE])),
                 )
 
     async def compare(self, incarnation: str) -> bool:
-        """Bring this list and a neighbour's to the same state.
+        """Exchange the differences between this list and a neighbour's.
 
         Returns
         -------
         bool
             Whether the neighbour answered.
         """
-        ours = digest(self.membership.told())
+        ours = digest(self.membership.advertised())
         answer = await self.net.ask(incarnation, MembersAsk(ours))
         if isinstance(answer, PeerFault) or not isinstance(answer, Members):
             return False
         self.learn(answer.members, incarnation)
-        heard = set(answer.members)
+        received = set(answer.members)
         missing = [
             member
-            for member in self._within(frozenset(answer.wanted))
-            if member not in heard
+            for member in self._members_in(frozenset(answer.wanted))
+            if member not in received
         ]
         if missing:
             self.net.tell(incarnation, Members(tuple(missing)))
         return True
 
-    async def _take_members(self, member: Member, message: Members) -> None:
+    async def _handle_members(self, member: Member, message: Members) -> None:
         self.learn(message.members, member.incarnation)
 
-    async def _take_ask(
+    async def _handle_members_ask(
         self,
         member: Member,
         message: MembersAsk,
     ) -> Members:
-        ours = digest(self.membership.told())
-        parts = differing(ours, message.digest)
-        return Members(tuple(self._within(parts)), bytes(sorted(parts)))
-
-    def _within(self, parts: frozenset[int]) -> list[Member]:
-        told = self.membership.told()
-        within = [member for member in told if part_of(member) in parts]
-        return within[:MOST_AT_ONCE]
+        ours = digest(self.membership.advertised())
+        buckets = differing_buckets(ours, message.digest)
+        return Members(tuple(self._members_in(buckets)), bytes(sorted(buckets)))
+
+    def _members_in(self, buckets: frozenset[int]) -> list[Member]:
+        advertised = self.membership.advertised()
+        members = [
+            member for member in advertised if bucket_of(member) in buckets
+        ]
+        return members[:MAX_MEMBERS_PER_MESSAGE]
--- a/src/balsamreach/peers/homes.py
+++ b/src/balsamreach/peers/homes.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: which router of a zone a key belongs to."""
+"""Rendezvous hashing: assigns keys to the routers of a zone."""
 
 from collections.abc import Iterable
 
@@ -10,11 +10,11 @@
 
 
 @attrs.define(eq=False)
-class Homes:
-    """Homes of keys in this router's zone, as its list of routers stands.
+class HomeCache:
+    """Assigns keys to routers of this router's zone.
 
-    Each request asks for a home, and the list has every router of the
-    fleet, so those of the zone are picked out once per change of it.
+    A home is looked up for each request, and the list has all routers of the
+    fleet, so the routers of the zone are selected once per change of the list.
 
     Parameters
     ----------
@@ -24,31 +24,37 @@
 
     membership: Membership
     _local: list[Member] = attrs.field(factory=list)
-    _picked_at: int = -1
+    _local_version: int = -1
 
     def find(self, key: str) -> Member:
-        """Return a key's home, this router if it knows no other."""
+        """Return a key's home, this router if there is no other."""
         membership = self.membership
-        if self._picked_at != membership.version:
-            self._picked_at = membership.version
+        if self._local_version != membership.version:
+            self._local_version = membership.version
             zone = membership.me.zone
             self._local = pick_local(membership.alive(), zone)
         return heaviest(key, self._local) or membership.me
 
 
 def weigh(key: str, name: str) -> int:
-    """Return a member's weight for a key; the heaviest member has it."""
+    """Return a member's weight for a key; the highest weight is its home."""
     return xxhash.xxh3_64_intdigest(f'{key}\n{name}'.encode())
 
 
 def pick_local(members: Iterable[Member], zone: str) -> list[Member]:
-    """Return the members of a zone, leaving ones only if all leave."""
+    """Return the members of a zone, without leaving ones if any stay."""
     local = [member for member in members if member.zone == zone]
     return [member for member in local if not member.leaving] or local
 
 
 def heaviest(key: str, members: Iterable[Member]) -> Member | None:
-    """Return the member that has a key, None if there is no member."""
+    """Return the member with the highest weight for a key.
+
+    Returns
+    -------
+    Member or None
+        The member; None if there is none.
+    """
     return max(
         members,
         key=lambda member: (
@@ -60,15 +66,15 @@
 
 
 def home_of(key: str, members: Iterable[Member], zone: str) -> Member | None:
-    """Return the member of a zone that a key belongs to.
+    """Return the member of a zone that a key is assigned to.
 
     Parameters
     ----------
     key : str
         Any text.
     members : iterable of Member
-        Routers known; those of other zones don't count, and leaving ones
-        only if no other is left.
+        Known routers; those of other zones are ignored, and leaving ones too
+        unless all leave.
     zone : str
         Availability zone.
 
--- a/src/balsamreach/peers/hubs.py
+++ b/src/balsamreach/peers/hubs.py
@@ -1,9 +1,9 @@
-"""Which routers of a zone the others turn to for what all of them need.
+"""Selection of the hubs: routers that do shared work for their zone.
 
-Load pattern: hundreds of routers with a few requests a second each. Did each
-hold tokens of every team, follow the store and tell every other one of its
-load by itself, what they do for each other would cost several times what
-their requests do, and grow with the fleet.
+Load pattern: hundreds of routers with a few requests a second each. If each
+held tokens of every team, followed the store and reported its load to every
+other router, this overhead would be several times the cost of the requests and
+would grow with the fleet.
 """
 
 import attrs
@@ -14,32 +14,32 @@
 from balsamreach.peers.membership import Membership
 from balsamreach.wire.membership import Member
 
-_HUB = 'hub'
+_HASH_KEY = 'hub'
 
 
 @attrs.define(eq=False)
 class Hubs(HubChoice):
-    """Hubs by zone, as this router's list of routers stands.
+    """Hubs by zone, computed from this router's membership list.
 
     Rendezvous hashing: routers that know the same members agree without a
-    message. Where they don't agree for a moment, nothing is lost: a router
-    does for whoever asks what it would do for itself.
+    message. A short disagreement does no harm: a router serves every other one
+    that asks as it would serve itself.
 
     Parameters
     ----------
     membership : Membership
         The list.
     cfg : PeersSettings
-        Hubs of a zone, and the size up to which a fleet has none.
+        Number of hubs of a zone, and the fleet size up to which there are none.
     """
 
     membership: Membership
     cfg: PeersSettings
     _by_zone: dict[str, tuple[Member, ...]] = attrs.field(factory=dict)
-    _picked_at: int = -1
+    _hubs_version: int = -1
 
     def of(self, zone: str) -> tuple[Member, ...]:
-        """Return a zone's hubs, none in a fleet that is a full mesh."""
+        """Return a zone's hubs, none if the fleet is a full mesh."""
         self._refresh()
         return self._by_zone.get(zone, ())
 
@@ -49,35 +49,35 @@
         return tuple(zone for zone, hubs in self._by_zone.items() if hubs)
 
     def _refresh(self) -> None:
-        if self._picked_at == self.membership.version:
+        if self._hubs_version == self.membership.version:
             return
-        self._picked_at = self.membership.version
+        self._hubs_version = self.membership.version
         alive = self.membership.alive()
         zones = sorted({member.zone for member in alive})
-        most = self.cfg.hubs_per_zone
+        limit = self.cfg.hubs_per_zone
         if len(alive) <= self.cfg.max_peers + 1:
-            most = 0
-        self._by_zone = {zone: pick_hubs(alive, zone, most) for zone in zones}
+            limit = 0
+        self._by_zone = {zone: pick_hubs(alive, zone, limit) for zone in zones}
 
 
 def pick_hubs(
     members: tuple[Member, ...],
     zone: str,
-    most: int,
+    limit: int,
 ) -> tuple[Member, ...]:
-    """Return the members of a zone that are its hubs, the first one first.
+    """Return the hubs among the members of a zone, the preferred first.
 
-    Those with the widest links go first, then those of the greatest weight:
-    a hub tells each router of its zone what it hears, which fills the link
-    of a small host.
+    Members with the highest link bandwidth come first, then those with the
+    highest weight: a hub sends what it receives to each router of its zone,
+    which fills the link of a small host.
     """
     local = pick_local(members, zone)
     local.sort(
         key=lambda member: (
             member.link,
-            weigh(_HUB, member.incarnation),
+            weigh(_HASH_KEY, member.incarnation),
             member.incarnation,
         ),
         reverse=True,
     )
-    return tuple(local[:most])
+    return tuple(local[:limit])
--- a/src/balsamreach/peers/keeper.py
+++ b/src/balsamreach/peers/link_manager.py
@@ -1,4 +1,4 @@
-"""Keeps the links that this router wants, and finds out who is dead."""
+"""Opens and serves links and detects dead peers."""
 
 import asyncio
 import logging
@@ -7,20 +7,20 @@
 import attrs
 
 from balsamreach.peers import counters
+from balsamreach.peers.background_tasks import BackgroundTasks
 from balsamreach.peers.backoff import Backoff
 from balsamreach.peers.connector import Connector
 from balsamreach.peers.faults import (
-    LINK_PARTED,
+    HELLO_REFUSED,
+    LINK_RELEASED,
     NOT_CONNECTED,
-    STRANGER,
     PeerFault,
 )
 from balsamreach.peers.gossip import Gossip
 from balsamreach.peers.link import Link, LinkContext
 from balsamreach.peers.links import Links
 from balsamreach.peers.membership import Membership
-from balsamreach.peers.tasks import Tasks
-from balsamreach.peers.waiting import within
+from balsamreach.peers.timeouts import run_with_timeout
 from balsamreach.telemetry.logs import log_event
 from balsamreach.wire.membership import Member
 
@@ -28,22 +28,22 @@
 
 
 @attrs.define(eq=False)
-class Keeper:
-    """Runs one task for each link and each peer that is dialled.
+class LinkManager:
+    """Runs a task for each link and for each peer that is dialled.
 
     Parameters
     ----------
     connector : Connector
-        Makes links.
+        Establishes links.
     links : Links
-        The links that stand.
+        The open links.
     membership : Membership
-        The routers known.
+        The known routers.
     gossip : Gossip
-        Tells others of births and deaths.
+        Tells other routers of new and dead ones.
     rng : random.Random
-        Spreads retries, so that peers of a dead router don't retry at the
-        same moment.
+        Randomizes retries, so that the peers of a dead router don't retry at
+        the same moment.
     """
 
     connector: Connector
@@ -52,37 +52,39 @@
     gossip: Gossip
     rng: random.Random
     stopping: bool = False
-    tasks: Tasks = attrs.field(factory=Tasks)
+    tasks: BackgroundTasks = attrs.field(factory=BackgroundTasks)
     backoff: Backoff = attrs.field(init=False)
     _dialling: dict[str, asyncio.Task] = attrs.field(factory=dict)
-    _comparing: asyncio.Lock = attrs.field(factory=asyncio.Lock)
-    _alone: asyncio.Event = attrs.field(factory=asyncio.Event)
+    _compare_lock: asyncio.Lock = attrs.field(factory=asyncio.Lock)
+    _no_links: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def __attrs_post_init__(self) -> None:
-        """Begin without a link."""
-        self._alone.set()
+        """Start without links."""
+        self._no_links.set()
         self.backoff = Backoff(self.connector.context.clock)
 
-    async def reach(self, member: Member, tries: int = 2) -> Link | PeerFault:
-        """Return a link to a router, opening one if there is none.
+    async def connect(self, member: Member, tries: int = 2) -> Link | PeerFault:
+        """Return a link to a router, opening one if needed.
 
         Parameters
         ----------
         member : Member
             The router.
         tries : int
-            After so many failed connections it is held to be dead.
+            Number of failed connections after which it is declared dead.
 
         Returns
         -------
         Link or PeerFault
             The link, or why there is none.
         """
-        best = self.links.best(member.incarnation)
+        best = self.links.preferred(member.incarnation)
         if best is not None:
             return best
-        if self.backoff.waits(member.incarnation):
-            return NOT_CONNECTED.because('it failed a moment ago')
+        if self.backoff.must_wait(member.incarnation):
+            return NOT_CONNECTED.because(
+                'waiting to retry after a failed connection'
+            )
         dialling = self._dialling.get(member.incarnation)
         if dialling is None:
             dialling = self.tasks.start(self._dial(member, tries))
@@ -92,20 +94,22 @@
             )
         return await asyncio.shield(dialling)
 
-    async def reach_by_name(self, incarnation: str) -> Link | PeerFault:
-        """Return a link to an incarnation, opening one if there is none."""
-        # A link counts more than a mark of death: over it the router learns
-        # that it is held to be dead, and takes that back.
-        link = self.links.best(incarnation)
+    async def connect_by_incarnation(
+        self, incarnation: str
+    ) -> Link | PeerFault:
+        """Return a link to an incarnation, opening one if needed."""
+        # Use an open link even if the router is marked dead: over it the router
+        # learns of the mark and refutes it.
+        link = self.links.preferred(incarnation)
         if link is not None:
             return link
         member = self.membership.find(incarnation)
         if member is None or member.dead:
-            return NOT_CONNECTED.because('no such router is known')
-        return await self.reach(member)
+            return NOT_CONNECTED.because('no such live router is known')
+        return await self.connect(member)
 
     async def serve(self, link: Link) -> None:
-        """Serve a link to its end, and then see to the peer."""
+        """Serve a link until it ends, then reconnect if the peer was lost."""
         peer = link.peer
         self._add(link)
         self.tasks.start(self._compare(peer))
@@ -114,55 +118,55 @@
         finally:
             self.links.remove(link)
             if not self.links.every():
-                self._alone.set()
-        _count(link.context, counters.ENDED, reason=ended.code)
-        _log(logging.INFO, 'peer_down', peer, ended.reason or ended.code)
-        await self._after(peer, ended)
+                self._no_links.set()
+        _count(link.context, counters.LINKS_ENDED, reason=ended.code)
+        _log_peer(logging.INFO, 'peer_down', peer, ended.reason or ended.code)
+        await self._reconnect_after(peer, ended)
 
-    def forget(self) -> None:
-        """Drop what is too old to matter."""
-        self.membership.forget()
-        self.backoff.forget()
+    def prune(self) -> None:
+        """Drop outdated membership and backoff entries."""
+        self.membership.prune()
+        self.backoff.prune()
 
     async def stop(self) -> None:
-        """Part from all peers, and end whatever goes on."""
+        """Release all links and cancel all tasks."""
         self.stopping = True
         context = self.connector.context
         for link in self.links.every():
-            link.part()
-        # A peer closes when it reads that; what was told before is then
-        # delivered. One that doesn't read is waited for no longer than it
-        # would take to call it silent.
+            link.release()
+        # A peer closes the link when it reads the release, so all earlier
+        # messages are delivered. The wait for one that doesn't read it is
+        # limited to the time after which it would count as silent.
         gap = context.cfg.gap_timeout
-        await within(context.clock, gap, self._alone.wait())
+        await run_with_timeout(context.clock, gap, self._no_links.wait())
         await self.tasks.cancel()
 
     def _add(self, link: Link) -> None:
         peer = link.peer
         self.links.add(link)
-        self.backoff.succeeded(peer.incarnation)
-        self._alone.clear()
-        if self.membership.met(peer):
+        self.backoff.record_success(peer.incarnation)
+        self._no_links.clear()
+        if self.membership.record_contact(peer):
             self.gossip.tell(self.membership.find(peer.incarnation) or peer)
-        _log(logging.INFO, 'peer_up', peer, '')
+        _log_peer(logging.INFO, 'peer_up', peer, '')
 
     async def _compare(self, peer: Member) -> None:
-        # One after the other: a router that starts would otherwise load the
-        # whole list from all its first neighbours at once.
-        async with self._comparing:
+        # One at a time: a starting router would otherwise fetch the whole list
+        # from all its first neighbours at once.
+        async with self._compare_lock:
             await self.gossip.compare(peer.incarnation)
 
-    async def _after(self, peer: Member, ended: PeerFault) -> None:
-        """Try one new connection before a peer is called dead.
+    async def _reconnect_after(self, peer: Member, ended: PeerFault) -> None:
+        """Try one new connection before a peer is declared dead.
 
-        What lies between two routers can lose track of a connection while
-        it still lets new ones through; the peer is alive then.
+        A middlebox can lose track of a connection while it still lets new ones
+        through; the peer is alive then.
         """
         known = self.membership.find(peer.incarnation)
         alive = known is not None and not known.dead
-        if self.stopping or ended == LINK_PARTED or not alive:
+        if self.stopping or ended == LINK_RELEASED or not alive:
             return
-        await self.reach(peer, tries=1)
+        await self.connect(peer, tries=1)
 
     async def _dial(self, member: Member, tries: int) -> Link | PeerFault:
         context = self.connector.context
@@ -173,37 +177,39 @@
                 await context.clock.sleep(pause)
             link = await self.connector.dial(member.address)
             if isinstance(link, Link):
-                return self._accept_dialled(member, link)
-            if link == STRANGER:
-                # Somebody lives there who doesn't let this router in.
-                self.backoff.failed(member.incarnation)
+                return self._adopt_dialled(member, link)
+            if link == HELLO_REFUSED:
+                # A live process there refuses this router.
+                self.backoff.record_failure(member.incarnation)
                 return link
             fault = link
-        self.backoff.failed(member.incarnation)
-        self._bury(member, fault)
+        self.backoff.record_failure(member.incarnation)
+        self._declare_dead(member, fault)
         return fault
 
-    def _accept_dialled(self, member: Member, link: Link) -> Link | PeerFault:
+    def _adopt_dialled(self, member: Member, link: Link) -> Link | PeerFault:
         self.tasks.start(self.serve(link))
         if link.peer.incarnation == member.incarnation:
             return link
-        self._bury(member, NOT_CONNECTED.because('its address has another'))
+        self._declare_dead(
+            member, NOT_CONNECTED.because('its address has another incarnation')
+        )
         return NOT_CONNECTED.because('its address has another incarnation')
 
-    def _bury(self, member: Member, fault: PeerFault) -> None:
-        best = self.links.best(member.incarnation)
+    def _declare_dead(self, member: Member, fault: PeerFault) -> None:
+        best = self.links.preferred(member.incarnation)
         if best is None and self.membership.bury(member.incarnation):
             dead = self.membership.find(member.incarnation)
             self.gossip.tell(dead or member)
             _count(self.connector.context, counters.DEATHS)
-            _log(logging.WARNING, 'peer_dead', member, fault.reason)
+            _log_peer(logging.WARNING, 'peer_dead', member, fault.reason)
 
 
 def _count(context: LinkContext, name: str, **labels: str) -> None:
     context.tally.metrics.count(name, **labels)
 
 
-def _log(level: int, event: str, peer: Member, reason: str) -> None:
+def _log_peer(level: int, event: str, peer: Member, reason: str) -> None:
     log_event(
         _logger,
         level,
--- a/src/balsamreach/peers/links.py
+++ b/src/balsamreach/peers/links.py
@@ -1,4 +1,4 @@
-"""The links that stand, by the peer at their other end."""
+"""The open links of a router, by peer."""
 
 import attrs
 
@@ -11,82 +11,84 @@
     """All links of a router.
 
     Two routers that dial each other at the same moment get two links. Both
-    prefer the one that the smaller incarnation dialled, as long as it isn't
-    silent, and who dialled the other parts from it. If each closed what it
-    holds for surplus, both links would be closed.
+    prefer the link dialled by the smaller incarnation, unless it is silent, and
+    the router that dialled the other link releases it. If each closed the link
+    that it considers redundant, both links would be closed.
 
     Parameters
     ----------
-    own : str
+    own_incarnation : str
         This router's incarnation.
-    lasting : frozenset of str
-        Incarnations that links are to last to; others stand for a while.
+    persistent : frozenset of str
+        Incarnations whose links are kept open; other links are released when
+        idle.
     """
 
-    own: str
-    lasting: frozenset[str] = frozenset()
+    own_incarnation: str
+    persistent: frozenset[str] = frozenset()
     _links: list[Link] = attrs.field(factory=list)
 
     def add(self, link: Link) -> None:
-        """Take a new link, and part from the one that it replaces.
+        """Add a link, and release an earlier one dialled by the same end.
 
-        Whoever dials again has given the earlier link up, or didn't know of
-        it yet. Just closed, it would look like a loss to a peer that has
-        not seen the new one stand, and the peer would dial once more.
+        A peer that dials again has given up the earlier link, or didn't know of
+        it yet. If the earlier link were closed without a release, a peer that
+        doesn't yet know the new one would take that for a loss and dial once
+        more.
         """
-        for other in self._to(link.peer.incarnation):
+        for other in self._open_links_to(link.peer.incarnation):
             if other.dialled == link.dialled:
-                other.part()
+                other.release()
         self._links.append(link)
 
     def remove(self, link: Link) -> None:
-        """Drop a link that ended."""
+        """Remove a link that ended."""
         self._links.remove(link)
 
     def every(self) -> tuple[Link, ...]:
-        """Return all links, surplus ones as well."""
+        """Return all links, duplicates included."""
         return tuple(self._links)
 
-    def best(self, incarnation: str) -> Link | None:
+    def preferred(self, incarnation: str) -> Link | None:
         """Return the link to use for a peer, None if there is none."""
         return max(
-            self._to(incarnation),
+            self._open_links_to(incarnation),
             key=self._preference,
             default=None,
         )
 
     def peers(self) -> tuple[Member, ...]:
-        """Return the peers that links stand to, each once."""
+        """Return the peers that have a link, without duplicates."""
         peers = {link.peer.incarnation: link.peer for link in self._links}
         return tuple(peers.values())
 
-    def lasting_peers(self) -> tuple[Member, ...]:
-        """Return the peers to spread news to: all while none lasts."""
+    def persistent_peers(self) -> tuple[Member, ...]:
+        """Return the peers with persistent links; all peers if none has."""
         peers = self.peers()
         lasting = tuple(
-            peer for peer in peers if peer.incarnation in self.lasting
+            peer for peer in peers if peer.incarnation in self.persistent
         )
         return lasting or peers
 
-    def lasts(self, link: Link) -> bool:
-        """Return whether a link is to last."""
-        return link.peer.incarnation in self.lasting
+    def is_persistent(self, link: Link) -> bool:
+        """Return whether a link is kept open while idle."""
+        return link.peer.incarnation in self.persistent
 
-    def surplus(self) -> tuple[Link, ...]:
-        """Return the links to part from that this router dialled.
+    def duplicates(self) -> tuple[Link, ...]:
+        """Return the redundant links that this router has to release.
 
-        A link that has just closed has no better one beside it and is none
-        of them. Parted from, its end would pass for wanted, and a peer that
-        fell silent would never be found dead.
+        A link that has just closed is not included, as no preferred link exists
+        beside it. If it were released, its end would count as intended, and a
+        silent peer would never be declared dead.
         """
         return tuple(
             link
             for link in self._links
             if link.dialled
-            and self.best(link.peer.incarnation) not in {None, link}
+            and self.preferred(link.peer.incarnation) not in {None, link}
         )
 
-    def _to(self, incarnation: str) -> list[Link]:
+    def _open_links_to(self, incarnation: str) -> list[Link]:
         return [
             link
             for link in reversed(self._links)
@@ -95,6 +97,8 @@
 
     def _preference(self, link: Link) -> tuple[bool, bool]:
         heartbeat = link.context.cfg.heartbeat
-        silent = link.context.clock.now() - link.heard_at > 2 * heartbeat
-        smaller = link.dialled == (self.own < link.peer.incarnation)
+        silent = (
+            link.context.clock.now() - link.last_received_at > 2 * heartbeat
+        )
+        smaller = link.dialled == (self.own_incarnation < link.peer.incarnation)
         return (not silent, smaller)
--- a/src/balsamreach/peers/listener.py
+++ b/src/balsamreach/peers/listener.py
@@ -1,4 +1,4 @@
-"""The listener that other routers connect to."""
+"""Listener for connections of other routers."""
 
 import socket
 
@@ -7,26 +7,26 @@
 from tornado.tcpserver import TCPServer
 
 from balsamreach.config.settings import Settings
-from balsamreach.peers.keeper import Keeper
+from balsamreach.peers.link_manager import LinkManager
 from balsamreach.wire.codec import MOST_BYTES
 from balsamreach.wire.framing import HEAD
 
-#: Most links at once; routers beyond are sent away.
-MOST_LINKS = 1000
+#: Maximum number of links; further connections are closed.
+MAX_LINKS = 1000
 
 
 class PeersListener(TCPServer):
-    """Lets routers in and hands their links to the keeper.
+    """Accepts connections and passes their links to the link manager.
 
     Parameters
     ----------
-    keeper : Keeper
+    link_manager : LinkManager
         Serves the links.
     """
 
-    def __init__(self, keeper: Keeper):
+    def __init__(self, link_manager: LinkManager):
         super().__init__(max_buffer_size=MOST_BYTES + HEAD)
-        self._keeper = keeper
+        self._link_manager = link_manager
 
     def open(self, cfg: Settings) -> str:
         """Bind the listener and return the ``ip:port`` it got."""
@@ -37,13 +37,13 @@
         return f'{address}:{port}'
 
     async def handle_stream(self, stream: IOStream, address: tuple) -> None:
-        """Greet whoever connected."""
+        """Accept a connection and serve its link."""
         remote = f'{address[0]}:{address[1]}'
-        if len(self._keeper.links.every()) >= MOST_LINKS:
-            context = self._keeper.connector.context
-            context.tally.refused('full')
+        if len(self._link_manager.links.every()) >= MAX_LINKS:
+            context = self._link_manager.connector.context
+            context.tally.count_refused('full')
             stream.close()
             return
-        link = await self._keeper.connector.accept(stream, remote)
+        link = await self._link_manager.connector.accept(stream, remote)
         if link is not None:
-            await self._keeper.serve(link)
+            await self._link_manager.serve(link)
--- a/src/balsamreach/peers/greeter.py
+++ b/src/balsamreach/peers/local_status.py
@@ -1,4 +1,4 @@
-"""What a router says of itself on its connections."""
+"""Builds the messages in which a router describes itself."""
 
 from collections.abc import Callable
 
@@ -9,15 +9,15 @@
 
 
 @attrs.define(eq=False)
-class Greeter:
-    """Makes greetings and heartbeats as of now.
+class LocalStatus:
+    """Builds the current Hello and heartbeat of this router.
 
     Parameters
     ----------
     fleet : str
-        Name of the fleet; others are strangers.
+        Name of the fleet; routers of other fleets are refused.
     membership : Membership
-        Knows this router.
+        Source of this router's member entry.
     table_version : callable
         Returns the version of the table in force here.
     orders : callable
@@ -30,7 +30,7 @@
     orders: Callable[[], int] = int
 
     def hello(self) -> Hello:
-        """Return the greeting."""
+        """Return the Hello message."""
         return Hello(
             PROTOCOL_VERSION,
             self.fleet,
@@ -39,5 +39,5 @@
         )
 
     def heartbeat(self) -> Heartbeat:
-        """Return the heartbeat."""
+        """Return the heartbeat message."""
         return Heartbeat(self.table_version(), self.orders())
--- a/src/balsamreach/peers/membership.py
+++ b/src/balsamreach/peers/membership.py
@@ -1,4 +1,4 @@
-"""Which routers there are, as far as this one knows."""
+"""The list of routers known to this one."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -7,29 +7,29 @@
 import xxhash
 
 from balsamreach.clock import Clock
-from balsamreach.peers.holders import Holders
+from balsamreach.peers.address_owners import AddressOwners
 from balsamreach.wire.membership import Member
 
-#: Parts that the list is compared by.
-PARTS = 32
-#: Dead routers are remembered for this long (seconds), lest a peer that
-#: missed their death brings them back.
-FORGET_AFTER = 3600
+#: Number of buckets whose hashes are compared.
+BUCKETS = 32
+#: Seconds for which dead routers are remembered, so that a peer that missed the
+#: death does not bring the router back.
+PRUNE_DEAD_AFTER = 3600
 
 _HASH_BYTES = 8
-# A dead router is told about only during the first half of that time. Told
-# until the end, routers would remind each other of it in turn for ever,
-# which would show as a list of dead routers that only grows.
-_TELL_WITHIN = FORGET_AFTER / 2
+# A dead router is advertised only during the first half of that time. Otherwise
+# routers would keep reminding each other of it, and the list of dead routers
+# would only grow.
+_ADVERTISE_DEAD_FOR = PRUNE_DEAD_AFTER / 2
 
 
 @attrs.define(eq=False)
 class Membership:
-    """The list of routers, merged from what each one hears.
+    """The list of routers, merged from the reports of all.
 
-    What is said about an incarnation counts by its revision; at the same
-    revision a mark of death or of leaving counts more than its absence. So
-    every router ends with the same list, in whatever order it hears.
+    A report about an incarnation counts by its revision; at the same revision,
+    one with a dead or leaving mark takes precedence over one without. So all
+    routers end with the same list, whatever the order of the reports.
 
     Parameters
     ----------
@@ -37,68 +37,70 @@
         This router.
     clock : Clock
         Source of time.
+    version : int
+        Raised with each change of the list.
     """
 
     me: Member
     clock: Clock
     version: int = 0
     _known: dict[str, Member] = attrs.field(factory=dict)
-    _holders: Holders = attrs.field(factory=Holders)
-    _died: dict[str, float] = attrs.field(factory=dict)
+    _owners: AddressOwners = attrs.field(factory=AddressOwners)
+    _died_at: dict[str, float] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Begin with this router alone."""
+        """Add this router to the list."""
         self._store(self.me)
 
     def alive(self) -> tuple[Member, ...]:
-        """Return the routers held to be alive, this one included."""
+        """Return the routers believed alive, this one included."""
         return tuple(
             member for member in self._known.values() if not member.dead
         )
 
     def dead(self) -> tuple[Member, ...]:
-        """Return the routers held to be dead and not forgotten yet."""
+        """Return the routers believed dead and not yet forgotten."""
         return tuple(member for member in self._known.values() if member.dead)
 
     def find(self, incarnation: str) -> Member | None:
-        """Return what is known of an incarnation."""
+        """Return the entry of an incarnation, None if it is unknown."""
         return self._known.get(incarnation)
 
-    def holder(self, address: str) -> Member | None:
-        """Return the router held to be alive on an address."""
-        return self._holders.find(address)
+    def address_owner(self, address: str) -> Member | None:
+        """Return the router believed alive on an address."""
+        return self._owners.find(address)
 
-    def merge(self, told: Member) -> bool:
-        """Take what somebody says about a router.
+    def merge(self, reported: Member) -> bool:
+        """Merge a report about a router.
 
         Parameters
         ----------
-        told : Member
-            The router as the teller knows it.
+        reported : Member
+            The router as another one knows it.
 
         Returns
         -------
         bool
-            Whether it was news.
+            Whether it changed the list.
         """
-        if told.incarnation == self.me.incarnation:
-            return self._refute(told)
-        known = self._known.get(told.incarnation)
+        if reported.incarnation == self.me.incarnation:
+            return self._refute(reported)
+        known = self._known.get(reported.incarnation)
         if known is not None:
-            if _precedence(told) <= _precedence(known):
+            if _precedence(reported) <= _precedence(known):
                 return False
-            leaving = told.leaving or known.leaving
-            told = attrs.evolve(told, leaving=leaving)
-        self._store(told)
+            leaving = reported.leaving or known.leaving
+            reported = attrs.evolve(reported, leaving=leaving)
+        self._store(reported)
         return True
 
-    def met(self, member: Member) -> bool:
-        """Take the word of a router to which a connection stands now.
+    def record_contact(self, member: Member) -> bool:
+        """Merge the entry of a router connected to this one.
 
-        Whoever holds the address now, no other incarnation does; wall
-        clocks that disagree about who started later are overruled.
+        The connection proves that no other incarnation has the address now,
+        even if wall clocks that disagree say that another one started later.
         """
-        other = self.holder(member.address)
+        other = self.address_owner(member.address)
         overruled = other is not None and other.incarnation not in {
             member.incarnation,
             self.me.incarnation,
@@ -108,7 +110,7 @@
         return self.merge(member) or overruled
 
     def bury(self, incarnation: str) -> bool:
-        """Mark an incarnation dead; False if that was known."""
+        """Mark an incarnation dead; False if nothing changed."""
         known = self._known.get(incarnation)
         if known is None or known.dead or known == self.me:
             return False
@@ -116,46 +118,46 @@
         return True
 
     def change_me(self, **changes: Any) -> Member:
-        """Change what this router says of itself.
+        """Change this router's own entry.
 
         Parameters
         ----------
         **changes : Any
-            Attributes of the member. Peers never take back that it leaves.
+            Attributes of the member. Peers never undo ``leaving``.
 
         Returns
         -------
         Member
-            This router from now on.
+            The changed entry.
         """
-        self._holders.leave(self.me)
+        self._owners.release(self.me)
         revision = self.me.revision + 1
         self.me = attrs.evolve(self.me, revision=revision, **changes)
         self._store(self.me)
         return self.me
 
-    def forget(self) -> None:
-        """Drop dead routers that everybody has had time to hear of."""
-        limit = self.clock.now() - FORGET_AFTER
-        for incarnation, died in tuple(self._died.items()):
+    def prune(self) -> None:
+        """Forget dead routers that all others have had time to hear of."""
+        limit = self.clock.now() - PRUNE_DEAD_AFTER
+        for incarnation, died in tuple(self._died_at.items()):
             if died <= limit:
-                self._died.pop(incarnation)
+                self._died_at.pop(incarnation)
                 self._known.pop(incarnation)
 
-    def told(self) -> Iterable[Member]:
-        """Return what others are to know, recent deaths included."""
-        limit = self.clock.now() - _TELL_WITHIN
+    def advertised(self) -> Iterable[Member]:
+        """Return the entries to send to others, recent deaths included."""
+        limit = self.clock.now() - _ADVERTISE_DEAD_FOR
         for incarnation, member in self._known.items():
-            if self._died.get(incarnation, limit + 1) > limit:
+            if self._died_at.get(incarnation, limit + 1) > limit:
                 yield member
 
-    def _refute(self, told: Member) -> bool:
-        # Peers that were cut off, or found this process paused, call it
-        # dead; without a higher revision they would never take it back. The
-        # sign of it is a router that nobody connects to although it runs.
-        if _precedence(told) <= _precedence(self.me):
+    def _refute(self, reported: Member) -> bool:
+        # Peers that were partitioned, or noticed a pause of this process,
+        # declare it dead, and only a higher revision undoes that. Without it no
+        # router would connect to this one although it runs.
+        if _precedence(reported) <= _precedence(self.me):
             return False
-        self.me = attrs.evolve(self.me, revision=told.revision + 1)
+        self.me = attrs.evolve(self.me, revision=reported.revision + 1)
         self._store(self.me)
         return True
 
@@ -163,33 +165,33 @@
         self.version += 1
         self._known[member.incarnation] = member
         if member.dead:
-            self._died.setdefault(member.incarnation, self.clock.now())
-            self._holders.leave(member)
+            self._died_at.setdefault(member.incarnation, self.clock.now())
+            self._owners.release(member)
             return
-        self._died.pop(member.incarnation, None)
-        loser = self._holders.contend(member)
-        if loser is not None:
-            self.bury(loser.incarnation)
+        self._died_at.pop(member.incarnation, None)
+        displaced = self._owners.claim(member)
+        if displaced is not None:
+            self.bury(displaced.incarnation)
 
 
-def part_of(member: Member) -> int:
-    """Return the part of the list that a router is in."""
-    return xxhash.xxh3_64_intdigest(member.incarnation.encode()) % PARTS
+def bucket_of(member: Member) -> int:
+    """Return the bucket of the list that a router belongs to."""
+    return xxhash.xxh3_64_intdigest(member.incarnation.encode()) % BUCKETS
 
 
 def digest(members: Iterable[Member]) -> bytes:
-    """Return one hash for each part of a list, in whatever order it is."""
-    parts = dict.fromkeys(range(PARTS), 0)
+    """Return a hash for each bucket of a list, independent of order."""
+    buckets = dict.fromkeys(range(BUCKETS), 0)
     for member in members:
         state = repr((member.incarnation, *_precedence(member)))
-        parts[part_of(member)] ^= xxhash.xxh3_64_intdigest(state.encode())
-    return b''.join(part.to_bytes(_HASH_BYTES) for part in parts.values())
+        buckets[bucket_of(member)] ^= xxhash.xxh3_64_intdigest(state.encode())
+    return b''.join(bucket.to_bytes(_HASH_BYTES) for bucket in buckets.values())
 
 
-def differing(ours: bytes, theirs: bytes) -> frozenset[int]:
-    """Return the parts whose hashes differ; all if lengths do."""
+def differing_buckets(ours: bytes, theirs: bytes) -> frozenset[int]:
+    """Return the buckets whose hashes differ; all if the lengths do."""
     if len(ours) != len(theirs):
-        return frozenset(range(PARTS))
+        return frozenset(range(BUCKETS))
     starts = range(0, len(ours), _HASH_BYTES)
     return frozenset(
         start // _HASH_BYTES
--- a/src/balsamreach/peers/neighbours.py
+++ b/src/balsamreach/peers/neighbours.py
@@ -1,10 +1,10 @@
-"""Which routers a router opens lasting connections to.
+"""Selection of the routers that a router keeps connections to.
 
-Two rings of all routers in the order of a hash, one per availability zone
-and one of all zones, and on each ring the routers at certain distances.
-Each router works this out alone from its list; as nobody is chosen more
-often than anybody else, incoming connections are bounded like outgoing
-ones.
+All routers are arranged in the order of a hash on two rings, one of their
+availability zone and one of the whole fleet; neighbours are the routers at
+certain distances on each. Each router computes this from its own list. All
+routers are chosen equally often, so the number of incoming connections is
+limited like that of outgoing ones.
 """
 
 from collections.abc import Iterable
@@ -14,8 +14,8 @@
 from balsamreach.peers.homes import weigh
 from balsamreach.wire.membership import Member
 
-_RING = 'ring'
-_FAR_SHARE = 3
+_HASH_KEY = 'ring'
+_FLEET_RING_DIVISOR = 3
 
 
 @attrs.define(eq=False)
@@ -26,69 +26,69 @@
     ----------
     members : list of Member
         The routers in order.
-    places : dict
-        Place on the ring by incarnation.
+    positions : dict
+        Position on the ring by incarnation.
     """
 
     members: list[Member]
-    places: dict[str, int]
+    positions: dict[str, int]
 
-    def steps(
+    def at_distances(
         self,
         incarnation: str,
         distances: Iterable[int],
     ) -> list[Member]:
-        """Return the routers at distances from one that is on the ring."""
-        start = self.places[incarnation]
+        """Return the routers at some distances from one on the ring."""
+        start = self.positions[incarnation]
         size = len(self.members)
-        steps = [
+        found = [
             self.members[(start + distance) % size] for distance in distances
         ]
-        return [step for step in steps if step.incarnation != incarnation]
+        return [member for member in found if member.incarnation != incarnation]
 
 
 @attrs.define(eq=False)
 class Rings:
-    """The rings of a fleet, made once for each change of the list.
+    """The rings of a fleet, built once for each change of the list.
 
     Parameters
     ----------
     members : iterable of Member
-        Routers held to be alive; those that leave aren't chosen, but may
-        still choose.
+        Routers believed alive; leaving ones aren't chosen, but may still choose
+        others.
     max_peers : int
-        Most lasting connections a router is to have, those opened by
+        Maximum number of persistent connections of a router, those opened by
         others included.
     """
 
     members: tuple[Member, ...] = attrs.field(converter=tuple)
     max_peers: int
-    _whole: Ring = attrs.field(init=False)
-    _zones: dict[str, Ring] = attrs.field(factory=dict, init=False)
+    _fleet_ring: Ring = attrs.field(init=False)
+    _zone_rings: dict[str, Ring] = attrs.field(factory=dict, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Put the routers in order."""
-        ordered = sorted(self.members, key=_position)
-        self._whole = _make_ring(ordered)
+        """Build the rings."""
+        ordered = sorted(self.members, key=_ring_order)
+        self._fleet_ring = _make_ring(ordered)
         zones = {member.zone for member in ordered}
         for zone in zones:
-            self._zones[zone] = _make_ring(
+            self._zone_rings[zone] = _make_ring(
                 member for member in ordered if member.zone == zone
             )
 
     def choose(self, me: Member) -> tuple[Member, ...]:
-        """Return the routers that one opens lasting connections to.
+        """Return the routers that one opens persistent connections to.
 
         Parameters
         ----------
         me : Member
-            The router that chooses; it is on the rings itself.
+            The router that chooses; it must be on the rings.
 
         Returns
         -------
         tuple of Member
-            At most half of ``max_peers``, except that in a fleet no larger
-            than that everyone has a connection with everyone.
+            At most half of ``max_peers``; but in a fleet of at most ``max_peers
+            + 1`` routers each has a connection to each other.
         """
         if len(self.members) <= self.max_peers + 1:
             return tuple(
@@ -109,75 +109,83 @@
         Parameters
         ----------
         me : Member
-            The router that is chosen; it is on the rings itself.
+            The chosen router; it must be on the rings.
 
         Returns
         -------
         tuple of Member
-            Bounded like those that it chooses itself.
+            Limited in number like those that it chooses itself.
         """
         if len(self.members) <= self.max_peers + 1:
-            near = self.members
+            candidates = self.members
         else:
-            near = self._behind(me, self.max_peers // 2)
+            candidates = self._possible_choosers(me, self.max_peers // 2)
         return tuple(
             member
-            for member in near
+            for member in candidates
             if member.incarnation != me.incarnation and self.chooses(member, me)
         )
 
-    def _behind(self, me: Member, most: int) -> tuple[Member, ...]:
-        """Return those on the rings from which one lies at a distance."""
-        zone = self._zones[me.zone]
-        whole = self._whole
-        distances = _doubling(len(zone.members))
-        near = zone.steps(me.incarnation, _backwards(distances))
-        distances = _spaced(len(whole.members), most)
-        far = whole.steps(me.incarnation, _backwards(distances))
-        both = {member.incarnation: member for member in (*near, *far)}
-        return tuple(both.values())
+    def _possible_choosers(self, me: Member, limit: int) -> tuple[Member, ...]:
+        """Return the routers that have one at a distance they choose from."""
+        zone = self._zone_rings[me.zone]
+        fleet = self._fleet_ring
+        distances = _powers_of_two(len(zone.members))
+        from_zone = zone.at_distances(me.incarnation, _negated(distances))
+        distances = _spread_distances(len(fleet.members), limit)
+        from_fleet = fleet.at_distances(me.incarnation, _negated(distances))
+        distinct = {
+            member.incarnation: member for member in (*from_zone, *from_fleet)
+        }
+        return tuple(distinct.values())
 
     def _choose_by_distance(
         self,
         me: Member,
-        most: int,
+        limit: int,
     ) -> tuple[Member, ...]:
-        least_far = max(1, most // _FAR_SHARE)
-        zone = self._zones[me.zone]
-        near = zone.steps(me.incarnation, _doubling(len(zone.members)))
-        size = len(self._whole.members)
-        far = self._whole.steps(me.incarnation, _spaced(size, most))
+        min_from_fleet = max(1, limit // _FLEET_RING_DIVISOR)
+        zone = self._zone_rings[me.zone]
+        from_zone = zone.at_distances(
+            me.incarnation, _powers_of_two(len(zone.members))
+        )
+        size = len(self._fleet_ring.members)
+        from_fleet = self._fleet_ring.at_distances(
+            me.incarnation, _spread_distances(size, limit)
+        )
         chosen: dict[str, Member] = {}
-        for member in (*near[: most - least_far], *far):
-            if len(chosen) < most and not member.leaving:
+        for member in (*from_zone[: limit - min_from_fleet], *from_fleet):
+            if len(chosen) < limit and not member.leaving:
                 chosen[member.incarnation] = member
         return tuple(chosen.values())
 
 
 def _make_ring(members: Iterable[Member]) -> Ring:
     ordered = list(members)
-    places = {member.incarnation: place for place, member in enumerate(ordered)}
-    return Ring(ordered, places)
+    positions = {
+        member.incarnation: position for position, member in enumerate(ordered)
+    }
+    return Ring(ordered, positions)
 
 
-def _doubling(size: int) -> tuple[int, ...]:
-    """Return 1, 2, 4 and so on: few steps to anywhere on a ring."""
+def _powers_of_two(size: int) -> tuple[int, ...]:
+    """Return 1, 2, 4 and so on: reaches any position in few hops."""
     return tuple(
         1 << power for power in range(size.bit_length()) if 1 << power < size
     )
 
 
-def _backwards(distances: Iterable[int]) -> tuple[int, ...]:
+def _negated(distances: Iterable[int]) -> tuple[int, ...]:
     return tuple(-distance for distance in distances)
 
 
-def _spaced(size: int, most: int) -> tuple[int, ...]:
-    """Return 1, then distances spread over the ring, then near ones."""
-    least = max(1, most // _FAR_SHARE)
-    spread = (round(size ** (step / least)) for step in range(least))
-    more = range(2, 2 * most)
-    return tuple(dict.fromkeys((*spread, *more)))
+def _spread_distances(size: int, limit: int) -> tuple[int, ...]:
+    """Return 1, then distances spread over the ring, then small ones."""
+    count = max(1, limit // _FLEET_RING_DIVISOR)
+    spread = (round(size ** (step / count)) for step in range(count))
+    small = range(2, 2 * limit)
+    return tuple(dict.fromkeys((*spread, *small)))
 
 
-def _position(member: Member) -> tuple[int, str]:
-    return (weigh(_RING, member.incarnation), member.incarnation)
+def _ring_order(member: Member) -> tuple[int, str]:
+    return (weigh(_HASH_KEY, member.incarnation), member.incarnation)
--- a/src/balsamreach/peers/outbox.py
+++ b/src/balsamreach/peers/outbox.py
@@ -1,41 +1,41 @@
-"""Bytes that wait to be written to one connection."""
+"""Queue of bytes to be written to one connection."""
 
 import asyncio
 
 import attrs
 
-#: Most bytes that wait; what comes on top is dropped.
-MOST_WAITING = 4 * 1024 * 1024
+#: Maximum number of queued bytes; further frames are dropped.
+MAX_QUEUED_BYTES = 4 * 1024 * 1024
 
 
 @attrs.define(eq=False)
 class Outbox:
     """A bounded queue of frames with one reader.
 
-    A peer that reads slowly, or not at all, would otherwise fill this
-    router's memory. It shows as a growing counter of dropped messages.
+    A peer that reads slowly, or not at all, would otherwise fill this router's
+    memory. A counter of dropped messages shows that it happens.
     """
 
-    most: int = MOST_WAITING
-    size: int = 0
+    max_bytes: int = MAX_QUEUED_BYTES
+    queued_bytes: int = 0
     _frames: list[bytes] = attrs.field(factory=list)
     _filled: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def put(self, octets: bytes) -> bool:
-        """Queue a frame; False if there is no room."""
-        size = self.size + len(octets)
-        if size > self.most:
+        """Queue a frame; False if the queue is full."""
+        size = self.queued_bytes + len(octets)
+        if size > self.max_bytes:
             return False
-        self.size = size
+        self.queued_bytes = size
         self._frames.append(octets)
         self._filled.set()
         return True
 
-    async def take(self) -> bytes:
-        """Return all waiting frames in one piece, at least one."""
+    async def get(self) -> bytes:
+        """Wait for frames and return all queued ones joined together."""
         await self._filled.wait()
         octets = b''.join(self._frames)
         self._frames.clear()
         self._filled.clear()
-        self.size = 0
+        self.queued_bytes = 0
         return octets
--- a/src/balsamreach/peers/takers.py
+++ b/src/balsamreach/peers/takers.py
@@ -1,4 +1,4 @@
-"""Who takes messages of which kind."""
+"""Registry of message handlers."""
 
 import logging
 
@@ -15,39 +15,41 @@
 
 @attrs.define(eq=False)
 class Takers:
-    """Hands each message to the one who takes its kind."""
+    """Passes each message to the handler of its kind."""
 
-    _takers: dict[type[Message], Taker] = attrs.field(factory=dict)
+    _handlers: dict[type[Message], Taker] = attrs.field(factory=dict)
 
-    def on(self, kind: type[Message], taker: Taker) -> None:
-        """Name the taker of a kind."""
-        assert kind not in self._takers, kind
-        self._takers[kind] = taker
+    def on(self, kind: type[Message], handler: Taker) -> None:
+        """Register the handler of a kind; one for each kind."""
+        assert kind not in self._handlers, kind
+        self._handlers[kind] = handler
 
     async def take(self, member: Member, message: Message) -> Message:
-        """Return the answer to a message; it counts only for asks.
+        """Handle a message; the returned answer is used only for requests.
 
         Parameters
         ----------
         member : Member
-            Who sent the message.
+            The sender.
         message : Message
             The message.
 
         Returns
         -------
         Message
-            The taker's answer, or Refused if there is no taker or it fails.
+            The handler's answer, or Refused if there is no handler or it fails.
         """
         kind = type(message).__name__
-        taker = self._takers.get(type(message))
-        if taker is None:
-            return Refused('no_taker', f'{kind} is not taken here')
+        handler = self._handlers.get(type(message))
+        if handler is None:
+            return Refused(
+                'no_taker', f'messages of kind {kind} are not taken here'
+            )
         try:
-            answer = await taker(member, message)
+            answer = await handler(member, message)
         except Exception as exc:
-            # A fault in one taker must not end the connection: every other
-            # part of the router uses it too. The log tells whose fault.
+            # An exception in one handler must not end the connection, which all
+            # other parts of the router use too. The log names the kind.
             log_event(
                 _logger,
                 logging.ERROR,
@@ -56,5 +58,5 @@
                 kind=kind,
                 incarnation=member.incarnation,
             )
-            return Refused('failed', f'{kind} met an error here')
+            return Refused('failed', f'the handler of {kind} met an error here')
         return Done() if answer is None else answer
--- a/src/balsamreach/peers/tally.py
+++ b/src/balsamreach/peers/tally.py
@@ -1,4 +1,4 @@
-"""Counts what happens on the connections to peers."""
+"""Counts messages, drops and refusals on the connections to peers."""
 
 import attrs
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class Tally:
-    """Counters of the peers layer.
+    """Counters of messages and connections between routers.
 
     Parameters
     ----------
@@ -19,20 +19,20 @@
 
     metrics: Metrics
 
-    def message(self, way: str, message: Message, size: int) -> None:
-        """Count a message that went ``in`` or ``out``."""
+    def count_message(self, way: str, message: Message, size: int) -> None:
+        """Count a message; ``way`` is ``in`` or ``out``."""
         kind = type(message).__name__
         self.metrics.count(counters.MESSAGES, way=way, kind=kind)
         self.metrics.count(counters.BYTES, size, way=way)
 
-    def dropped(self, reason: str) -> None:
-        """Count a message that was dropped."""
+    def count_dropped(self, reason: str) -> None:
+        """Count a dropped message."""
         self.metrics.count(counters.DROPPED, reason=reason)
 
-    def refused(self, reason: str) -> None:
-        """Count a message or connection that was refused."""
+    def count_refused(self, reason: str) -> None:
+        """Count a refused message or connection."""
         self.metrics.count(counters.REFUSED, reason=reason)
 
-    def paused(self) -> None:
-        """Count that this process stood still."""
-        self.metrics.count(counters.PAUSES)
+    def count_pause(self) -> None:
+        """Count a pause of this process."""
+        self.metrics.count(counters.OWN_PAUSES)
--- a/src/balsamreach/peers/waiting.py
+++ b/src/balsamreach/peers/timeouts.py
@@ -1,4 +1,4 @@
-"""Waits that a clock bounds."""
+"""Timeouts on the application's clock."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -9,26 +9,26 @@
 Outcome = TypeVar('Outcome')
 
 
-async def within(
+async def run_with_timeout(
     clock: Clock,
     seconds: float,
     work: Coroutine[Any, Any, Outcome],
 ) -> Outcome | None:
-    """Return what work returns, or None if it takes too long.
+    """Return the result of a coroutine, or None if it takes too long.
 
     Parameters
     ----------
     clock : Clock
-        Source of time; tests move it by hand.
+        Source of time; tests advance it manually.
     seconds : float
-        Longest time to wait.
+        Maximum time to wait.
     work : coroutine
-        Is cancelled when the time is over.
+        Cancelled at the timeout.
 
     Returns
     -------
     object or None
-        The outcome of the work.
+        The result, None after a timeout.
     """
     task = asyncio.ensure_future(work)
     timer = asyncio.ensure_future(clock.sleep(seconds))
--- a/src/balsamreach/peers/tls.py
+++ b/src/balsamreach/peers/tls.py
@@ -1,4 +1,4 @@
-"""TLS between routers: both ends show a certificate of the fleet's CA."""
+"""Mutual TLS between routers with certificates of the fleet's CA."""
 
 import ssl
 
@@ -10,29 +10,31 @@
 
 @attrs.frozen(eq=False)
 class TlsContexts:
-    """Contexts for either end; None where the listener is plain text."""
+    """TLS contexts of both ends; None for plain text."""
 
     server: ssl.SSLContext | None = None
     client: ssl.SSLContext | None = None
 
 
 def load_tls(cfg: PeersSettings) -> TlsContexts | PeerFault:
-    """Read the certificate, key and CA that the settings name.
+    """Read the certificate, key and CA named in the settings.
 
     Parameters
     ----------
     cfg : PeersSettings
-        The listener's section.
+        The section of the listener.
 
     Returns
     -------
     TlsContexts or PeerFault
-        The contexts; BAD_TLS if a file is missing or doesn't fit.
+        The contexts; BAD_TLS if a file is missing or doesn't match.
     """
     if not cfg.tls_certificate:
         return TlsContexts()
     if not cfg.tls_ca:
-        return BAD_TLS.because('[peers] tls_ca: name the CA of the routers')
+        return BAD_TLS.because(
+            '[peers] tls_ca: missing; name the CA of the routers'
+        )
     try:
         return TlsContexts(
             server=_context(cfg, ssl.PROTOCOL_TLS_SERVER),
@@ -45,7 +47,7 @@
 def _context(cfg: PeersSettings, protocol: int) -> ssl.SSLContext:
     context = ssl.SSLContext(protocol)
     # Routers come and go on changing addresses, so their certificates name
-    # none: belonging to the fleet is what its own CA attests.
+    # none: a certificate of the fleet's own CA proves membership.
     context.check_hostname = False
     context.verify_mode = ssl.CERT_REQUIRED
     context.minimum_version = ssl.TLSVersion.TLSv1_2
--- a/tests/fake_net.py
+++ b/tests/fake_net.py
@@ -1,6 +1,6 @@
-"""A net of routers in one process, with faults under the test's control.
+"""In-memory PeerNets whose message faults the test controls.
 
-Nothing runs by itself: what is told waits until ``settle`` delivers it.
+Nothing is delivered by itself: one-way messages wait until ``settle``.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen
-class _Told:
+class _Posted:
     source: Member
     incarnation: str
     message: Message
@@ -35,11 +35,12 @@
 
 @attrs.define(eq=False)
 class FakeNet:
-    """Joins the members of a test.
+    """Connects the members of a test.
 
-    ``lost``, ``answers_lost`` and ``doubled`` say how many of the next
-    messages of a kind meet that fault; ``held`` names kinds that wait until
-    ``release``. ``hubs_per_zone`` makes it a large fleet.
+    ``lost``, ``answers_lost`` and ``doubled`` set for how many of the next
+    messages of a kind the message is lost, the answer is lost, or the message
+    is delivered twice; kinds in ``held`` wait until ``release``. With
+    ``hubs_per_zone`` the net has hubs like a large fleet.
     """
 
     nets: dict[str, 'FakePeerNet'] = attrs.field(factory=dict)
@@ -50,12 +51,12 @@
     sent: list[Message] = attrs.field(factory=list)
     hubs_per_zone: int = 0
     _cut: set[frozenset[str]] = attrs.field(factory=set)
-    _unseen: set[frozenset[str]] = attrs.field(factory=set)
-    _waiting: list[_Told] = attrs.field(factory=list)
+    _interrupted: set[frozenset[str]] = attrs.field(factory=set)
+    _posted: list[_Posted] = attrs.field(factory=list)
     _released: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def join(self, incarnation: str, zone: str = 'zone-a') -> 'FakePeerNet':
-        """Add a router named by its incarnation."""
+        """Add a router with an incarnation."""
         number = len(self.nets) + 1
         member = Member(
             incarnation=incarnation,
@@ -69,63 +70,65 @@
         return net
 
     def kill(self, incarnation: str) -> None:
-        """Let a router vanish; the others hold it for dead at once."""
+        """Remove a router; the others consider it dead at once."""
         del self.nets[incarnation]
 
     def cut(self, one_side: Iterable[str], other: Iterable[str]) -> None:
-        """Let nothing pass between two groups of incarnations."""
+        """Partition two groups of incarnations."""
         others = tuple(other)
         for incarnation in one_side:
             self._cut.update(
-                frozenset((incarnation, beyond)) for beyond in others
+                frozenset((incarnation, other_incarnation))
+                for other_incarnation in others
             )
 
     def interrupt(self, one: str, other: str) -> None:
-        """Let nothing pass between two members for too short to notice.
+        """Interrupt two members too briefly for them to notice.
 
-        What is told waits for the end of it, as in a connection that stands.
+        One-way messages wait for the end of it, as in an open connection.
         """
-        self._unseen.add(frozenset((one, other)))
+        self._interrupted.add(frozenset((one, other)))
 
     def heal(self) -> None:
-        """Let messages pass between all members again."""
+        """End all partitions and interruptions."""
         self._cut.clear()
-        self._unseen.clear()
+        self._interrupted.clear()
 
     def reaches(self, one: str, other: str) -> bool:
-        """Return whether messages pass between two members now."""
+        """Return whether messages pass between two members."""
         known = one in self.nets and other in self.nets
         return known and frozenset((one, other)) not in self._cut
 
     def release(self) -> None:
-        """Let held messages go on; told ones need a ``settle`` still."""
+        """Release held messages; one-way ones still need a ``settle``."""
         self.held.clear()
         self._released.set()
         self._released = asyncio.Event()
 
     async def settle(self, *, newest_first: bool = False) -> None:
-        """Deliver what was told, and what that causes, until all is quiet."""
+        """Deliver one-way messages and those that follow from them."""
         while True:
             ready = [
-                told
-                for told in self._waiting
-                if told.kind not in self.held and not self._stalls(told)
+                posted
+                for posted in self._posted
+                if posted.kind not in self.held
+                and not self._is_interrupted(posted)
             ]
             if not ready:
                 return
-            told = ready[-1 if newest_first else 0]
-            self._waiting.remove(told)
-            await self._deliver(told)
+            posted = ready[-1 if newest_first else 0]
+            self._posted.remove(posted)
+            await self._deliver(posted)
 
     def post(self, source: Member, incarnation: str, message: Message) -> None:
-        """Take a message that needs no answer."""
+        """Queue a one-way message."""
         self.sent.append(message)
         kind = type(message)
-        told = _Told(source, incarnation, message)
-        if not _meets(self.lost, kind):
-            self._waiting.append(told)
-            if _meets(self.doubled, kind):
-                self._waiting.append(told)
+        posted = _Posted(source, incarnation, message)
+        if not _consume(self.lost, kind):
+            self._posted.append(posted)
+            if _consume(self.doubled, kind):
+                self._posted.append(posted)
 
     async def answer(
         self,
@@ -133,41 +136,41 @@
         incarnation: str,
         message: Message,
     ) -> Message | PeerFault:
-        """Carry a message there and its answer back."""
+        """Deliver a request and return its answer."""
         kind = type(message)
         self.sent.append(message)
         while kind in self.held:
             await self._released.wait()
-        if _meets(self.lost, kind):
+        if _consume(self.lost, kind):
             return NO_ANSWER
         if not self._carries(source.incarnation, incarnation):
             return NO_ANSWER
-        if _meets(self.doubled, kind):
+        if _consume(self.doubled, kind):
             await self.nets[incarnation].take(source, message)
         answer = await self.nets[incarnation].take(source, message)
-        if _meets(self.answers_lost, kind):
+        if _consume(self.answers_lost, kind):
             return NO_ANSWER
         if not self._carries(source.incarnation, incarnation):
             return NO_ANSWER
         return answer
 
     def _carries(self, one: str, other: str) -> bool:
-        unseen = frozenset((one, other)) in self._unseen
-        return self.reaches(one, other) and not unseen
+        interrupted = frozenset((one, other)) in self._interrupted
+        return self.reaches(one, other) and not interrupted
 
-    def _stalls(self, told: _Told) -> bool:
-        source = told.source.incarnation
-        return frozenset((source, told.incarnation)) in self._unseen
+    def _is_interrupted(self, posted: _Posted) -> bool:
+        source = posted.source.incarnation
+        return frozenset((source, posted.incarnation)) in self._interrupted
 
-    async def _deliver(self, told: _Told) -> None:
-        if self.reaches(told.source.incarnation, told.incarnation):
-            net = self.nets[told.incarnation]
-            await net.take(told.source, told.message)
+    async def _deliver(self, posted: _Posted) -> None:
+        if self.reaches(posted.source.incarnation, posted.incarnation):
+            net = self.nets[posted.incarnation]
+            await net.take(posted.source, posted.message)
 
 
 @attrs.define(eq=False)
 class FakeHubs(HubChoice):
-    """The hubs that the real net would choose."""
+    """The hubs that the real net would select."""
 
     fabric: FakeNet
 
@@ -186,17 +189,17 @@
 
 @attrs.define(eq=False)
 class FakePeerNet(PeerNet):
-    """One router's view of the net; all others are its neighbours."""
+    """The net as one router sees it; all others are its neighbours."""
 
     fabric: FakeNet
     takers: dict[type[Message], Taker] = attrs.field(factory=dict)
 
     def members(self) -> tuple[Member, ...]:
-        """Return all that joined and weren't killed."""
+        """Return all members that were not killed."""
         return tuple(net.me for net in self.fabric.nets.values())
 
     def neighbours(self) -> tuple[Member, ...]:
-        """Return all others that no cut keeps away."""
+        """Return all other members in the same partition."""
         return tuple(
             member
             for member in self.members()
@@ -207,10 +210,10 @@
         """Return the key's home as the real net would."""
         return home_of(key, self.members(), self.me.zone) or self.me
 
-    def on(self, kind: type[Message], taker: Taker) -> None:
-        """Name a kind's taker."""
+    def on(self, kind: type[Message], handler: Taker) -> None:
+        """Register the handler of a kind."""
         assert kind not in self.takers, kind
-        self.takers[kind] = taker
+        self.takers[kind] = handler
 
     async def ask(
         self,
@@ -218,20 +221,20 @@
         message: Message,
         gaps: int = 1,
     ) -> Message | PeerFault:
-        """Ask a member that is in reach."""
+        """Send a request to a reachable member."""
         if not self._reaches(incarnation):
             return NOT_CONNECTED
         return await self.fabric.answer(self.me, incarnation, message)
 
     def tell(self, incarnation: str, message: Message) -> bool:
-        """Tell a member that is in reach; ``settle`` delivers it."""
+        """Queue a message to a reachable member; ``settle`` delivers it."""
         if not self._reaches(incarnation):
             return False
         self.fabric.post(self.me, incarnation, message)
         return True
 
     def spread(self, message: Message, besides: str = '') -> None:
-        """Tell all neighbours but one."""
+        """Send to all neighbours except ``besides``."""
         for member in self.neighbours():
             if member.incarnation != besides:
                 self.tell(member.incarnation, message)
@@ -241,16 +244,16 @@
         source: Member,
         message: Message,
     ) -> Message | PeerFault:
-        """Hand a message to its taker, as if it came over a connection."""
-        taker = self.takers.get(type(message))
-        answer = await taker(source, message) if taker else None
+        """Handle a message as if it came over a connection."""
+        handler = self.takers.get(type(message))
+        answer = await handler(source, message) if handler else None
         return PEER_REFUSED if answer is None else answer
 
     def _reaches(self, incarnation: str) -> bool:
         return self.fabric.reaches(self.me.incarnation, incarnation)
 
 
-def _meets(faults: Counter[type[Message]], kind: type[Message]) -> bool:
+def _consume(faults: Counter[type[Message]], kind: type[Message]) -> bool:
     met = faults[kind] > 0
     faults[kind] -= met
     return met
--- a/tests/peers_rig.py
+++ b/tests/peers_rig.py
@@ -1,4 +1,4 @@
-"""Routers' nets in one process, over real sockets and a clock by hand."""
+"""Runs several TcpPeerNets in one process, with sockets and a fake clock."""
 
 import asyncio
 import random
@@ -16,20 +16,20 @@
 from balsamreach.wire.membership import Member
 from tests.support import FakeClock
 
-_STEP = 0.125
-_MOST_STEPS = 2000
-_PASSES = 30
+_STEP_SECONDS = 0.125
+_MAX_STEPS = 2000
+_YIELDS_PER_STEP = 30
 
 
 @attrs.define
-class ListedHosts(HostList):
-    """A host list that shows what the test says."""
+class FakeHostList(HostList):
+    """A host list with entries set by the test."""
 
     entries: tuple[HostEntry, ...] = ()
     away: bool = False
 
     async def hosts(self) -> tuple[HostEntry, ...] | PlatformFault:
-        """Return the entries, or that the platform is away."""
+        """Return the entries, or a fault while ``away`` is set."""
         return UNREACHABLE if self.away else self.entries
 
     async def power(
@@ -39,17 +39,17 @@
         on: bool,
         fence: int,
     ) -> PlatformFault | None:
-        """Refuse: peers order nothing."""
+        """Fail: routers give no power orders."""
         return UNREACHABLE
 
 
 @attrs.define(eq=False)
 class Rig:
-    """Makes nets and moves the clock that they share."""
+    """Creates nets and advances the clock that they share."""
 
     clock: FakeClock = attrs.field(factory=FakeClock)
-    hosts: ListedHosts = attrs.field(factory=ListedHosts)
-    pace: float = _STEP
+    hosts: FakeHostList = attrs.field(factory=FakeHostList)
+    step_seconds: float = _STEP_SECONDS
     nets: list[TcpPeerNet] = attrs.field(factory=list)
 
     async def start(
@@ -59,7 +59,7 @@
         zone: str = 'zone-a',
         started: float = 0,
     ) -> TcpPeerNet:
-        """Start a router's net; ``overrides`` are of its settings."""
+        """Start the net of a router; ``overrides`` apply to its settings."""
         net = self.make(name, *overrides, zone=zone, started=started)
         fault = await net.start()
         assert fault is None, fault
@@ -72,7 +72,7 @@
         zone: str = 'zone-a',
         started: float = 0,
     ) -> TcpPeerNet:
-        """Make a net without starting it."""
+        """Create a net without starting it."""
         cfg = read_settings(
             None,
             (f'host.zone={zone}', 'peers.port=0', *overrides),
@@ -97,44 +97,44 @@
         return net
 
     async def step(self) -> None:
-        """Move the clock a little and let everything that follows happen."""
-        self.clock.advance(self.pace)
-        for _ in range(_PASSES):
+        """Advance the clock by one step and run the event loop."""
+        self.clock.advance(self.step_seconds)
+        for _ in range(_YIELDS_PER_STEP):
             await asyncio.sleep(0)
 
     async def steps(self, seconds: float) -> None:
-        """Move the clock step by step."""
-        for _ in range(round(seconds / self.pace)):
+        """Advance the clock step by step for some seconds."""
+        for _ in range(round(seconds / self.step_seconds)):
             await self.step()
 
     async def until(self, check) -> None:
-        """Move the clock step by step until a check holds."""
-        for _ in range(_MOST_STEPS):
+        """Advance the clock step by step until a check is true."""
+        for _ in range(_MAX_STEPS):
             if check():
                 return
             await self.step()
-        raise AssertionError('it did not come to be')
+        raise AssertionError('the condition was not met in time')
 
     async def stop(self) -> None:
-        """Stop all nets, none of which waits for the others."""
+        """Stop all nets without waiting for each other."""
         for net in self.nets:
             await crash(net)
 
 
 async def crash(net: TcpPeerNet) -> None:
-    """End a net as if its process had been killed."""
+    """Stop a net as if its process had been killed."""
     net._listener.stop()
-    if net._upkeep is not None:
-        net._upkeep.cancel()
+    if net._maintenance is not None:
+        net._maintenance.cancel()
     net.keeper.stopping = True
     await net.keeper.tasks.cancel()
 
 
 def names(net: TcpPeerNet) -> set[str]:
-    """Return the incarnations that a net holds to be alive."""
+    """Return the incarnations that a net believes alive."""
     return {member.incarnation for member in net.members()}
 
 
 def linked(net: TcpPeerNet) -> set[str]:
-    """Return the incarnations that a net has links to."""
+    """Return the incarnations of a net's neighbours."""
     return {member.incarnation for member in net.neighbours()}
--- a/tests/test_peers_backoff.py
+++ b/tests/test_peers_backoff.py
@@ -1,4 +1,4 @@
-"""Tests of the pauses between tries to reach a router."""
+"""Tests of the backoff between attempts to connect."""
 
 import unittest
 
@@ -7,39 +7,39 @@
 
 
 class BackoffTest(unittest.TestCase):
-    """Only the way between two routers is broken, for long.
+    """Only the path between two routers is broken, for a long time.
 
-    Symptom: deaths and revisions grow by the second in the whole fleet.
-    Sequence: one can't reach the other and calls it dead, the other refutes
-    it, the first tries again at once. Cause: no pause between tries.
+    Guards against deaths and revisions that grow by the second in the whole
+    fleet: one router can't reach the other and declares it dead, the other
+    refutes it, and without a pause the first tries again at once.
     """
 
     def setUp(self):
         self.clock = FakeClock()
         self.backoff = Backoff(self.clock)
 
-    def pause(self):
-        """Let a try fail and return how long the next one has to wait."""
-        self.backoff.failed('two')
+    def fail_and_wait(self):
+        """Record a failure and return the seconds until the next attempt."""
+        self.backoff.record_failure('two')
         waited = 0
-        while self.backoff.waits('two'):
+        while self.backoff.must_wait('two'):
             self.clock.advance(1)
             waited += 1
         return waited
 
-    def test_pauses_double_up_to_a_bound(self):
-        pauses = [self.pause() for _ in range(8)]
+    def test_pauses_double_up_to_the_maximum(self):
+        pauses = [self.fail_and_wait() for _ in range(8)]
         self.assertEqual(pauses, [5, 10, 20, 40, 80, 160, 300, 300])
 
     def test_success_ends_the_pause(self):
-        self.backoff.failed('two')
-        self.assertFalse(self.backoff.waits('three'))
-        self.backoff.succeeded('two')
-        self.assertFalse(self.backoff.waits('two'))
-        self.assertEqual(self.pause(), 5)
-
-    def test_old_failures_are_forgotten(self):
-        self.pause()
+        self.backoff.record_failure('two')
+        self.assertFalse(self.backoff.must_wait('three'))
+        self.backoff.record_success('two')
+        self.assertFalse(self.backoff.must_wait('two'))
+        self.assertEqual(self.fail_and_wait(), 5)
+
+    def test_old_failures_are_pruned(self):
+        self.fail_and_wait()
         self.clock.advance(1000)
-        self.backoff.forget()
-        self.assertEqual(self.pause(), 5)
+        self.backoff.prune()
+        self.assertEqual(self.fail_and_wait(), 5)
--- a/tests/test_peers_gossip.py
+++ b/tests/test_peers_gossip.py
@@ -1,4 +1,4 @@
-"""Tests of how news of routers spreads and is mended."""
+"""Tests of spreading and repairing membership updates."""
 
 import random
 import unittest
@@ -15,7 +15,7 @@
 
 
 class GossipTest(unittest.IsolatedAsyncioTestCase):
-    """Lists become equal over a net that loses messages."""
+    """Membership lists become equal although messages are lost."""
 
     def setUp(self):
         self.net = FakeNet()
@@ -32,8 +32,8 @@
         members = self.gossips[name].membership.alive()
         return sorted(member.incarnation for member in members)
 
-    def told(self, name):
-        return set(self.gossips[name].membership.told())
+    def advertised(self, name):
+        return set(self.gossips[name].membership.advertised())
 
     async def flush(self):
         for _ in range(_ROUTERS):
@@ -41,14 +41,14 @@
                 gossip.flush()
             await self.net.settle()
 
-    async def meet_all(self):
+    async def sync_all(self):
         for name in self.gossips:
             await self.gossips[name].compare('r0')
             await self.net.settle()
         await self.flush()
 
-    async def test_lists_become_equal_and_quiet(self):
-        await self.meet_all()
+    async def test_equal_lists_send_no_updates(self):
+        await self.sync_all()
         for name in self.gossips:
             self.assertEqual(self.alive(name), sorted(self.gossips))
         self.net.sent.clear()
@@ -57,13 +57,13 @@
         await self.net.settle()
         self.assertEqual([type(sent) for sent in self.net.sent], [MembersAsk])
 
-    async def test_news_spreads_and_comparing_mends_lost_news(self):
-        """Symptom: one router keeps sending to a dead one.
+    async def test_updates_spread_and_comparing_repairs_lost_ones(self):
+        """Guards against a router that keeps sending to a dead one.
 
-        Sequence: the news of a death to it is lost. Cause: news is sent
-        once; only comparing lists finds what got lost.
+        The update about the death does not reach it. Updates are sent once, so
+        only comparing lists finds the loss.
         """
-        await self.meet_all()
+        await self.sync_all()
         self.net.kill('r7')
         gossip = self.gossips['r1']
         gossip.membership.bury('r7')
@@ -76,7 +76,7 @@
         await self.gossips['r4'].compare('r2')
         self.assertNotIn('r7', self.alive('r4'))
 
-    async def test_comparing_mends_both_sides(self):
+    async def test_comparing_updates_both_sides(self):
         gossips = (self.gossips['r0'], self.gossips['r1'])
         extra = attrs.evolve(gossips[0].membership.me, incarnation='x')
         gossips[0].membership.merge(attrs.evolve(extra, address='1.1.1.1:1'))
@@ -85,19 +85,19 @@
         )
         self.assertTrue(await gossips[0].compare('r1'))
         await self.net.settle()
-        self.assertEqual(self.told('r0'), self.told('r1'))
+        self.assertEqual(self.advertised('r0'), self.advertised('r1'))
         self.assertEqual(self.alive('r0'), ['r0', 'r1', 'x', 'y'])
 
-    async def test_heal_after_a_partition_revives_the_living(self):
-        """Symptom: after a partition each side ignores the other.
+    async def test_routers_are_alive_again_after_a_partition(self):
+        """Guards against halves that ignore each other after a partition.
 
-        Sequence: two halves are cut apart, each marks the other dead, the
-        cut heals. Cause: marks of death that nobody takes back.
+        Each half marks the other dead, and the marks would stay if the live
+        routers didn't refute them.
         """
-        await self.meet_all()
+        await self.sync_all()
         names = sorted(self.gossips)
-        self.bury_others(names[:4], names[4:])
-        self.bury_others(names[4:], names[:4])
+        self.mark_dead(names[:4], names[4:])
+        self.mark_dead(names[4:], names[:4])
         await self.gossips['r0'].compare('r4')
         await self.net.settle(newest_first=True)
         await self.flush()
@@ -106,7 +106,7 @@
         for name in names:
             self.assertEqual(self.alive(name), names)
 
-    def bury_others(self, half, others):
+    def mark_dead(self, half, others):
         for name in half:
             for other in others:
                 self.gossips[name].membership.bury(other)
@@ -118,12 +118,12 @@
             await self.net.settle()
         await self.flush()
 
-    async def test_lost_ask_is_told(self):
+    async def test_lost_request_is_reported(self):
         self.net.lost[MembersAsk] = 1
         self.assertFalse(await self.gossips['r0'].compare('r1'))
 
-    async def test_news_does_not_return_to_its_source(self):
-        await self.meet_all()
+    async def test_update_is_not_sent_to_its_source(self):
+        await self.sync_all()
         self.net.sent.clear()
         member = attrs.evolve(self.net.nets['r0'].me, revision=3)
         self.gossips['r1'].learn((member,), 'r0')
--- a/tests/test_peers_greeting.py
+++ b/tests/test_peers_handshake.py
@@ -1,4 +1,4 @@
-"""Tests of the greeting: strangers and old versions are refused."""
+"""Tests of the handshake: foreign routers and old versions are refused."""
 
 import asyncio
 import socket
@@ -11,8 +11,8 @@
 from balsamreach.config.reader import read_settings
 from balsamreach.peers import counters
 from balsamreach.peers.connector import Connector
-from balsamreach.peers.faults import STRANGER
-from balsamreach.peers.greeting import MOST_GREETING, greet
+from balsamreach.peers.faults import HELLO_REFUSED
+from balsamreach.peers.handshake import MAX_HELLO_BYTES, initiate_handshake
 from balsamreach.peers.link import Link, LinkContext
 from balsamreach.peers.takers import Takers
 from balsamreach.peers.tally import Tally
@@ -41,8 +41,8 @@
     return frame(encode(Envelope(message)))
 
 
-class GreetingTest(unittest.IsolatedAsyncioTestCase):
-    """Only routers of this fleet that speak a known version get a link."""
+class HandshakeTest(unittest.IsolatedAsyncioTestCase):
+    """Only routers of this fleet with a supported version get a link."""
 
     async def asyncSetUp(self):
         near, far = socket.socketpair()
@@ -67,23 +67,22 @@
             ('itself', _framed(_ME)),
             ('no_greeting', _framed(Heartbeat())),
             ('no_greeting', frame(b'\xff' * 9)),
-            ('no_greeting', (MOST_GREETING + 1).to_bytes(4)),
+            ('no_greeting', (MAX_HELLO_BYTES + 1).to_bytes(4)),
             ('no_greeting', b'GET / HTTP/1.1\r\n\r\n'),
         ),
     )
-    async def test_stranger_is_told_refused_and_counted(self, code, octets):
-        """A process that doesn't belong here connects.
+    async def test_refusal_is_sent_and_counted(self, code, octets):
+        """A process that doesn't belong to the fleet connects.
 
-        Symptom: odd members, or a router busy with rubbish. Sequence: an
-        old release, another fleet's router or a port scanner connects.
-        Cause: taking in whoever connects.
+        Guards against unknown members, and against load from invalid messages
+        of an old release, a router of another fleet or a port scanner.
         """
         await self.far.write(octets)
         link = await self.connector.accept(self.near, '10.0.0.9:9')
         self.assertIsNone(link)
-        told = decode(await read_frame(self.far, MOST_GREETING)).message
-        self.assertEqual(told.code, code)
-        self.assertTrue(told.reason)
+        refused = decode(await read_frame(self.far, MAX_HELLO_BYTES)).message
+        self.assertEqual(refused.code, code)
+        self.assertTrue(refused.reason)
         counted = self.metrics.counted(counters.REFUSED, reason=code)
         self.assertEqual(counted, 1)
         self.assertTrue(self.near.closed())
@@ -92,19 +91,19 @@
         accepting = asyncio.create_task(
             self.connector.accept(self.near, '10.0.0.9:9'),
         )
-        self.assertEqual(await greet(self.far, _OTHER), _ME)
+        self.assertEqual(await initiate_handshake(self.far, _OTHER), _ME)
         await self.far.write(_framed(Heartbeat()))
         link = await accepting
         self.assertIsInstance(link, Link)
         self.assertEqual(link.peer, _OTHER.member)
 
-    async def test_unconfirmed_greeting_gives_no_link(self):
-        """Only what this router sends is lost on the way.
+    async def test_unconfirmed_handshake_gives_no_link(self):
+        """Only outgoing packets of this router are lost.
 
-        Symptom: a peer that calls this router dead counts as alive here for
-        as long as it goes on trying; what it is asked finds no answer.
-        Sequence: its greeting arrives, the answer to it doesn't; it gives
-        up, and comes again. Cause: a link that one end alone holds for open.
+        Guards against a peer that declared this router dead but counts as alive
+        here as long as it retries, while requests to it time out. Its Hello
+        arrives, the answer doesn't, and it gives up and connects again; a link
+        would be open at one end only.
         """
         accepting = asyncio.create_task(
             self.connector.accept(self.near, '10.0.0.9:9'),
@@ -117,19 +116,18 @@
         counted = self.metrics.counted(counters.REFUSED, reason='no_greeting')
         self.assertEqual(counted, 1)
 
-    async def test_refused_router_learns_why(self):
-        greeting = asyncio.create_task(greet(self.near, _ME))
-        await read_frame(self.far, MOST_GREETING)
+    async def test_refused_router_gets_the_reason(self):
+        handshake = asyncio.create_task(initiate_handshake(self.near, _ME))
+        await read_frame(self.far, MAX_HELLO_BYTES)
         await self.far.write(_framed(Refused('old_version', 'too old')))
-        fault = await greeting
-        self.assertEqual(fault, STRANGER)
+        fault = await handshake
+        self.assertEqual(fault, HELLO_REFUSED)
         self.assertIn('too old', fault.reason)
 
-    async def test_half_open_connection_is_given_up(self):
-        """Somebody connects and says nothing.
+    async def test_connection_without_hello_is_closed(self):
+        """A paused or partitioned process connects and sends nothing.
 
-        Symptom: connections pile up. Sequence: a paused or cut-off process
-        connects, its greeting never comes. Cause: waiting without a bound.
+        Guards against connections that pile up without a handshake timeout.
         """
         accepting = asyncio.create_task(
             self.connector.accept(self.near, '10.0.0.9:9'),
--- a/tests/test_peers_homes.py
+++ b/tests/test_peers_homes.py
@@ -1,4 +1,4 @@
-"""Tests of rendezvous hashing and of the in-memory net that uses it."""
+"""Tests of rendezvous hashing and of FakeNet, which uses it."""
 
 import asyncio
 import unittest
@@ -15,7 +15,7 @@
 class HomeTest(unittest.TestCase):
     """Routers agree on homes, and few keys move when members change."""
 
-    def test_members_agree_and_share_alike(self):
+    def test_members_agree_and_load_is_balanced(self):
         net = FakeNet()
         nets = [net.join(f'r{number}') for number in range(8)]
         net.join('away', zone='zone-b')
@@ -45,21 +45,21 @@
 
 
 class FakeNetTest(unittest.IsolatedAsyncioTestCase):
-    """The faults that other tests order happen, once each."""
+    """FakeNet applies each configured fault once."""
 
     def setUp(self):
         self.net = FakeNet()
         self.one = self.net.join('one')
         self.two = self.net.join('two', zone='zone-b')
-        self.taken = []
-        self.two.on(Heartbeat, self.take)
-        self.two.on(InFlightAsk, self.take)
+        self.received = []
+        self.two.on(Heartbeat, self.receive)
+        self.two.on(InFlightAsk, self.receive)
 
-    async def take(self, member, message):
-        self.taken.append(message)
+    async def receive(self, member, message):
+        self.received.append(message)
         return Done()
 
-    async def test_told_lost_doubled_and_cut(self):
+    async def test_tell_lost_duplicated_and_cut(self):
         self.net.lost[Heartbeat] = 1
         self.net.doubled[Heartbeat] = 1
         for version in range(3):
@@ -68,7 +68,7 @@
         self.assertFalse(self.one.tell('two', Heartbeat(9)))
         self.net.heal()
         await self.net.settle()
-        versions = [message.table_version for message in self.taken]
+        versions = [message.table_version for message in self.received]
         self.assertEqual(versions, [1, 1, 2])
 
     async def test_lost_answer_and_cut(self):
@@ -76,7 +76,7 @@
         self.net.answers_lost[InFlightAsk] = 1
         self.assertEqual(await self.one.ask('two', ask), NO_ANSWER)
         self.assertEqual(await self.one.ask('two', ask), Done())
-        self.assertEqual(len(self.taken), 2)
+        self.assertEqual(len(self.received), 2)
         self.net.cut(['two'], ['one'])
         self.assertEqual(await self.one.ask('two', ask), NOT_CONNECTED)
 
@@ -86,6 +86,6 @@
             self.one.ask('two', InFlightAsk('engine-0')),
         )
         await asyncio.sleep(0)
-        self.assertEqual(self.taken, [])
+        self.assertEqual(self.received, [])
         self.net.release()
         self.assertEqual(await asked, Done())
--- a/tests/test_peers_hubs.py
+++ b/tests/test_peers_hubs.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a zone's hubs."""
+"""Tests of the selection of hubs."""
 
 import random
 import unittest
@@ -48,7 +48,7 @@
             (910, 2),
         ]
     )
-    def test_a_fleet_that_is_a_full_mesh_has_none(self, count, expected):
+    def test_full_mesh_has_no_hubs(self, count, expected):
         members = _members(count)
         hubs = self.hubs(members)
         zones = {member.zone for member in members}
@@ -56,25 +56,26 @@
         for zone in zones:
             self.assertEqual(len(hubs.of(zone)), expected)
 
-    def test_the_widest_links_go_first(self):
-        """Symptom: a small host's link is full, and it loses its peers.
+    def test_highest_bandwidth_is_preferred(self):
+        """Guards against a small host that loses its peers as its link is full.
 
-        Sequence: it is its zone's hub by the hash; a large configuration
-        changes, which it tells to all others.
-        Cause: hubs were chosen whatever their links.
+        If hubs were selected by hash alone, it could be a hub of its zone and
+        would have to send a large changed configuration to all others.
         """
         members = list(_members(60))
-        wide = {members[0].incarnation, members[6].incarnation}
+        high_bandwidth = {members[0].incarnation, members[6].incarnation}
         members = [
-            attrs.evolve(one, link=100 if one.incarnation in wide else 10)
+            attrs.evolve(
+                one, link=100 if one.incarnation in high_bandwidth else 10
+            )
             for one in members
         ]
         chosen = pick_hubs(members, 'zone-0', 2)
-        self.assertEqual({one.incarnation for one in chosen}, wide)
-        left = [one for one in members if one.incarnation not in wide]
+        self.assertEqual({one.incarnation for one in chosen}, high_bandwidth)
+        left = [one for one in members if one.incarnation not in high_bandwidth]
         self.assertEqual(len(pick_hubs(left, 'zone-0', 2)), 2)
 
-    def test_whatever_the_order_in_which_members_came(self):
+    def test_order_of_members_does_not_matter(self):
         members = _members(195)
         one = self.hubs(members)
         other = self.hubs(tuple(reversed(members)))
@@ -82,7 +83,7 @@
             self.assertEqual(one.of(zone), other.of(zone))
             self.assertEqual({hub.zone for hub in one.of(zone)}, {zone})
 
-    def test_one_that_leaves_is_replaced_and_the_other_stays(self):
+    def test_leaving_hub_is_replaced(self):
         members = _members(195)
         first, second = pick_hubs(members, 'zone-1', 2)
         leaving = tuple(
@@ -91,7 +92,7 @@
         )
         self.assertEqual(pick_hubs(leaving, 'zone-1', 2)[0], second)
 
-    def test_a_change_of_members_counts_at_once(self):
+    def test_change_of_members_updates_the_hubs(self):
         members = _members(195)
         hubs = self.hubs(members)
         first = hubs.of('zone-1')[0]
--- a/tests/test_peers_link.py
+++ b/tests/test_peers_link.py
@@ -1,4 +1,4 @@
-"""Tests of one connection: answers, bounds, silence, pauses."""
+"""Tests of one connection: answers, limits, silence and pauses."""
 
 import asyncio
 import socket
@@ -8,12 +8,12 @@
 from tornado.iostream import IOStream
 
 from balsamreach.config.reader import read_settings
-from balsamreach.peers import counters, incoming
+from balsamreach.peers import counters, inbound
 from balsamreach.peers.base import FETCH_GAPS
 from balsamreach.peers.faults import (
     LINK_CLOSED,
-    LINK_GARBLED,
-    LINK_PARTED,
+    LINK_MALFORMED,
+    LINK_RELEASED,
     LINK_SILENT,
     NO_ANSWER,
     PEER_REFUSED,
@@ -33,10 +33,10 @@
 
 _PEER = Member('peer', 'host-peer', '10.0.0.2:1', 'zone-a')
 _CFG = read_settings(None, ('host.zone=zone-a',)).peers
-_PASSES = 10
-_LARGE = 10_000
+_LOOP_YIELDS = 10
+_LARGE_BYTES = 10_000
 #: Pieces of a message that takes twice the gap timeout to arrive.
-_PARTS = 2 * round(_CFG.gap_timeout / _CFG.heartbeat)
+_PIECES = 2 * round(_CFG.gap_timeout / _CFG.heartbeat)
 
 
 def _framed(message, ask=0, answers=0):
@@ -44,19 +44,19 @@
 
 
 class LinkTest(unittest.IsolatedAsyncioTestCase):
-    """A link whose other end is a plain socket that the test drives."""
+    """A link whose other end is a plain socket controlled by the test."""
 
     async def asyncSetUp(self):
         near, far = socket.socketpair()
         self.far = IOStream(far)
         self.metrics = Metrics()
         self.clock = FakeClock()
-        self.taken = []
-        self.gate = asyncio.Event()
-        self.gate.set()
+        self.handled = []
+        self.handler_gate = asyncio.Event()
+        self.handler_gate.set()
         self.takers = Takers()
-        self.takers.on(InFlightAsk, self.take)
-        self.takers.on(TargetMark, self.take)
+        self.takers.on(InFlightAsk, self.handle_target)
+        self.takers.on(TargetMark, self.handle_target)
         context = LinkContext(
             cfg=_CFG,
             clock=self.clock,
@@ -72,13 +72,13 @@
         await asyncio.gather(self.running, return_exceptions=True)
         self.far.close()
 
-    async def take(self, _member, message):
-        await self.gate.wait()
-        self.taken.append(message.target)
-        return InFlight(message.target, len(self.taken))
+    async def handle_target(self, _member, message):
+        await self.handler_gate.wait()
+        self.handled.append(message.target)
+        return InFlight(message.target, len(self.handled))
 
     async def settle(self):
-        for _ in range(_PASSES):
+        for _ in range(_LOOP_YIELDS):
             await asyncio.sleep(0)
 
     async def next_message(self):
@@ -88,21 +88,21 @@
                 return envelope
 
     async def ask(self, target, gaps=1):
-        """Ask over the link; return the ask's task and its number."""
+        """Send a request over the link; return its task and its number."""
         asking = self.link.ask(InFlightAsk(target), gaps)
         asked = asyncio.create_task(asking)
         return asked, (await self.next_message()).ask
 
 
 class AnswerTest(LinkTest):
-    """Each ask gets its own answer, or none."""
+    """Each request gets its own answer, or none."""
 
-    async def test_answers_out_of_order_and_doubled(self):
+    async def test_answers_out_of_order_and_duplicated(self):
         """Answers arrive late, twice and in another order.
 
-        Symptom: a caller gets the answer to another's ask. Sequence: two
-        asks, the second is answered first, then again. Cause: pairing by
-        order of arrival.
+        Guards against matching by order of arrival, where a caller gets the
+        answer to another request: the second of two requests is answered first,
+        then again.
         """
         first, one = await self.ask('a')
         second, two = await self.ask('b')
@@ -117,33 +117,33 @@
     async def test_late_answer_is_dropped(self):
         asked, number = await self.ask('a')
         start = self.clock.now()
-        await self.beat_until(asked.done)
+        await self.send_heartbeats_until(asked.done)
         self.assertEqual(await asked, NO_ANSWER)
         self.assertEqual(self.clock.now() - start, _CFG.gap_timeout)
         await self.far.write(_framed(InFlight('a', 1), answers=number))
-        await self.beat_until(lambda: self.dropped('late_answer'))
+        await self.send_heartbeats_until(lambda: self.dropped('late_answer'))
 
-    async def test_a_large_answer_comes_late(self):
-        """Guards against dropping a whole answer that was long on its way."""
+    async def test_late_large_answer(self):
+        """Guards against dropping a complete answer that arrives late."""
         asked, number = await self.ask('a', FETCH_GAPS)
-        for _ in range(_PARTS):
-            await self.beat()
+        for _ in range(_PIECES):
+            await self.exchange_heartbeat()
         await self.far.write(_framed(InFlight('a', 1), answers=number))
         self.assertEqual(await asked, InFlight('a', 1))
         self.assertEqual(self.dropped('late_answer'), 0)
 
-    async def test_a_large_answer_never_comes(self):
-        """Guards against a wait for good on a link that lives."""
+    async def test_large_answer_times_out(self):
+        """Guards against waiting for ever on a link that stays alive."""
         asked, _ = await self.ask('a', FETCH_GAPS)
         start = self.clock.now()
-        await self.beat_until(asked.done)
+        await self.send_heartbeats_until(asked.done)
         self.assertEqual(await asked, NO_ANSWER)
         waited = self.clock.now() - start
         self.assertEqual(waited, FETCH_GAPS * _CFG.gap_timeout)
         self.assertFalse(self.running.done())
 
-    async def test_a_silent_link_ends_the_wait_for_a_large_answer(self):
-        """Guards against a peer's silence that costs more than the gap."""
+    async def test_silent_link_fails_a_request_for_a_large_answer(self):
+        """Guards against waiting too long for the answer of a silent peer."""
         asked, _ = await self.ask('a', FETCH_GAPS)
         start = self.clock.now()
         while not asked.done():
@@ -164,45 +164,44 @@
         self.assertEqual(await self.running, LINK_CLOSED)
         self.assertFalse(self.link.tell(Done()))
 
-    async def test_slow_taker_holds_up_nothing_else(self):
-        """A taker waits for a platform that is away.
+    async def test_slow_handler_does_not_block_other_messages(self):
+        """A handler waits for a platform that is unavailable.
 
-        Symptom: healthy links end as silent. Sequence: a taker waits, the
-        reader waits for it, heartbeats stay unread. Cause: handing messages
-        over in the reader.
+        Guards against healthy links that end as silent: if the reader waited
+        for the handler, heartbeats would stay unread.
         """
-        self.gate.clear()
+        self.handler_gate.clear()
         await self.far.write(_framed(TargetMark('slow', 'x')))
         await self.far.write(_framed(InFlightAsk('slow'), ask=1))
         asked, number = await self.ask('a')
         await self.far.write(_framed(InFlight('a', 1), answers=number))
         self.assertEqual(await asked, InFlight('a', 1))
-        self.gate.set()
+        self.handler_gate.set()
         self.assertEqual((await self.next_message()).answers, 1)
 
-    async def test_too_many_asks_at_once_are_refused(self):
-        self.gate.clear()
-        for number in range(1, incoming.MOST_ANSWERING + 2):
+    async def test_too_many_concurrent_requests_are_refused(self):
+        self.handler_gate.clear()
+        for number in range(1, inbound.MAX_OPEN_REQUESTS + 2):
             await self.far.write(_framed(InFlightAsk('a'), ask=number))
         answer = await self.next_message()
         self.assertEqual(answer.message.code, 'busy')
-        self.assertEqual(answer.answers, incoming.MOST_ANSWERING + 1)
+        self.assertEqual(answer.answers, inbound.MAX_OPEN_REQUESTS + 1)
 
-    async def test_failing_taker_does_not_end_the_link(self):
-        self.takers.on(Done, self.fail_to_take)
+    async def test_failing_handler_does_not_end_the_link(self):
+        self.takers.on(Done, self.raise_error)
         await self.far.write(_framed(Done(), ask=1))
         self.assertEqual((await self.next_message()).message.code, 'failed')
         self.assertFalse(self.running.done())
 
-    async def fail_to_take(self, _member, _message):
-        raise ValueError('a fault of the taker')
+    async def raise_error(self, _member, _message):
+        raise ValueError('an error of the handler')
 
-    async def beat_until(self, check):
-        """Let time pass while the peer keeps sending heartbeats."""
+    async def send_heartbeats_until(self, check):
+        """Advance the clock while the peer keeps sending heartbeats."""
         while not check():
-            await self.beat()
+            await self.exchange_heartbeat()
 
-    async def beat(self):
+    async def exchange_heartbeat(self):
         await self.far.write(_framed(Heartbeat()))
         await self.settle()
         self.clock.advance(_CFG.heartbeat)
@@ -212,8 +211,8 @@
         return self.metrics.counted(counters.DROPPED, reason=reason)
 
 
-class EndTest(LinkTest):
-    """Why links end, and why not."""
+class LinkEndTest(LinkTest):
+    """Which events end a link, and which don't."""
 
     @parameterized.expand(
         (
@@ -223,13 +222,13 @@
             ('another protocol', b'GET / HTTP/1.1\r\n\r\n'),
         ),
     )
-    async def test_garbled_bytes_end_the_link(self, _name, octets):
-        """A peer sends what is no message: nothing after it can be read."""
+    async def test_malformed_bytes_end_the_link(self, _name, octets):
+        """Nothing after an invalid frame can be read."""
         await self.far.write(octets)
-        self.assertEqual(await self.running, LINK_GARBLED)
+        self.assertEqual(await self.running, LINK_MALFORMED)
 
-    async def test_unknown_kind_is_refused_and_the_link_goes_on(self):
-        """A newer release sends a kind that this one lacks."""
+    async def test_unknown_kind_does_not_end_the_link(self):
+        """A newer release sends a kind of message unknown to this one."""
         builder = load_schema().Envelope.new_message(ask=1)
         await self.far.write(frame(builder.to_bytes_packed()))
         await self.far.write(_framed(InFlightAsk('a'), ask=2))
@@ -241,11 +240,10 @@
         self.assertEqual(refused, 1)
 
     async def test_silent_link_ends_after_the_gap_timeout(self):
-        """A dead peer is believed alive for as long as its connection stands.
+        """The other end keeps the connection open and sends nothing.
 
-        Symptom: questions to a peer time out one by one. Sequence: the
-        other end keeps the connection open and says nothing.
-        Cause: only closed connections counted as ended.
+        Guards against a dead peer that counts as alive while its connection is
+        open, so that requests to it time out one by one.
         """
         for _ in range(round(_CFG.gap_timeout / _CFG.heartbeat)):
             await self.pass_heartbeat()
@@ -253,65 +251,64 @@
         await self.pass_heartbeat()
         self.assertEqual(await self.running, LINK_SILENT)
 
-    async def test_a_large_message_comes_slowly(self):
-        """Guards against ending a link as silent while a frame trickles in."""
-        octets = _framed(TargetMark('large', 'x' * _LARGE))
-        part = len(octets) // _PARTS
+    async def test_slow_large_message_keeps_the_link(self):
+        """Guards against ending a link while a frame arrives slowly."""
+        octets = _framed(TargetMark('large', 'x' * _LARGE_BYTES))
+        part = len(octets) // _PIECES
         for start in range(0, len(octets), part):
             await self.far.write(octets[start : start + part])
             await self.pass_heartbeat()
         self.assertFalse(self.running.done())
-        self.assertEqual(self.taken, ['large'])
+        self.assertEqual(self.handled, ['large'])
 
-    async def test_a_large_message_stops_on_its_way(self):
-        """Guards against a link that half a frame keeps open for good."""
+    async def test_incomplete_message_does_not_keep_the_link(self):
+        """Guards against a partial frame that keeps a link open for ever."""
         await self.far.write(_framed(TargetMark('large', 'x'))[:-1])
         await self.pass_heartbeat()
         while not self.running.done():
             await self.pass_heartbeat()
         self.assertEqual(await self.running, LINK_SILENT)
-        self.assertEqual(self.taken, [])
+        self.assertEqual(self.handled, [])
 
-    async def test_other_messages_take_the_place_of_heartbeats(self):
+    async def test_other_messages_replace_heartbeats(self):
         await self.settle()
-        self.assertEqual(self.beats(), 1)
+        self.assertEqual(self.heartbeats_sent(), 1)
         await self.pass_heartbeat()
-        self.assertEqual(self.beats(), 2)
+        self.assertEqual(self.heartbeats_sent(), 2)
         self.link.tell(Done())
         await self.pass_heartbeat()
-        self.assertEqual(self.beats(), 2)
+        self.assertEqual(self.heartbeats_sent(), 2)
         await self.pass_heartbeat()
-        self.assertEqual(self.beats(), 3)
+        self.assertEqual(self.heartbeats_sent(), 3)
 
-    def beats(self):
+    def heartbeats_sent(self):
         return self.metrics.counted(
             counters.MESSAGES,
             way='out',
             kind='Heartbeat',
         )
 
-    async def test_own_pause_is_not_the_peers_silence(self):
-        """The process stands still and goes on.
+    async def test_pause_of_this_process_does_not_end_the_link(self):
+        """The process is paused for longer than the gap timeout.
 
-        Symptom: all links end at once and all peers are called dead.
-        Sequence: the process pauses for longer than the gap timeout, then
-        looks at its clock before it has read what waits. Cause: counting
-        one's own pause as the others' silence.
+        Guards against counting its own pause as silence of its peers: it looks
+        at the clock before it reads the data that waits, so all links would end
+        at once and all peers would be declared dead.
         """
         await self.settle()
         self.clock.advance(10 * _CFG.gap_timeout)
         await self.settle()
         self.assertFalse(self.running.done())
-        self.assertEqual(self.metrics.counted(counters.PAUSES), 1)
+        self.assertEqual(self.metrics.counted(counters.OWN_PAUSES), 1)
 
-    async def test_last_words_before_parting_are_taken(self):
-        self.gate.clear()
+    async def test_messages_before_a_release_are_handled(self):
+        self.handler_gate.clear()
         await self.far.write(_framed(TargetMark('last', 'x')))
         await self.far.write(_framed(Refused('parted')))
         await self.settle()
-        self.gate.set()
-        self.assertEqual(await self.running, LINK_PARTED)
-        self.assertEqual(self.taken, ['last'])
+        self.handler_gate.set()
+        self.assertEqual(await self.running, LINK_RELEASED)
+        self.assertEqual(self.handled, ['last'])
 
     async def pass_heartbeat(self):
         await self.settle()
@@ -320,17 +317,13 @@
 
 
 class OutboxTest(unittest.IsolatedAsyncioTestCase):
-    """What waits to be written is bounded."""
+    """The queue of bytes to be written is bounded."""
 
-    async def test_full_queue_drops_what_comes_on_top(self):
-        """Symptom: memory of a router grows.
-
-        Sequence: a peer stops reading, messages to it go on. Cause: a queue
-        without a bound.
-        """
-        outbox = Outbox(most=5)
+    async def test_full_queue_rejects_frames(self):
+        """Guards against memory that grows while a peer has stopped reading."""
+        outbox = Outbox(max_bytes=5)
         self.assertTrue(outbox.put(b'abc'))
         self.assertFalse(outbox.put(b'def'))
         self.assertTrue(outbox.put(b'gh'))
-        self.assertEqual(await outbox.take(), b'abcgh')
+        self.assertEqual(await outbox.get(), b'abcgh')
         self.assertTrue(outbox.put(b'def'))
--- a/tests/test_peers_membership.py
+++ b/tests/test_peers_membership.py
@@ -1,4 +1,4 @@
-"""Tests of the list of routers: merging, deaths, comparing."""
+"""Tests of the list of routers: merging, deaths and comparing."""
 
 import itertools
 import random
@@ -7,11 +7,11 @@
 import attrs
 
 from balsamreach.peers.membership import (
-    FORGET_AFTER,
+    PRUNE_DEAD_AFTER,
     Membership,
-    differing,
+    bucket_of,
+    differing_buckets,
     digest,
-    part_of,
 )
 from balsamreach.wire.membership import Member
 from tests.support import ManualClock
@@ -35,62 +35,60 @@
 
 
 class MergeTest(unittest.TestCase):
-    """Whatever the order of what is heard, the list ends the same."""
+    """The order of reports does not change the resulting list."""
 
     def test_order_and_duplicates_do_not_matter(self):
         """Gossip arrives out of order and more than once."""
-        told = [_PEER, _NEXT, _DEAD, _LEAVING]
+        reports = [_PEER, _NEXT, _DEAD, _LEAVING]
         lists = set()
-        for order in itertools.permutations(told):
+        for order in itertools.permutations(reports):
             membership = _membership(*order, *order[:2])
-            lists.add(frozenset(membership.told()))
+            lists.add(frozenset(membership.advertised()))
         self.assertEqual(len(lists), 1)
-        self.assertEqual(_names(_membership(*told)), {'me', 'next'})
+        self.assertEqual(_names(_membership(*reports)), {'me', 'next'})
 
-    def test_what_is_known_is_no_news(self):
+    def test_known_report_changes_nothing(self):
         membership = _membership(_PEER)
         self.assertFalse(membership.merge(_PEER))
         self.assertTrue(membership.merge(_LEAVING))
         self.assertFalse(membership.merge(_PEER))
 
-    def test_leaving_is_one_way(self):
-        """A peer's higher revision without the mark doesn't undo it."""
+    def test_leaving_is_not_undone(self):
+        """A peer's higher revision without the leaving mark doesn't undo it."""
         later = attrs.evolve(_PEER, revision=7)
         membership = _membership(_LEAVING, later)
         self.assertTrue(membership.find('peer').leaving)
 
-    def test_death_of_an_old_start_spares_the_new_one(self):
-        """A host restarts, and late word of the old start's death comes.
+    def test_death_of_an_old_incarnation_does_not_affect_the_new_one(self):
+        """The death of the old incarnation of a restarted router comes late.
 
-        Symptom: a restarted router gets no connections. Sequence: the new
-        incarnation joins, then the mark of the old one arrives. Cause: a
-        mark that names an address, not an incarnation.
+        Guards against a restarted router that gets no connections, as the mark
+        would apply to the address instead of the incarnation.
         """
         membership = _membership(_PEER, _NEXT, _DEAD)
         self.assertEqual(_names(membership), {'me', 'next'})
-        self.assertEqual(membership.holder(_PEER.address), _NEXT)
+        self.assertEqual(membership.address_owner(_PEER.address), _NEXT)
 
-    def test_router_found_on_an_address_overrules_wall_clocks(self):
+    def test_contact_overrides_wall_clocks(self):
         """A host is replaced by one whose wall clock lags.
 
-        Symptom: the replacement is called dead. Sequence: it connects, and
-        its start lies before its predecessor's. Cause: wall clocks differ.
+        Guards against declaring the replacement dead: it connects, but by its
+        wall clock it started before its predecessor.
         """
         membership = _membership(_NEXT)
-        self.assertTrue(membership.met(_PEER))
+        self.assertTrue(membership.record_contact(_PEER))
         self.assertEqual(_names(membership), {'me', 'peer'})
-        self.assertEqual(membership.holder(_PEER.address), _PEER)
+        self.assertEqual(membership.address_owner(_PEER.address), _PEER)
 
 
 class DeathTest(unittest.TestCase):
-    """Marks of death: refuted by the living, remembered, forgotten."""
+    """Dead marks are refuted by live routers, kept for a time, then pruned."""
 
     def test_paused_router_refutes_its_death(self):
-        """Symptom: a running router that nobody connects to.
+        """Guards against a running router that nobody connects to.
 
-        Sequence: the process pauses beyond the gap timeout, peers mark it
-        dead, it wakes and hears of it. Cause: the mark stands for good
-        unless a higher revision answers it.
+        Peers mark it dead while it is paused beyond the gap timeout. The mark
+        stays unless the router answers it with a higher revision.
         """
         membership = _membership()
         self.assertTrue(membership.merge(attrs.evolve(_ME, dead=True)))
@@ -100,34 +98,34 @@
         self.assertTrue(others.merge(attrs.evolve(_PEER, revision=1)))
         self.assertEqual(_names(others), {'me', 'peer'})
 
-    def test_own_leaving_is_not_refuted_away(self):
+    def test_refuting_keeps_own_leaving_mark(self):
         membership = _membership()
         membership.change_me(leaving=True)
         membership.merge(attrs.evolve(_ME, revision=4, dead=True))
         self.assertTrue(membership.me.leaving)
         self.assertFalse(membership.me.dead)
 
-    def test_dead_router_is_not_brought_back_and_later_forgotten(self):
+    def test_dead_router_stays_dead_until_pruned(self):
         membership = _membership(_PEER)
         self.assertTrue(membership.bury('peer'))
         self.assertFalse(membership.bury('peer'))
         self.assertFalse(membership.merge(_PEER))
-        self.assertIn(_DEAD, membership.told())
-        membership.clock.seconds += FORGET_AFTER / 2 + 1
-        self.assertNotIn(_DEAD, membership.told())
+        self.assertIn(_DEAD, membership.advertised())
+        membership.clock.seconds += PRUNE_DEAD_AFTER / 2 + 1
+        self.assertNotIn(_DEAD, membership.advertised())
         self.assertFalse(membership.merge(_PEER))
-        membership.clock.seconds += FORGET_AFTER
-        membership.forget()
+        membership.clock.seconds += PRUNE_DEAD_AFTER
+        membership.prune()
         self.assertIsNone(membership.find('peer'))
 
-    def test_nobody_buries_itself(self):
+    def test_router_does_not_mark_itself_dead(self):
         self.assertFalse(_membership().bury('me'))
 
 
 class DigestTest(unittest.TestCase):
-    """Hashes of parts of the list show where two lists differ."""
+    """Hashes of buckets show where two lists differ."""
 
-    def test_only_the_part_that_differs_shows(self):
+    def test_only_the_differing_bucket_is_found(self):
         members = [
             attrs.evolve(_PEER, incarnation=f'r{number}')
             for number in range(200)
@@ -137,9 +135,9 @@
         self.assertEqual(digest(members), ours)
         members[7] = attrs.evolve(members[7], dead=True)
         self.assertEqual(
-            differing(ours, digest(members)),
-            {part_of(members[7])},
+            differing_buckets(ours, digest(members)),
+            {bucket_of(members[7])},
         )
 
     def test_digest_of_another_length_differs_everywhere(self):
-        self.assertEqual(len(differing(digest([]), b'')), 32)
+        self.assertEqual(len(differing_buckets(digest([]), b'')), 32)
--- a/tests/test_peers_neighbours.py
+++ b/tests/test_peers_neighbours.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of neighbours: bounded, connected, few steps wide."""
+"""Tests of the selection of neighbours: few links, few hops, connected."""
 
 import random
 import unittest
@@ -11,10 +11,10 @@
 from balsamreach.wire.membership import Member
 
 _MAX_PEERS = 16
-_MOST_LINKS = 20
-_MOST_STEPS = 6
+_MAX_LINKS = 20
+_MAX_HOPS = 6
 _LOST_SHARE = 0.3
-_STARTS = 20
+_SAMPLED = 20
 
 
 def _members(count, zones):
@@ -40,26 +40,26 @@
     return links
 
 
-def _steps_to_all(links, alive):
-    """Return the most steps from some members to any, -1 if cut off."""
-    most = 0
-    for start in sorted(alive)[:_STARTS]:
-        steps = {start: 0}
-        ahead = deque((start,))
-        while ahead:
-            here = ahead.popleft()
-            reached = (links[here] & alive).difference(steps)
-            for there in reached:
-                steps[there] = steps[here] + 1
-            ahead.extend(reached)
-        if len(steps) < len(alive):
+def _max_hops(links, alive):
+    """Return the most hops from some members to any, -1 if disconnected."""
+    longest = 0
+    for start in sorted(alive)[:_SAMPLED]:
+        hops = {start: 0}
+        queue = deque((start,))
+        while queue:
+            current = queue.popleft()
+            reached = (links[current] & alive).difference(hops)
+            for neighbour in reached:
+                hops[neighbour] = hops[current] + 1
+            queue.extend(reached)
+        if len(hops) < len(alive):
             return -1
-        most = max(most, *steps.values())
-    return most
+        longest = max(longest, *hops.values())
+    return longest
 
 
 class ChoiceTest(unittest.TestCase):
-    """The graph of all connections carries news to everyone."""
+    """The graph of all connections reaches every router."""
 
     @parameterized.expand(
         (
@@ -70,21 +70,20 @@
             (910, 27),
         ),
     )
-    def test_connected_in_few_steps_also_after_losses(self, count, zones):
-        """Symptom: some routers never hear of an edit.
+    def test_connected_in_few_hops_after_losses(self, count, zones):
+        """Guards against routers that never receive an edit.
 
-        Sequence: a rack, an availability zone or any third of the routers
-        is lost, before anyone has chosen anew. Cause: a graph of neighbours
-        that falls apart.
+        A rack, an availability zone or any third of the routers is lost, before
+        others have been chosen; the remaining graph must stay connected.
         """
         members = _members(count, zones)
         links = _links(members)
-        everyone = set(links)
+        all_names = set(links)
         rng = random.Random(3)
         losses = {
-            'none': everyone,
+            'none': all_names,
             'a third': {
-                name for name in everyone if rng.random() > _LOST_SHARE
+                name for name in all_names if rng.random() > _LOST_SHARE
             },
             'a zone': {
                 member.incarnation
@@ -101,9 +100,9 @@
             if len(alive) < 2:
                 continue
             with self.subTest(lost=lost):
-                steps = _steps_to_all(links, alive)
-                self.assertIn(steps, range(1, _MOST_STEPS + 1))
-        self.assertLessEqual(max(map(len, links.values())), _MOST_LINKS)
+                hops = _max_hops(links, alive)
+                self.assertIn(hops, range(1, _MAX_HOPS + 1))
+        self.assertLessEqual(max(map(len, links.values())), _MAX_LINKS)
 
     def test_order_of_the_list_does_not_matter(self):
         members = _members(64, 4)
@@ -112,21 +111,23 @@
         self.assertEqual(Rings(shuffled, _MAX_PEERS).choose(members[0]), chosen)
         self.assertEqual(len(chosen), _MAX_PEERS // 2)
 
-    def test_both_ends_know_which_links_last(self):
+    def test_both_ends_agree_on_persistent_links(self):
         members = _members(64, 4)
         rings = Rings(members, _MAX_PEERS)
         links = _links(members)
         for one in members:
             for other in members:
-                lasts = rings.chooses(one, other) or rings.chooses(other, one)
+                is_persistent = rings.chooses(one, other) or rings.chooses(
+                    other, one
+                )
                 linked = other.incarnation in links[one.incarnation]
-                self.assertEqual(lasts, linked)
+                self.assertEqual(is_persistent, linked)
 
     @parameterized.expand(((8, 4), (64, 4), (200, 7)))
-    def test_each_knows_who_chooses_it(self, count, zones):
+    def test_choosers_match_choices(self, count, zones):
         members = _members(count, zones)
         rings = Rings(members, _MAX_PEERS)
-        for one in members[:_STARTS]:
+        for one in members[:_SAMPLED]:
             choosing = {
                 other.incarnation
                 for other in members
--- a/tests/test_peers_net.py
+++ b/tests/test_peers_net.py
@@ -1,4 +1,4 @@
-"""Tests of the net over real connections, and of what goes wrong there."""
+"""Tests of TcpPeerNet over real connections, and of network failures."""
 
 import asyncio
 import unittest
@@ -9,7 +9,7 @@
 from balsamreach.peers import counters
 from balsamreach.peers.base import FETCH_GAPS
 from balsamreach.peers.faults import NOT_CONNECTED, PEER_REFUSED
-from balsamreach.peers.upkeep import IDLE_AFTER
+from balsamreach.peers.upkeep import IDLE_TIMEOUT
 from balsamreach.services.base import HostEntry
 from balsamreach.wire.marks import InFlight, InFlightAsk
 from balsamreach.wire.membership import Heartbeat
@@ -21,24 +21,24 @@
 
 
 class NetTest(unittest.IsolatedAsyncioTestCase):
-    """A few routers over real sockets, their clock moved by hand."""
+    """A few routers with real sockets and a fake clock."""
 
     async def asyncSetUp(self):
         self.rig = Rig()
-        self.taken = []
+        self.heartbeats = []
         self.addAsyncCleanup(self.rig.stop)
 
     async def answer_seven(self, _member, message):
         return InFlight(message.target, 7)
 
     async def answer_late(self, member, message):
-        await self.rig.clock.sleep(1.25 * IDLE_AFTER)
+        await self.rig.clock.sleep(1.25 * IDLE_TIMEOUT)
         return await self.answer_seven(member, message)
 
-    async def take(self, member, message):
-        self.taken.append((member.incarnation, message.table_version))
+    async def record_heartbeat(self, member, message):
+        self.heartbeats.append((member.incarnation, message.table_version))
 
-    async def ask_seven(self, net, incarnation):
+    async def assert_answers_seven(self, net, incarnation):
         answer = await net.ask(incarnation, InFlightAsk('engine-0'))
         self.assertEqual(answer, InFlight('engine-0', 7))
 
@@ -49,7 +49,7 @@
         await self.rig.until(lambda: linked(net) == set(wanted))
 
     async def start(self, *wanted, overrides=()):
-        """Start routers that know the first one as their seed."""
+        """Start routers that have the first one as their seed."""
         nets = []
         for name in wanted:
             seeds = [f'peers.seeds={net.me.address}' for net in nets[:1]]
@@ -60,7 +60,7 @@
         return nets
 
     async def start_behind_proxy(self, name, *seeds):
-        """Start a router whose address leads through a faulty network."""
+        """Start a router whose address is that of a faulty proxy."""
         overrides = [f'peers.seeds={seed}' for seed in seeds]
         net = await self.rig.start(name, *overrides)
         host, _, port = net.me.address.rpartition(':')
@@ -80,11 +80,11 @@
 class JoinTest(NetTest):
     """Routers find each other and exchange messages."""
 
-    async def test_routers_find_each_other_and_talk(self):
+    async def test_routers_find_each_other_and_exchange_messages(self):
         one, _, three = await self.start('one', 'two', 'three')
         await self.until_linked(three, 'one', 'two')
         one.on(InFlightAsk, self.answer_seven)
-        await self.ask_seven(three, 'one')
+        await self.assert_answers_seven(three, 'one')
         refused = await three.ask('one', RunAsk('team', 'key', 'hash'))
         self.assertEqual(refused, PEER_REFUSED)
         self.assertIn('RunAsk', refused.reason)
@@ -96,15 +96,15 @@
 
     async def test_heartbeats_carry_the_table_version(self):
         one, two = await self.start('one', 'two')
-        one.on(Heartbeat, self.take)
+        one.on(Heartbeat, self.record_heartbeat)
         two.greeter.table_version = lambda: 41
-        await self.rig.until(lambda: ('two', 41) in self.taken)
+        await self.rig.until(lambda: ('two', 41) in self.heartbeats)
 
-    async def test_crossing_dials_end_with_one_link(self):
-        """Symptom: links between two routers flap without end.
+    async def test_simultaneous_dials_leave_one_link(self):
+        """Guards against links between two routers that flap without end.
 
-        Sequence: both dial each other at the same moment, and each closes
-        what it holds for surplus. Cause: they choose differently.
+        Both dial each other at the same moment, and if their choice differed,
+        each would close the link that the other keeps.
         """
         one, two = self.rig.make('one'), self.rig.make('two')
         await one.start()
@@ -117,14 +117,13 @@
             self.assertEqual([link.dialled for link in links], [net is one])
             self.assertEqual(net.metrics.counted(counters.DEATHS), 0)
 
-    async def test_link_for_one_ask_spreads_no_news_and_is_given_up(self):
-        """Symptom: control takes several times its bytes.
+    async def test_single_request_link_is_not_persistent_and_is_released(self):
+        """Guards against control traffic several times its necessary size.
 
-        Sequence: asks open links to all routers of a zone, and each piece
-        of news goes over all of them, for ever. Cause: taking each link for
-        a lasting one.
+        Requests open links to all routers of a zone; if these links counted as
+        persistent, each update would go over all of them, for ever.
         """
-        self.rig.pace = 1
+        self.rig.step_seconds = 1
         slow = ['peers.heartbeat=2s', 'peers.gap_timeout=8s']
         wanted = [f'r{number}' for number in range(6)]
         nets = await self.start(
@@ -137,23 +136,23 @@
         other = next(net for net in nets if net.me.incarnation not in near)
         other.on(InFlightAsk, self.answer_seven)
         name = other.me.incarnation
-        await self.ask_seven(one, name)
+        await self.assert_answers_seven(one, name)
         await self.rig.step()
-        self.assertIsNotNone(one.keeper.links.best(name))
+        self.assertIsNotNone(one.keeper.links.preferred(name))
         self.assertNotIn(name, linked(one))
-        await self.rig.until(lambda: one.keeper.links.best(name) is None)
+        await self.rig.until(lambda: one.keeper.links.preferred(name) is None)
         self.assertIn(name, names(one))
 
     @parameterized.expand((('asker', False), ('answerer', True)))
-    async def test_link_lasts_until_its_answer(self, _dialled, turned):
-        """Guards against parting as unused while an answer is on its way."""
+    async def test_link_stays_open_until_the_answer(self, _dialled, reverse):
+        """Guards against releasing a link while an answer is pending."""
         wanted = [f'r{number}' for number in range(6)]
         nets = await self.start(*wanted, overrides=['peers.max_peers=2'])
         one = nets[0]
         await self.rig.steps(10)
         near = linked(one) | {'r0'}
         other = next(net for net in nets if net.me.incarnation not in near)
-        asker, answerer = (one, other) if turned else (other, one)
+        asker, answerer = (one, other) if reverse else (other, one)
         answerer.on(InFlightAsk, self.answer_late)
         asking = asyncio.create_task(
             asker.ask(
@@ -165,7 +164,7 @@
         await self.rig.until(asking.done)
         self.assertEqual(await asking, InFlight('late', 7))
 
-    async def test_leaving_router_is_told_and_is_no_death(self):
+    async def test_leaving_is_announced_and_is_not_a_death(self):
         one, two, three = await self.start('one', 'two', 'three')
         await two.leave()
         await self.rig.until(
@@ -179,14 +178,13 @@
 
 
 class FailureTest(NetTest):
-    """What goes wrong between routers, and what they make of it."""
+    """Failures between routers and their recovery."""
 
     async def test_silent_connection_is_replaced(self):
-        """Symptom: messages to a router vanish although it serves.
+        """Guards against messages that vanish although their receiver runs.
 
-        Sequence: something between the two loses track of the connection
-        and swallows bytes both ways without closing it; new connections
-        work. Cause: no end ever hears that the connection is gone.
+        A middlebox loses track of the connection and drops packets both ways
+        without closing it, so neither end gets an error; new connections work.
         """
         two, proxy = await self.start_behind_proxy('two')
         two.on(InFlightAsk, self.answer_seven)
@@ -196,20 +194,19 @@
         proxy.swallow()
         before = self.rig.clock.now()
         await self.rig.until(
-            lambda: one.metrics.counted(counters.ENDED, reason=_SILENT),
+            lambda: one.metrics.counted(counters.LINKS_ENDED, reason=_SILENT),
         )
         passed = self.rig.clock.now() - before
         self.assertLessEqual(passed, 2 * one.cfg.peers.gap_timeout)
         await self.until_linked(one, 'two')
         self.assertGreater(proxy.accepted, first)
-        await self.ask_seven(one, 'two')
+        await self.assert_answers_seven(one, 'two')
         self.assertEqual(one.metrics.counted(counters.DEATHS), 0)
 
     async def test_killed_router_is_dead_after_one_more_try(self):
-        """A process is killed; its connections break at once.
+        """A process is killed and its connections break at once.
 
-        Symptom: requests go to a router that is gone. Sequence: kill, the
-        links break. Cause: nobody said good-bye.
+        Guards against requests to a router that is gone without notice.
         """
         one, two, three = await self.start('one', 'two', 'three')
         await crash(two)
@@ -224,9 +221,9 @@
     async def test_restart_on_the_same_address(self):
         """A router is killed and starts again on its address.
 
-        Symptom: the new start is taken for dead, or the old for alive.
-        Sequence: kill, start, late word of the old one. Cause: a mark that
-        names the address.
+        Guards against marks that apply to the address: the new incarnation
+        would be considered dead by a late report of the old one's death, or the
+        old one alive.
         """
         one, two = await self.start('one', 'two')
         await crash(two)
@@ -244,14 +241,14 @@
         self.assertEqual(names(one), {'one', 'two-again'})
 
     async def test_partition_and_heal(self):
-        """Symptom: after a partition the fleet stays in two.
+        """Guards against a fleet that stays split after a partition.
 
-        Sequence: bytes are swallowed and new connections refused both ways
-        for a minute, so each side calls the other dead; then all works
-        again. Cause: nobody looks for the dead any more.
+        Packets are dropped and new connections refused both ways for a minute,
+        so each side declares the other dead; then the network works again.
+        Without probes of dead routers neither would connect again.
         """
         one, near, two, far = await self.start_pair()
-        # Neither seeds nor the host list name the other any more.
+        # Neither seeds nor the host list contain the other any more.
         two.discovery.seeds = ()
         for proxy in (near, far):
             proxy.swallow()
@@ -265,12 +262,12 @@
         self.assertEqual(names(one), {'one', 'two'})
         await self.until_linked(one, 'two')
 
-    async def test_router_cut_off_as_a_link_is_parted_from(self):
-        """Symptom: a router that can't be reached counts as alive for ever.
+    async def test_router_cut_off_while_its_link_is_released(self):
+        """Guards against an unreachable router that counts as alive for ever.
 
-        Sequence: the network is cut at the moment at which one router parts
-        from the link to another that is the one to dial. Cause: a link that
-        was parted from is no loss, and the one end waits to be dialled.
+        The network is cut at the moment one router releases the link to another
+        that is responsible for dialling. A released link is not a loss, so the
+        one end just waits to be dialled.
         """
         one, near, two, far = await self.start_pair()
         await self.until_linked(two, 'one')
@@ -278,16 +275,16 @@
             proxy.swallow()
             proxy.refusing = True
         for link in two.keeper.links.every():
-            link.part()
+            link.release()
         await self.until_names(two, 'two')
         await self.until_names(one, 'one')
 
-    async def test_link_that_has_just_closed_is_not_parted_from(self):
-        """Symptom: a silent peer is never found dead.
+    async def test_just_closed_link_is_not_released(self):
+        """Guards against a silent peer that is never declared dead.
 
-        Sequence: a link is closed for silence, and the upkeep looks at it
-        before it is dropped. Cause: no best link stands beside it, so it
-        passes for surplus, and its end for wanted.
+        A link is closed for silence, and the maintenance looks at it before it
+        is removed. Without a preferred link beside it, it would count as a
+        duplicate, and its end as intended.
         """
         two, proxy = await self.start_behind_proxy('two')
         one = await self.rig.start('one', f'peers.seeds={proxy.address}')
@@ -295,15 +292,15 @@
         link = one.keeper.links.every()[0]
         link.stream.close()
         self.assertTrue(link.dialled)
-        self.assertEqual(one.keeper.links.surplus(), ())
+        self.assertEqual(one.keeper.links.duplicates(), ())
         await self.until_linked(two, 'one')
 
-    async def test_host_list_shows_the_dead_and_omits_the_living(self):
+    async def test_host_list_with_a_dead_and_without_a_live_router(self):
         """The platform's list lags behind.
 
-        Symptom: a new router is alone, or a dead one gets messages.
-        Sequence: the list still shows a host that is gone and lacks one
-        that came. Cause: taking the list for the truth.
+        Guards against trusting the list: it still shows a host that is gone and
+        lacks a new one, so a new router would stay isolated, or a dead one
+        would get messages.
         """
         one, two = await self.start('one', 'two')
         gone = await self.rig.start('gone')
@@ -315,15 +312,15 @@
         for net in (one, two, late):
             await self.until_names(net, 'one', 'two', 'late')
 
-    async def test_platform_away_leaves_the_seeds(self):
+    async def test_seeds_while_the_platform_is_unavailable(self):
         self.rig.hosts.away = True
         await self.start('one', 'two')
 
-    async def test_woken_router_is_alive_again(self):
-        """A process stood still for long and goes on.
+    async def test_router_refutes_its_death_after_a_pause(self):
+        """A process was paused for long and resumes.
 
-        Symptom: it runs, but nobody connects to it. Sequence: it pauses,
-        peers call it dead and spread that, it wakes. Cause: the mark stands
+        Guards against a running router that nobody connects to: during the
+        pause its peers declared it dead and spread that, and the mark stays
         until the router itself refutes it.
         """
         one, two = await self.start('one', 'two')
--- a/tests/test_peers_tls.py
+++ b/tests/test_peers_tls.py
@@ -21,7 +21,7 @@
 
 
 class TlsTest(unittest.IsolatedAsyncioTestCase):
-    """Only holders of a certificate of the fleet's CA get in."""
+    """Only peers with a certificate of the fleet's CA can connect."""
 
     async def asyncSetUp(self):
         self.rig = Rig()
@@ -36,17 +36,17 @@
     def write(self, name, issuer, authority=_CA):
         """Write a router's files and return the settings that name them."""
         cert = issuer.issue_cert('127.0.0.1')
-        places = {
+        paths = {
             'certificate': self.path / f'{name}.pem',
             'key': self.path / f'{name}.key',
             'ca': self.path / f'{name}.ca',
         }
-        cert.cert_chain_pems[0].write_to_path(places['certificate'])
-        cert.private_key_pem.write_to_path(places['key'])
-        authority.cert_pem.write_to_path(places['ca'])
-        return [f'peers.tls_{key}={path}' for key, path in places.items()]
+        cert.cert_chain_pems[0].write_to_path(paths['certificate'])
+        cert.private_key_pem.write_to_path(paths['key'])
+        authority.cert_pem.write_to_path(paths['ca'])
+        return [f'peers.tls_{key}={path}' for key, path in paths.items()]
 
-    async def test_routers_of_one_ca_talk(self):
+    async def test_routers_of_one_ca_exchange_messages(self):
         one = await self.rig.start('one', *self.write('one', _CA))
         one.on(InFlightAsk, self.answer_seven)
         seed = f'peers.seeds={one.me.address}'
@@ -58,11 +58,10 @@
         )
 
     @parameterized.expand((('plain',), ('other_ca',), ('other_certificate',)))
-    async def test_stranger_stays_out(self, kind):
-        """A process without a certificate of the CA connects.
+    async def test_peer_without_fleet_certificate_is_refused(self, kind):
+        """A process connects in plain text or with another CA's certificate.
 
-        Symptom: messages from outside the fleet. Sequence: it connects in
-        plain text, or with another CA's certificate. Cause: a listener that
+        Guards against messages from outside the fleet through a listener that
         doesn't verify its clients.
         """
         one = await self.rig.start('one', *self.write('one', _CA))
@@ -84,21 +83,20 @@
         two = await self.rig.start('two', seed, *self.write('two', _CA))
         await self.rig.until(lambda: linked(one) == {'two'})
         await self.rig.until(lambda: linked(two) == {'one'})
-        link = one.keeper.links.best('two')
+        link = one.keeper.links.preferred('two')
         self.write('one', _OTHER_CA, _OTHER_CA)
         self.assertIsNone(one.reload_tls())
         new = self.write('three', _OTHER_CA, _OTHER_CA)
         await self.rig.start('three', seed, *new)
         await self.rig.until(lambda: linked(one) == {'two', 'three'})
-        self.assertIs(one.keeper.links.best('two'), link)
+        self.assertIs(one.keeper.links.preferred('two'), link)
         self.assertIn('one', linked(two))
 
     async def test_reloaded_router_dials_with_the_new_files(self):
         """All routers get new certificates, one after the other.
 
-        Symptom: a renewed router reaches nobody that was renewed too.
-        Sequence: the files change, SIGHUP, it opens a connection. Cause:
-        only the listener took the new files.
+        Guards against a reload (SIGHUP) that only the listener applies: a
+        router with new files could not connect to others with new files.
         """
         new = self.write('new', _OTHER_CA, _OTHER_CA)
         renewed = await self.rig.start('new', *new)
@@ -118,20 +116,22 @@
         cfg = read_settings(None, ('host.zone=zone-a', *files))
         self.assertEqual(load_tls(cfg.peers), BAD_TLS)
 
-    async def test_hanging_handshake_leaves_no_connection(self):
-        """A router takes connections and stands still.
+    async def test_hanging_handshake_is_closed(self):
+        """A router accepts connections and hangs.
 
-        Symptom: its peers' logs show exceptions that nobody retrieved.
-        Sequence: it takes a connection, and TLS gets no answer until the
-        dial's time is over. Cause: the connection had been handed to
-        another stream, and the one that was closed had none any more.
+        Guards against exceptions in its peers' logs that were never retrieved:
+        TLS gets no answer until the dial times out. If the connection were
+        handed to another stream for TLS, the stream that is closed would no
+        longer own it.
         """
-        lost = []
+        unretrieved = []
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, told: lost.append(told))
+        loop.set_exception_handler(
+            lambda _, context: unretrieved.append(context)
+        )
         closed = asyncio.Event()
         server = await asyncio.start_server(
-            lambda reader, _: _note_end(reader, closed),
+            lambda reader, _: _wait_for_end(reader, closed),
             '127.0.0.1',
         )
         self.addCleanup(server.close)
@@ -145,11 +145,11 @@
         await self.rig.until(closed.is_set)
         del dialling
         gc.collect()
-        self.assertEqual(lost, [])
+        self.assertEqual(unretrieved, [])
 
 
-async def _note_end(reader, closed):
-    """Read without an answer until the connection ends."""
+async def _wait_for_end(reader, closed):
+    """Read without answering until the connection ends."""
     while await reader.read(_CHUNK):
         """Nothing is answered."""
     closed.set()
