--- a/src/balsamreach/power/__init__.py
+++ b/src/balsamreach/power/__init__.py
@@ -1,1 +1,1 @@
-"""Switches hosts of targets on and off by demand, without cutting anyone."""
+"""Switches hosts of targets on and off by demand, without cutting requests."""
--- a/src/balsamreach/power/decider.py
+++ b/src/balsamreach/power/decider.py
@@ -1,4 +1,4 @@
-"""Decides for the hosts of one service in one zone."""
+"""Decides which hosts of one service in one zone are on."""
 
 import asyncio
 import itertools
@@ -11,12 +11,12 @@
 from balsamreach.config.target_settings import PowerSettings
 from balsamreach.power.demand import Demand
 from balsamreach.power.faults import PowerFault
-from balsamreach.power.looking import Looker
+from balsamreach.power.observer import Observer
 from balsamreach.power.orders import Orders
 from balsamreach.power.plan import Planner, changed_hosts
 from balsamreach.power.rows import HostRecord, PowerRow
-from balsamreach.power.scene import HostView, Scene
-from balsamreach.power.store import PowerStore, Stored
+from balsamreach.power.store import PowerStore, StoredRow
+from balsamreach.power.views import HostView, ZoneView
 from balsamreach.targets.holds import LEAVING, OFF, STARTING, STOPPING
 from balsamreach.telemetry.logs import log_event
 from balsamreach.telemetry.metrics import Metrics
@@ -26,75 +26,79 @@
 
 @attrs.define(eq=False, kw_only=True)
 class Decider:
-    """One decider; others may hold themselves for the decider as well.
+    """One decider; other routers may decide for the same hosts as well.
 
-    Only the conditional commit of the power row tells who is right. Every
-    order follows a commit of the same step, so whoever was overtaken finds
-    out before ordering.
+    Only the conditional commit of the power row settles which of them decides.
+    Every order follows a commit of the same step, so a decider that lost the
+    row finds out before it gives an order.
 
     Parameters
     ----------
     service, zone : str
-        What it decides for.
-    me : str
+        The service and availability zone it decides for.
+    own_incarnation : str
         Incarnation of this router.
     publish : callable
         Called with each row that was written.
-    latest : Stored or None
+    latest_row : StoredRow or None
         The row as this decider last read or wrote it.
     """
 
     service: str
     zone: str
-    me: str
+    own_incarnation: str
     cfg: PowerSettings
     store: PowerStore
-    looker: Looker
+    observer: Observer
     orders: Orders
     clock: Clock
     metrics: Metrics
-    publish: Callable[[Stored], None]
-    latest: Stored | None = None
+    publish: Callable[[StoredRow], None]
+    latest_row: StoredRow | None = None
     _demand: Demand | None = None
-    _asked_on: dict[str, float] = attrs.field(factory=dict)
-    _loads: set[asyncio.Task] = attrs.field(factory=set)
+    _on_ordered_at: dict[str, float] = attrs.field(factory=dict)
+    _load_tasks: set[asyncio.Task] = attrs.field(factory=set)
 
     async def step(self) -> PowerFault | None:
-        """Read, look, decide, commit, and only then order."""
+        """Read the row, observe the hosts, decide, commit, then give orders."""
         stored = await self.store.read(self.service, self.zone)
         if not isinstance(stored, PowerFault):
-            stored = await self._hold(stored)
+            stored = await self._take_over(stored)
         if isinstance(stored, PowerFault):
             self._note_fault(stored)
             return stored
-        self.latest = stored
-        asked_at = self.clock.now()
-        scene = await self.looker.look(stored.row)
-        load = scene.load()
+        self.latest_row = stored
+        valid_from = self.clock.now()
+        zone_view = await self.observer.observe(stored.row)
+        load = zone_view.load()
         if stored.row.desired == 0:
-            # Nobody has decided here before; what is on now was wanted.
-            self._demand.begin(load.hosts, asked_at)
-        desired = self._demand.desired(load, asked_at)
-        planned = Planner(self.cfg).plan(scene, desired)
-        self._gauge(scene, desired)
+            # No decider has run here before; the hosts that are on are assumed
+            # wanted.
+            self._demand.reset(load.hosts, valid_from)
+        desired = self._demand.desired(load, valid_from)
+        planned = Planner(self.cfg).plan(zone_view, desired)
+        self._set_gauges(zone_view, desired)
         written = await self._write(stored, planned)
         if isinstance(written, PowerFault):
             self._note_fault(written)
             return written
         self._publish(written)
-        await self._order(scene, written, asked_at)
+        await self._give_orders(zone_view, written, valid_from)
         return None
 
-    async def _hold(self, stored: Stored) -> Stored | PowerFault:
-        """Take the row over if another router, or an earlier start, has it."""
-        if stored.row.holder == self.me and self._demand is not None:
+    async def _take_over(self, stored: StoredRow) -> StoredRow | PowerFault:
+        """Take the row over from another router or an earlier incarnation."""
+        if (
+            stored.row.holder == self.own_incarnation
+            and self._demand is not None
+        ):
             return stored
-        self.looker.forget()
-        self._asked_on.clear()
+        self.observer.reset()
+        self._on_ordered_at.clear()
         self._demand = Demand(self.cfg)
-        self._demand.begin(stored.row.desired, self.clock.now())
-        taken = attrs.evolve(stored.row, holder=self.me)
-        outcome = await self.store.commit(stored, taken)
+        self._demand.reset(stored.row.desired, self.clock.now())
+        taken_over = attrs.evolve(stored.row, holder=self.own_incarnation)
+        outcome = await self.store.commit(stored, taken_over)
         if isinstance(outcome, PowerFault):
             self._demand = None
             return outcome
@@ -110,83 +114,95 @@
 
     async def _write(
         self,
-        stored: Stored,
+        stored: StoredRow,
         planned: PowerRow,
-    ) -> Stored | PowerFault:
-        orders = any(
+    ) -> StoredRow | PowerFault:
+        has_orders = any(
             record.state in {STOPPING, STARTING}
             for record in planned.hosts.values()
         )
-        if planned == stored.row and not orders:
+        if planned == stored.row and not has_orders:
             return stored
         return await self.store.commit(stored, planned)
 
-    async def _order(
+    async def _give_orders(
         self,
-        scene: Scene,
-        written: Stored,
-        asked_at: float,
+        zone_view: ZoneView,
+        written: StoredRow,
+        valid_from: float,
     ) -> None:
-        for name, record in changed_hosts(scene.row, written.row):
+        for name, record in changed_hosts(zone_view.row, written.row):
             self._log_change(name, record, written.row.fence)
         views = [
             view
-            for view in scene.hosts.values()
+            for view in zone_view.hosts.values()
             if view.name in written.row.hosts
         ]
-        done = await asyncio.gather(
-            *(self._order_one(view, written.row, asked_at) for view in views),
+        switched_off = await asyncio.gather(
+            *(
+                self._order_host(view, written.row, valid_from)
+                for view in views
+            ),
         )
         names = [view.name for view in views]
-        gone = set(itertools.compress(names, done))
-        if gone:
-            await self._finish(written, gone)
+        off_names = set(itertools.compress(names, switched_off))
+        if off_names:
+            await self._record_off(written, off_names)
 
-    async def _order_one(
+    async def _order_host(
         self,
         view: HostView,
         row: PowerRow,
-        asked_at: float,
+        valid_from: float,
     ) -> bool:
-        """Give the order that a host's state calls for; True for off."""
+        """Give the order that a host's state calls for.
+
+        Returns
+        -------
+        bool
+            Whether the host was switched off.
+        """
         host = attrs.evolve(view, record=row.hosts[view.name])
         fence = row.fence
         if host.state == STOPPING:
-            # The first step commits, a later one orders: by then the other
-            # routers know that the host is held, whatever starts on it.
+            # The order follows at least one step after the commit: by then the
+            # other routers know that no work may go to the host, whatever
+            # starts on it.
             if view.state != STOPPING or not host.idle:
                 return False
-            self.looker.ordered_off(host.name)
-            return await self.orders.off(host, fence, asked_at)
+            self.observer.note_off_order(host.name)
+            return await self.orders.switch_off(host, fence, valid_from)
         if host.state == LEAVING:
             await self.orders.leave(host, fence)
         elif host.state == STARTING:
-            await self._start(host, fence, asked_at)
+            await self._start_host(host, fence, valid_from)
         return False
 
-    async def _start(
+    async def _start_host(
         self,
         host: HostView,
         fence: int,
-        asked_at: float,
+        valid_from: float,
     ) -> None:
-        if host.renewed:
-            load = asyncio.create_task(self.orders.load(host, fence))
-            self._loads.add(load)
-            load.add_done_callback(self._loads.discard)
+        if host.restarted:
+            task = asyncio.create_task(self.orders.load_models(host, fence))
+            self._load_tasks.add(task)
+            task.add_done_callback(self._load_tasks.discard)
             return
         now = self.clock.now()
-        last = self._asked_on.get(host.name, float('-inf'))
+        last = self._on_ordered_at.get(host.name, float('-inf'))
         if now - last >= self.cfg.start_time:
-            self._asked_on[host.name] = now
-            await self.orders.on(host, fence, asked_at)
+            self._on_ordered_at[host.name] = now
+            await self.orders.switch_on(host, fence, valid_from)
 
-    async def _finish(self, written: Stored, done: set[str]) -> None:
-        """Record hosts as off; where that fails the next step goes on."""
+    async def _record_off(
+        self, written: StoredRow, switched_off: set[str]
+    ) -> None:
+        """Record hosts as off; if that fails, a later step does it."""
         row = written.row
-        for name in done:
-            was = row.hosts[name]
-            off = HostRecord(OFF, was.incarnation, ordered=True)
+        for name in switched_off:
+            previous = row.hosts[name]
+            off = HostRecord(OFF, previous.incarnation, ordered=True)
             row = row.with_host(name, off)
         outcome = await self.store.commit(written, row)
         if isinstance(outcome, PowerFault):
@@ -194,16 +210,16 @@
             return
         self._publish(outcome)
 
-    def _publish(self, stored: Stored) -> None:
-        self.latest = stored
+    def _publish(self, stored: StoredRow) -> None:
+        self.latest_row = stored
         self.publish(stored)
 
-    def _gauge(self, scene: Scene, desired: int) -> None:
-        names = {'service': self.service, 'zone': self.zone}
-        live = sum(not host.state for host in scene.hosts.values())
-        self.metrics.gauge('balsamreach_power_desired', desired, **names)
-        self.metrics.gauge('balsamreach_power_on', live, **names)
-        for host in scene.hosts.values():
+    def _set_gauges(self, zone_view: ZoneView, desired: int) -> None:
+        labels = {'service': self.service, 'zone': self.zone}
+        live = sum(not host.state for host in zone_view.hosts.values())
+        self.metrics.gauge('balsamreach_power_desired', desired, **labels)
+        self.metrics.gauge('balsamreach_power_on', live, **labels)
+        for host in zone_view.hosts.values():
             if host.overdue:
                 log_event(
                     _logger,
--- a/src/balsamreach/power/follower.py
+++ b/src/balsamreach/power/follower.py
@@ -1,4 +1,4 @@
-"""Brings power rows into force at a router: whom they hold off work."""
+"""Applies power rows at a router: holds targets that must get no work."""
 
 import json
 import logging
@@ -10,7 +10,7 @@
 from balsamreach.config.settings import Settings
 from balsamreach.peers.base import PeerNet
 from balsamreach.power.faults import PowerFault
-from balsamreach.power.rows import PREFIX, PowerRow, decode
+from balsamreach.power.rows import KEY_PREFIX, PowerRow, decode
 from balsamreach.services.base import Page, Row, RowValue, Scan, TableService
 from balsamreach.targets.holds import STARTING, Hold
 from balsamreach.targets.registry import Targets
@@ -19,8 +19,8 @@
 from balsamreach.wire.tables import PowerRows, TableRow
 
 _HOME_KEY = 'power-rows'
-#: Without news for this many intervals a router reads the rows itself.
-_SILENT_INTERVALS = 3
+#: Without new rows for this many intervals a router reads them itself.
+_MAX_SILENT_INTERVALS = 3
 _logger = logging.getLogger(__name__)
 
 
@@ -28,14 +28,14 @@
 class PowerFollower:
     """Follows the power rows; one router of each zone reads for the others.
 
-    Until it has them, from the table service or from a peer, no target gets
-    work: a router that starts in the moment when the others have reported a
-    host as idle would send to it as it goes off.
+    Until it has the rows, from the table service or from a peer, no target gets
+    work: a router that starts just after the others reported a host as idle
+    would send to it while it is switched off.
 
     Parameters
     ----------
     rows : dict of str to Row
-        Newest rows by key.
+        Latest rows by key.
     """
 
     cfg: Settings
@@ -45,40 +45,40 @@
     clock: Clock
     rows: dict[str, Row] = attrs.field(factory=dict)
     _version: int = 0
-    _heard_at: float = float('-inf')
-    _told: set[str] = attrs.field(factory=set)
+    _rows_received_at: float = float('-inf')
+    _informed: set[str] = attrs.field(factory=set)
 
     def __attrs_post_init__(self) -> None:
         """Hold all targets until the rows are known."""
         self.targets.hold_all()
-        self.net.on(PowerRows, self.take_rows)
+        self.net.on(PowerRows, self.handle_rows)
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the rows until cancelled."""
         while True:
-            await self.follow_once()
+            await self.update_once()
             await self.clock.sleep(self.cfg.power.interval)
 
-    async def follow_once(self) -> None:
-        """Read if it is this router's turn, and tell newcomers."""
-        silent = self.clock.now() - self._heard_at
-        longest = _SILENT_INTERVALS * self.cfg.power.interval
-        home = self.net.home(_HOME_KEY) == self.net.me
-        if home or silent > longest:
+    async def update_once(self) -> None:
+        """Read the rows if it is this router's turn; inform new neighbours."""
+        age = self.clock.now() - self._rows_received_at
+        max_age = _MAX_SILENT_INTERVALS * self.cfg.power.interval
+        is_reader = self.net.home(_HOME_KEY) == self.net.me
+        if is_reader or age > max_age:
             await self.read_once()
-        self._tell_newcomers()
+        self._send_to_new_neighbours()
 
     async def read_once(self) -> None:
-        """Read what changed and tell the neighbours."""
-        page = await self.service.scan(Scan(PREFIX, since=self._version))
+        """Read the changed rows and send them to the neighbours."""
+        page = await self.service.scan(Scan(KEY_PREFIX, since=self._version))
         while isinstance(page, Page):
             self.apply(page.rows)
-            self._spread(page.rows)
+            self._send_to_neighbours(page.rows)
             if not page.more:
                 self._version = max(self._version, page.version)
-                self._heard()
+                self._note_rows_received()
                 return
-            page = await self.service.scan(self._next(page))
+            page = await self.service.scan(self._next_scan(page))
         log_event(
             _logger,
             logging.WARNING,
@@ -87,66 +87,66 @@
         )
 
     def apply(self, rows: Iterable[Row]) -> bool:
-        """Bring newer rows into force; True if there were any."""
-        news = False
+        """Apply newer rows; True if there were any."""
+        changed = False
         for row in rows:
             known = self.rows.get(row.key)
             if known is None or row.version > known.version:
                 self.rows[row.key] = row
-                news = True
-        if news:
+                changed = True
+        if changed:
             self.targets.apply_holds(self._holds())
-        return news
+        return changed
 
-    async def take_rows(self, member: Member, message: PowerRows) -> None:
-        """Take rows that a peer read or wrote."""
-        rows = [_read(row) for row in message.rows]
+    async def handle_rows(self, member: Member, message: PowerRows) -> None:
+        """Apply rows that a peer read or wrote."""
+        rows = [_from_wire(row) for row in message.rows]
         if self.apply(row for row in rows if row is not None):
             self.net.spread(message, besides=member.incarnation)
-        self._heard()
+        self._note_rows_received()
 
     def publish(self, key: str, version: int, value: RowValue) -> None:
-        """Take a row that this router wrote, and tell the neighbours."""
+        """Apply a row that this router wrote, and send it to the neighbours."""
         row = Row(key, version, value)
         if self.apply((row,)):
-            self._spread((row,))
+            self._send_to_neighbours((row,))
 
-    def _heard(self) -> None:
-        self._heard_at = self.clock.now()
+    def _note_rows_received(self) -> None:
+        self._rows_received_at = self.clock.now()
         self.targets.release(self._holds())
 
-    def _next(self, page: Page) -> Scan:
+    def _next_scan(self, page: Page) -> Scan:
         last = page.rows[-1]
         if self._version:
-            return Scan(PREFIX, since=last.version)
-        return Scan(PREFIX, after=last.key)
+            return Scan(KEY_PREFIX, since=last.version)
+        return Scan(KEY_PREFIX, after=last.key)
 
     def _holds(self) -> dict[str, Hold]:
         holds: dict[str, Hold] = {}
         for stored in self.rows.values():
             row = decode(stored.value or {})
             if isinstance(row, PowerRow):
-                holds.update(_holds_of(row, self.targets))
+                holds.update(_holds_from(row, self.targets))
             elif stored.value is not None:
-                _log_bad(stored.key, row)
+                _log_unreadable(stored.key, row)
         return holds
 
-    def _spread(self, rows: Iterable[Row]) -> None:
-        self.net.spread(PowerRows(tuple(map(_written, rows))))
+    def _send_to_neighbours(self, rows: Iterable[Row]) -> None:
+        self.net.spread(PowerRows(tuple(map(_to_wire, rows))))
 
-    def _tell_newcomers(self) -> None:
-        # Only what was truly read is worth telling; an empty message from a
-        # router that knows nothing would release the newcomer's targets.
-        if self._heard_at < 0:
+    def _send_to_new_neighbours(self) -> None:
+        # Send only rows that were truly received. An empty message from a
+        # router that has none would release the held targets of its neighbours.
+        if self._rows_received_at < 0:
             return
-        now = {member.incarnation for member in self.net.neighbours()}
-        rows = PowerRows(tuple(map(_written, self.rows.values())))
-        for incarnation in now - self._told:
+        neighbours = {member.incarnation for member in self.net.neighbours()}
+        rows = PowerRows(tuple(map(_to_wire, self.rows.values())))
+        for incarnation in neighbours - self._informed:
             self.net.tell(incarnation, rows)
-        self._told = now
+        self._informed = neighbours
 
 
-def _holds_of(row: PowerRow, targets: Targets) -> dict[str, Hold]:
+def _holds_from(row: PowerRow, targets: Targets) -> dict[str, Hold]:
     holds = {}
     for name, record in row.hosts.items():
         target = targets.by_name.get(name)
@@ -156,12 +156,12 @@
     return holds
 
 
-def _written(row: Row) -> TableRow:
+def _to_wire(row: Row) -> TableRow:
     body = '' if row.value is None else json.dumps(row.value)
     return TableRow(row.key, row.version, body)
 
 
-def _read(row: TableRow) -> Row | None:
+def _from_wire(row: TableRow) -> Row | None:
     try:
         value = json.loads(row.body) if row.body else None
     except ValueError:
@@ -169,7 +169,7 @@
     return Row(row.key, row.version, value)
 
 
-def _log_bad(key: str, fault: PowerFault) -> None:
+def _log_unreadable(key: str, fault: PowerFault) -> None:
     log_event(
         _logger,
         logging.ERROR,
--- a/src/balsamreach/power/idle.py
+++ b/src/balsamreach/power/idle.py
@@ -1,4 +1,4 @@
-"""Proves that nothing runs on a host that is leaving."""
+"""Checks that nothing runs on a host that is leaving."""
 
 import asyncio
 from collections.abc import Iterable
@@ -16,20 +16,19 @@
 from balsamreach.wire.membership import Member
 
 ROUTER = 'router'
-_LOOKS = 2
+_REQUIRED_CONFIRMATIONS = 2
 
 
 @attrs.frozen
-class Roll:
-    """What all routers that could reach a host say of it.
+class RouterAnswers:
+    """What all routers that could send to a host report about it.
 
     Parameters
     ----------
     answered : bool
-        Whether every router known anywhere answered.
+        Whether every known router answered, in all zones.
     idle : bool
-        Whether those that answered have nothing there and send nothing
-        more.
+        Whether those that answered have no requests there and send no more.
     """
 
     answered: bool
@@ -37,114 +36,122 @@
 
 
 @attrs.define(eq=False)
-class IdleProof:
+class IdleCheck:
     """Collects evidence over the steps of one decider."""
 
     cfg: PowerSettings
     marks: Marks
     net: PeerNet
     clock: Clock
-    _seen: dict[str, tuple[Member, float]] = attrs.field(factory=dict)
-    _looks: dict[tuple[str, str], int] = attrs.field(factory=dict)
+    _routers: dict[str, tuple[Member, float]] = attrs.field(factory=dict)
+    _confirmations: dict[tuple[str, str], int] = attrs.field(factory=dict)
 
-    def meet(self, listed: Iterable[HostEntry] | None) -> None:
-        """Take note of all routers that may live, those cut off as well.
+    def update_routers(self, listed: Iterable[HostEntry] | None) -> None:
+        """Update the routers that may be alive, unreachable ones included.
 
-        A router that the others hold for dead may be cut off and serve on.
-        It is left out only once a later start has its address, or once the
-        host list has been without it for a whole settling time: the list
-        lags, and one that left it out by mistake must not be enough.
+        A router that the others believe dead may be cut off and still serve
+        requests. It is dropped only once a later incarnation has its address,
+        or once the host list has been without it for the whole settling time:
+        the list lags, and a router omitted by mistake must still count.
         """
         now = self.clock.now()
         present = self.net.members()
         addresses = {one.address for one in present}
         live = {one.incarnation for one in present}
-        self._seen.update({one.incarnation: (one, now) for one in present})
+        self._routers.update({one.incarnation: (one, now) for one in present})
         hosts = {host.address for host in listed or ()}
-        for known, seen_at in tuple(self._seen.values()):
+        for known, seen_at in tuple(self._routers.values()):
             if known.incarnation in live:
                 continue
             if known.address in hosts or listed is None:
-                self._seen[known.incarnation] = (known, now)
+                self._routers[known.incarnation] = (known, now)
             replaced = known.address in addresses
             if replaced or now - seen_at > self.cfg.order_settle:
-                self._seen.pop(known.incarnation)
+                self._routers.pop(known.incarnation)
 
-    async def holds(
+    async def is_idle(
         self,
         target: Target,
         incarnation: str,
         report: LoadReport | None,
         listed: Iterable[HostEntry] | None,
     ) -> bool:
-        """Return whether a start of a target is proven to run nothing.
+        """Return whether an incarnation of a target is known to run nothing.
 
         Parameters
         ----------
         target : Target
             The target.
         incarnation : str
-            Its start that leaves.
+            Its incarnation that is leaving.
         report : LoadReport or None
-            Its answer to a question asked just now.
+            Its answer to a request made just now.
         listed : iterable of HostEntry or None
             The host list read just now; None if it can't be read.
         """
         self.marks.mark(target, incarnation, FROM_POWER)
         if report is not None and report.busy:
-            self._looks.pop((target.name, incarnation), None)
+            self._confirmations.pop((target.name, incarnation), None)
             return False
-        roll = await self._call_roll(target, incarnation, listed)
-        if roll.answered and roll.idle:
+        answers = await self._ask_routers(target, incarnation, listed)
+        if answers.answered and answers.idle:
             return True
-        return self._says_so_itself(target, incarnation, report, roll)
+        return self._is_confirmed_by_target(
+            target, incarnation, report, answers
+        )
 
-    def _says_so_itself(
+    def _is_confirmed_by_target(
         self,
         target: Target,
         incarnation: str,
         report: LoadReport | None,
-        roll: Roll,
+        answers: RouterAnswers,
     ) -> bool:
-        """Return whether the target's own word is enough.
+        """Return whether the target's own report is sufficient.
 
-        A target that leaves and runs nothing stays so, since it refuses
-        what is new. It is looked at twice: a request sent just before, by a
-        router that can't be asked, has arrived and was refused by then.
+        A target that is leaving and runs nothing stays idle, since it refuses
+        new requests. Two reports are required: by the second one, a request
+        sent just before the first by a router that can't be asked has arrived
+        and was refused.
         """
-        look = (target.name, incarnation)
+        key = (target.name, incarnation)
         trusted = target.row.trusted_refusals and report is not None
-        says = trusted and report.leaving
-        if not says or report.incarnation != incarnation or not roll.idle:
-            self._looks.pop(look, None)
+        confirms = trusted and report.leaving
+        if (
+            not confirms
+            or report.incarnation != incarnation
+            or not answers.idle
+        ):
+            self._confirmations.pop(key, None)
             return False
-        self._looks[look] = self._looks.get(look, 0) + 1
-        return self._looks[look] >= _LOOKS
+        self._confirmations[key] = self._confirmations.get(key, 0) + 1
+        return self._confirmations[key] >= _REQUIRED_CONFIRMATIONS
 
-    async def _call_roll(
+    async def _ask_routers(
         self,
         target: Target,
         incarnation: str,
         listed: Iterable[HostEntry] | None,
-    ) -> Roll:
-        members = tuple(member for member, _ in self._seen.values())
+    ) -> RouterAnswers:
+        members = tuple(member for member, _ in self._routers.values())
         mark = TargetMark(target.name, incarnation)
-        here = self.marks.count(target, incarnation)
-        others = [
+        own_count = self.marks.count(target, incarnation)
+        other_incarnations = [
             member.incarnation for member in members if member != self.net.me
         ]
         answers = await asyncio.gather(
-            *(self.net.ask(other, mark) for other in others),
+            *(self.net.ask(other, mark) for other in other_incarnations),
         )
-        counts = [here]
+        counts = [own_count]
         counts.extend(one for one in answers if isinstance(one, InFlight))
         complete = listed is not None and len(counts) == len(answers) + 1
-        return Roll(
-            answered=complete and not self._strangers(members, listed),
+        return RouterAnswers(
+            answered=complete
+            and not self._lists_unknown_routers(members, listed),
             idle=all(one.closed and not one.requests for one in counts),
         )
 
-    def _strangers(
+    def _lists_unknown_routers(
         self,
         members: tuple[Member, ...],
         listed: Iterable[HostEntry] | None,
--- a/src/balsamreach/power/manager.py
+++ b/src/balsamreach/power/manager.py
@@ -1,4 +1,4 @@
-"""Runs a decider for each service whose hosts this router looks after."""
+"""Runs a decider for each service whose hosts this router manages."""
 
 import random
 from collections.abc import Callable
@@ -9,11 +9,11 @@
 from balsamreach.config.settings import Settings
 from balsamreach.power.decider import Decider
 from balsamreach.power.follower import PowerFollower
-from balsamreach.power.idle import IdleProof
-from balsamreach.power.looking import Looker
+from balsamreach.power.idle import IdleCheck
+from balsamreach.power.observer import Observer
 from balsamreach.power.orders import Orders
 from balsamreach.power.rows import encode
-from balsamreach.power.store import PowerStore, Stored
+from balsamreach.power.store import PowerStore, StoredRow
 from balsamreach.services.base import HostList, TableService, WeightStore
 from balsamreach.targets.client import TargetClient
 from balsamreach.targets.marks import Marks
@@ -22,13 +22,13 @@
 _JITTER = 0.1
 
 
-def _none_waiting(service: str) -> int:
+def _no_waiting_requests(service: str) -> int:
     return 0
 
 
 @attrs.frozen(kw_only=True)
 class PowerParts:
-    """What power needs.
+    """Dependencies of power management.
 
     Parameters
     ----------
@@ -45,15 +45,15 @@
     clock: Clock
     rng: random.Random
     metrics: Metrics
-    waiting: Callable[[str], int] = _none_waiting
+    waiting: Callable[[str], int] = _no_waiting_requests
 
 
 @attrs.define(eq=False)
 class PowerManager:
-    """Deciders by service, for the zone of this router.
+    """Deciders by service, for this router's zone.
 
-    Which router decides is agreed on only loosely, by rendezvous hashing
-    over the zone's routers; the conditional commits settle the rest.
+    Rendezvous hashing over the zone's routers only roughly settles which of
+    them decides; the conditional commits prevent conflicts.
     """
 
     parts: PowerParts
@@ -61,39 +61,41 @@
     deciders: dict[str, Decider] = attrs.field(factory=dict)
 
     async def run(self) -> None:
-        """Decide round after round."""
+        """Run a step of all deciders at each interval."""
         interval = self.parts.cfg.power.interval
         while True:
             await self.step_all()
-            spread = 1 + _JITTER * self.parts.rng.random()
-            await self.parts.clock.sleep(interval * spread)
+            jitter = 1 + _JITTER * self.parts.rng.random()
+            await self.parts.clock.sleep(interval * jitter)
 
     async def step_all(self) -> None:
-        """Let each decider of this router take one step."""
+        """Run one step of each decider of this router."""
         wanted = self._services()
         for service in set(self.deciders) - wanted:
             self.deciders.pop(service)
         for service in sorted(wanted):
             if service not in self.deciders:
-                self.deciders[service] = self.open_decider(service)
+                self.deciders[service] = self.make_decider(service)
             await self.deciders[service].step()
 
-    def open_decider(self, service: str) -> Decider:
-        """Return a decider for a service that has decided nothing yet."""
+    def make_decider(self, service: str) -> Decider:
+        """Return a new decider for a service."""
         parts = self.parts
         cfg = parts.cfg.power
         return Decider(
             service=service,
             zone=parts.cfg.host.zone,
-            me=parts.marks.net.me.incarnation,
+            own_incarnation=parts.marks.net.me.incarnation,
             cfg=cfg,
             store=PowerStore(parts.service),
-            looker=Looker(
+            observer=Observer(
                 cfg=cfg,
                 targets=parts.marks.targets,
                 client=parts.client,
                 hosts=parts.hosts,
-                proof=IdleProof(cfg, parts.marks, parts.marks.net, parts.clock),
+                idle_check=IdleCheck(
+                    cfg, parts.marks, parts.marks.net, parts.clock
+                ),
                 clock=parts.clock,
                 waiting=parts.waiting,
             ),
@@ -125,13 +127,13 @@
             if net.home(f'power/{service}/{zone}') == net.me
         }
 
-    def _publish(self, stored: Stored) -> None:
+    def _publish(self, stored: StoredRow) -> None:
         row = stored.row
         self.follower.publish(row.key, stored.version, encode(row))
 
 
 def make_power(parts: PowerParts) -> PowerManager:
-    """Return the manager, and the follower that holds targets for it."""
+    """Create the manager and the follower that holds targets for it."""
     follower = PowerFollower(
         parts.cfg,
         parts.marks.targets,
--- a/src/balsamreach/power/looking.py
+++ b/src/balsamreach/power/observer.py
@@ -1,4 +1,4 @@
-"""Gathers the scene that a decision is made from."""
+"""Collects the state of the hosts that a decision is based on."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,9 +7,9 @@
 
 from balsamreach.clock import Clock
 from balsamreach.config.target_settings import PowerSettings
-from balsamreach.power.idle import IdleProof
+from balsamreach.power.idle import IdleCheck
 from balsamreach.power.rows import HostRecord, PowerRow
-from balsamreach.power.scene import HostView, Scene
+from balsamreach.power.views import HostView, ZoneView
 from balsamreach.services.base import HostEntry, HostList
 from balsamreach.services.faults import PlatformFault
 from balsamreach.table.rows import ACTIVE
@@ -22,8 +22,8 @@
 
 
 @attrs.define(eq=False)
-class Looker:
-    """Asks the hosts of a service in a zone and the platform's list.
+class Observer:
+    """Asks the hosts of a service in a zone and reads the host list.
 
     Parameters
     ----------
@@ -35,40 +35,40 @@
     targets: Targets
     client: TargetClient
     hosts: HostList
-    proof: IdleProof
+    idle_check: IdleCheck
     clock: Clock
     waiting: Callable[[str], int]
-    _since: dict[str, tuple[HostRecord, float]] = attrs.field(factory=dict)
+    _first_seen: dict[str, tuple[HostRecord, float]] = attrs.field(factory=dict)
 
-    async def look(self, row: PowerRow) -> Scene:
-        """Return the scene for a row just read."""
+    async def observe(self, row: PowerRow) -> ZoneView:
+        """Return the state of the hosts of a row just read."""
         listed = await self.hosts.hosts()
         if isinstance(listed, PlatformFault):
             listed = None
-        self.proof.meet(listed)
+        self.idle_check.update_routers(listed)
         targets = self._managed(row)
-        self._follow_records(row)
+        self._update_first_seen(row)
         views = await asyncio.gather(
-            *(self._view(target, row, listed) for target in targets),
+            *(self._observe_target(target, row, listed) for target in targets),
         )
-        return Scene(
+        return ZoneView(
             row=row,
             hosts={view.name: view for view in views},
             waiting=self.waiting(row.service),
         )
 
-    def forget(self) -> None:
-        """Forget how long records have stood, after losing the row."""
-        self._since.clear()
+    def reset(self) -> None:
+        """Forget since when records have existed, after losing the row."""
+        self._first_seen.clear()
 
-    def ordered_off(self, name: str) -> None:
-        """Take note that an order to switch a host off was just sent."""
-        self._since.pop(name, None)
+    def note_off_order(self, name: str) -> None:
+        """Record that an order to switch a host off was just sent."""
+        self._first_seen.pop(name, None)
 
     def _managed(self, row: PowerRow) -> tuple[Target, ...]:
-        # What operators set to leaving or off is theirs: power neither
-        # counts it nor orders it, and so never undoes an edit. Two rows on
-        # one host would each decide about the other, so they are left out.
+        # Targets that operators set to leaving or off are neither counted nor
+        # given orders, so that power never undoes an edit. Two rows on one host
+        # would each decide about the other, so they are left out.
         return tuple(
             target
             for target in self.targets.by_name.values()
@@ -78,16 +78,16 @@
             and len(self.targets.at_address(target.row.address)) == 1
         )
 
-    def _follow_records(self, row: PowerRow) -> None:
+    def _update_first_seen(self, row: PowerRow) -> None:
         now = self.clock.now()
-        for name in set(self._since) - set(row.hosts):
-            self._since.pop(name)
+        for name in set(self._first_seen) - set(row.hosts):
+            self._first_seen.pop(name)
         for name, record in row.hosts.items():
-            known = self._since.get(name)
+            known = self._first_seen.get(name)
             if known is None or known[0] != record:
-                self._since[name] = (record, now)
+                self._first_seen[name] = (record, now)
 
-    async def _view(
+    async def _observe_target(
         self,
         target: Target,
         row: PowerRow,
@@ -106,9 +106,9 @@
             settled=self._is_settled(target.name, record),
             overdue=self._is_overdue(target.name, record),
         )
-        if view.state not in {LEAVING, STOPPING} or view.renewed:
+        if view.state not in {LEAVING, STOPPING} or view.restarted:
             return view
-        idle = await self.proof.holds(
+        idle = await self.idle_check.is_idle(
             target,
             record.incarnation,
             known,
@@ -117,14 +117,14 @@
         return attrs.evolve(view, idle=idle)
 
     def _age(self, name: str, record: HostRecord) -> float:
-        since = self._since.get(name, (record, self.clock.now()))[1]
+        since = self._first_seen.get(name, (record, self.clock.now()))[1]
         return self.clock.now() - since
 
     def _is_settled(self, name: str, record: HostRecord | None) -> bool:
-        """Return whether no order to switch the host off is under way.
+        """Return whether no order to switch the host off can be under way.
 
-        The time is counted from when this router first saw the record, on
-        its own clock: no two hosts' clocks are compared.
+        The time counts from when this router first saw the record, by its own
+        clock: clocks of different hosts are never compared.
         """
         if record is None or record.state != OFF:
             return False
@@ -142,7 +142,7 @@
     target: Target,
     listed: tuple[HostEntry, ...] | None,
 ) -> bool:
-    # Without the list nothing may be taken for absent.
+    # Without the list no host may be taken for absent.
     if listed is None:
         return True
     return any(
--- a/src/balsamreach/power/orders.py
+++ b/src/balsamreach/power/orders.py
@@ -1,4 +1,4 @@
-"""Orders to hosts and their targets, each given under a fresh commit."""
+"""Orders to hosts and their targets, each given after a new commit."""
 
 import logging
 
@@ -6,7 +6,7 @@
 
 from balsamreach.clock import Clock
 from balsamreach.config.target_settings import PowerSettings
-from balsamreach.power.scene import HostView
+from balsamreach.power.views import HostView
 from balsamreach.services.base import HostList, WeightStore
 from balsamreach.services.faults import UNKNOWN, PlatformFault
 from balsamreach.targets.client import (
@@ -24,7 +24,7 @@
 
 @attrs.define(eq=False)
 class Orders:
-    """Gives orders for one decider."""
+    """Gives the orders of one decider."""
 
     cfg: PowerSettings
     client: TargetClient
@@ -35,14 +35,16 @@
     _loading: set[str] = attrs.field(factory=set)
 
     async def leave(self, host: HostView, fence: int) -> None:
-        """Ask a target to refuse new work; harmless when it is doubled."""
+        """Tell a target to refuse new work; a repeated order does no harm."""
         if host.report is None or host.report.leaving:
             return
         order = Order(LEAVE, fence, host.record.incarnation)
         fault = await self.client.order(host.target.row.address, order)
-        self._note(host, LEAVE, fence, fault)
+        self._record(host, LEAVE, fence, fault)
 
-    async def off(self, host: HostView, fence: int, valid_from: float) -> bool:
+    async def switch_off(
+        self, host: HostView, fence: int, valid_from: float
+    ) -> bool:
         """Switch off a host whose row was committed as stopping.
 
         Parameters
@@ -50,40 +52,45 @@
         host : HostView
             The host.
         fence : int
-            Number of that commit.
+            Fencing number of that commit.
         valid_from : float
-            Monotonic seconds at which that commit was asked for.
+            Monotonic seconds before that commit was started.
 
         Returns
         -------
         bool
-            Whether the platform answered that it is done.
+            Whether the platform confirmed it.
         """
         row = host.target.row
         if row.honours_fences:
             order = Order(POWER_OFF, fence, host.record.incarnation)
-            if self._is_late(valid_from):
+            if self._is_expired(valid_from):
                 return False
             fault = await self.client.order(row.address, order)
-            self._note(host, POWER_OFF, fence, fault)
-        # Nothing is awaited between this look at the clock and the sending:
-        # a decider that was paused since its commit stops here.
-        if self._is_late(valid_from):
+            self._record(host, POWER_OFF, fence, fault)
+        # Nothing is awaited between this check and the sending: a decider that
+        # was paused since its commit stops here.
+        if self._is_expired(valid_from):
             return False
         fault = await self.hosts.power(row.address, on=False, fence=fence)
-        self._note(host, 'off', fence, fault)
+        self._record(host, 'off', fence, fault)
         return fault is None
 
-    async def on(self, host: HostView, fence: int, valid_from: float) -> None:
+    async def switch_on(
+        self, host: HostView, fence: int, valid_from: float
+    ) -> None:
         """Switch a host on."""
-        if self._is_late(valid_from):
+        if self._is_expired(valid_from):
             return
         address = host.target.row.address
         fault = await self.hosts.power(address, on=True, fence=fence)
-        self._note(host, 'on', fence, fault)
+        self._record(host, 'on', fence, fault)
 
-    async def load(self, host: HostView, fence: int) -> None:
-        """Load what a started target lacks, in the weight store's turn."""
+    async def load_models(self, host: HostView, fence: int) -> None:
+        """Load the models that a started target lacks.
+
+        Each load waits until the weight store has a free slot.
+        """
         report = host.report
         if report is None or host.name in self._loading:
             return
@@ -94,28 +101,28 @@
             self._loading.discard(host.name)
 
     async def _load_missing(self, host: HostView, fence: int) -> None:
-        lacking = set(host.target.row.models) - set(host.report.models)
-        for model in sorted(lacking):
+        missing = set(host.target.row.models) - set(host.report.models)
+        for model in sorted(missing):
             wait = await self.weights.reserve(model)
             if isinstance(wait, PlatformFault):
-                self._note(host, 'reserve', fence, wait)
+                self._record(host, 'reserve', fence, wait)
                 return
             # Hosts that start together would otherwise all read weights at
-            # once, and each of them would take longer than one alone.
+            # once, and each would take longer than one alone.
             await self.clock.sleep(wait)
-            start = host.report.incarnation
-            order = Order(LOAD_MODEL, fence, start, model)
+            incarnation = host.report.incarnation
+            order = Order(LOAD_MODEL, fence, incarnation, model)
             fault = await self.client.order(host.target.row.address, order)
-            self._note(host, LOAD_MODEL, fence, fault)
+            self._record(host, LOAD_MODEL, fence, fault)
 
-    def _is_late(self, valid_from: float) -> bool:
-        late = self.clock.now() - valid_from > self.cfg.order_valid
-        if late:
+    def _is_expired(self, valid_from: float) -> bool:
+        expired = self.clock.now() - valid_from > self.cfg.order_valid
+        if expired:
             self.metrics.count('balsamreach_power_orders_dropped_total')
             log_event(_logger, logging.WARNING, 'power_order_dropped')
-        return late
+        return expired
 
-    def _note(self, host: HostView, kind: str, fence: int, fault) -> None:
+    def _record(self, host: HostView, kind: str, fence: int, fault) -> None:
         outcome = 'taken' if fault is None else fault.code
         self.metrics.count(
             'balsamreach_power_orders_total',
--- a/src/balsamreach/power/rows.py
+++ b/src/balsamreach/power/rows.py
@@ -1,4 +1,4 @@
-"""The durable state of power per service and zone."""
+"""The stored state of power management per service and zone."""
 
 import json
 from collections.abc import Mapping
@@ -9,24 +9,24 @@
 from balsamreach.power.faults import BAD_ROW, PowerFault
 from balsamreach.targets.holds import LEAVING, OFF, STARTING, STOPPING
 
-PREFIX = 'power/'
+KEY_PREFIX = 'power/'
 
 _STATES = (STARTING, LEAVING, STOPPING, OFF)
 
 
 @attrs.frozen
 class HostRecord:
-    """A host that is not simply on; hosts that are on have no record.
+    """State of a host that is not on; hosts that are on have no record.
 
     Parameters
     ----------
     state : str
         ``starting``, ``leaving``, ``stopping`` or ``off``.
     incarnation : str
-        The start that leaves, or the last one that was known.
+        The incarnation that is leaving, or the last known one.
     ordered : bool
-        Whether an order to switch it off may have been sent. One may then
-        still be under way.
+        Whether an order to switch it off may have been sent and may still be
+        under way.
     """
 
     state: str = attrs.field(validator=attrs.validators.in_(_STATES))
@@ -36,23 +36,23 @@
 
 @attrs.frozen
 class PowerRow:
-    """Who decides for the hosts of a service in a zone, and their states.
+    """State of the hosts of a service in a zone, and their decider.
 
     Parameters
     ----------
     service, zone : str
-        What it is about.
+        The service and availability zone.
     fence : int
         Fencing number; each commit raises it, so that no two commits give
         orders under the same number.
     holder : str
         Incarnation of the router that decides.
     desired : int
-        Hosts that should be on.
+        Number of hosts that should be on.
     commit_id : str
         Tells the holder whether a commit without an answer was its own.
     hosts : Mapping of str to HostRecord
-        By name of the target.
+        Records by target name.
     """
 
     service: str
@@ -66,10 +66,10 @@
     @property
     def key(self) -> str:
         """Key of the row in the table service."""
-        return f'{PREFIX}{self.service}/{self.zone}'
+        return f'{KEY_PREFIX}{self.service}/{self.zone}'
 
     def with_host(self, name: str, record: HostRecord | None) -> 'PowerRow':
-        """Return the row with one record replaced, or removed by None."""
+        """Return the row with one record replaced; None removes it."""
         hosts = dict(self.hosts)
         hosts.pop(name, None)
         if record is not None:
--- a/src/balsamreach/power/store.py
+++ b/src/balsamreach/power/store.py
@@ -4,15 +4,15 @@
 
 import attrs
 
-from balsamreach.power.faults import OVERTAKEN, ROW_AWAY, PowerFault
+from balsamreach.power.faults import ROW_CONFLICT, ROW_UNAVAILABLE, PowerFault
 from balsamreach.power.rows import PowerRow, decode, encode
 from balsamreach.services.base import Check, Commit, Row, TableService, Write
 from balsamreach.services.faults import CONFLICT, UNKNOWN, PlatformFault
 
 
 @attrs.frozen
-class Stored:
-    """A row with the version under which the table service has it."""
+class StoredRow:
+    """A row with its version in the table service."""
 
     row: PowerRow
     version: int
@@ -24,26 +24,26 @@
 
     service: TableService
 
-    async def read(self, service: str, zone: str) -> Stored | PowerFault:
-        """Read a row; one that was never written counts as empty."""
+    async def read(self, service: str, zone: str) -> StoredRow | PowerFault:
+        """Read a row; one that was never written is returned empty."""
         empty = PowerRow(service, zone)
         rows = await self.service.read((empty.key,))
         if isinstance(rows, PlatformFault):
-            return ROW_AWAY.because(rows.reason or rows.code)
-        return _stored(rows[0], empty)
+            return ROW_UNAVAILABLE.because(rows.reason or rows.code)
+        return _to_stored(rows[0], empty)
 
     async def commit(
         self,
-        seen: Stored,
+        seen: StoredRow,
         changed: PowerRow,
-    ) -> Stored | PowerFault:
-        """Write a row if nobody else did since it was read.
+    ) -> StoredRow | PowerFault:
+        """Write a row unless it was changed since it was read.
 
         Returns
         -------
-        Stored or PowerFault
-            The row as stored, under a raised fencing number; OVERTAKEN or
-            ROW_AWAY if it must be taken as not written.
+        StoredRow or PowerFault
+            The row as stored, with a raised fencing number; ROW_CONFLICT or
+            ROW_UNAVAILABLE if it must be treated as not written.
         """
         changed = attrs.evolve(
             changed,
@@ -57,29 +57,35 @@
             ),
         )
         if version == UNKNOWN:
-            return await self._find(changed)
+            return await self._find_own_commit(changed)
         if version == CONFLICT:
-            return OVERTAKEN.because('the row was written by another')
+            return ROW_CONFLICT.because(
+                'the row was written by another decider'
+            )
         if isinstance(version, PlatformFault):
-            return ROW_AWAY.because(version.reason or version.code)
-        return Stored(changed, version)
+            return ROW_UNAVAILABLE.because(version.reason or version.code)
+        return StoredRow(changed, version)
 
-    async def _find(self, changed: PowerRow) -> Stored | PowerFault:
-        # The answer was lost. If the commit is there, it took effect; if
-        # not, it may still, and nothing must be ordered on its strength:
-        # the next step reads the row anew.
+    async def _find_own_commit(
+        self, changed: PowerRow
+    ) -> StoredRow | PowerFault:
+        # The answer was lost. If the commit is there, it took effect. If not,
+        # it may still take effect, and no order may depend on it: the next step
+        # reads the row again.
         found = await self.read(changed.service, changed.zone)
         if isinstance(found, PowerFault):
             return found
         if found.row.commit_id == changed.commit_id:
             return found
-        return OVERTAKEN.because('the answer was lost and the row is another')
+        return ROW_CONFLICT.because(
+            'the answer was lost and the row has another commit'
+        )
 
 
-def _stored(found: Row, empty: PowerRow) -> Stored | PowerFault:
+def _to_stored(found: Row, empty: PowerRow) -> StoredRow | PowerFault:
     if found.value is None:
-        return Stored(empty, 0)
+        return StoredRow(empty, 0)
     row = decode(found.value)
     if isinstance(row, PowerFault):
         return row
-    return Stored(row, found.version)
+    return StoredRow(row, found.version)
--- a/src/balsamreach/power/scene.py
+++ b/src/balsamreach/power/views.py
@@ -1,4 +1,4 @@
-"""What a decider sees of a service's hosts at one step."""
+"""What a decider observes of a service's hosts in one step."""
 
 from collections.abc import Mapping
 
@@ -12,24 +12,24 @@
 
 @attrs.frozen
 class HostView:
-    """One host at one step.
+    """One host in one step.
 
     Parameters
     ----------
     target : Target
-        The target it carries.
+        The target on the host.
     record : HostRecord or None
-        What the power row says; None for on.
+        Its record in the power row; None for on.
     report : LoadReport or None
-        Its answer to a question of this step; None if it gave none.
+        Its load report of this step; None if it gave none.
     listed : bool
         Whether the platform's list shows it as live.
     idle : bool
-        Whether the start that leaves is proven to run nothing.
+        Whether the leaving incarnation is known to run nothing.
     settled : bool
         Whether no order to switch it off can still be under way.
     overdue : bool
-        Whether it was ordered on and should have been up long ago.
+        Whether it was ordered on and has exceeded the start timeout.
     """
 
     target: Target
@@ -47,25 +47,25 @@
 
     @property
     def state(self) -> str:
-        """State of the power row, empty for on."""
+        """State in the power row, empty for on."""
         return self.record.state if self.record else ''
 
     @property
-    def renewed(self) -> bool:
-        """Whether another start than the recorded one answers."""
+    def restarted(self) -> bool:
+        """Whether another incarnation than the recorded one answers."""
         if self.report is None or self.record is None:
             return False
         return self.report.incarnation != self.record.incarnation
 
     @property
-    def loaded(self) -> bool:
-        """Whether it has loaded all that its row names."""
+    def models_loaded(self) -> bool:
+        """Whether it has loaded all models that its row names."""
         models = self.report.models if self.report else ()
         return set(self.target.row.models) <= set(models)
 
 
 @attrs.frozen
-class Scene:
+class ZoneView:
     """All hosts of a service in a zone.
 
     Parameters
@@ -73,7 +73,7 @@
     row : PowerRow
         The row that this step has read.
     hosts : Mapping of str to HostView
-        By name of the target.
+        Hosts by target name.
     waiting : int
         Requests that wait at this router.
     """
@@ -85,9 +85,9 @@
     def load(self) -> Load:
         """Return the load of the hosts that answered."""
         answered = [host for host in self.hosts.values() if host.report]
-        able = [host for host in answered if not host.state]
+        available = [host for host in answered if not host.state]
         return Load(
             busy=self.waiting + sum(host.report.busy for host in answered),
-            slots=sum(host.report.slots for host in able),
-            hosts=len(able),
+            slots=sum(host.report.slots for host in available),
+            hosts=len(available),
         )
--- a/tests/power_world.py
+++ b/tests/power_world.py
@@ -1,4 +1,4 @@
-"""A small world for tests of power: hosts, platform, routers, requests."""
+"""Simulated hosts, platform, routers and requests for tests of power."""
 
 import asyncio
 import math
@@ -26,20 +26,20 @@
 
 @attrs.define(eq=False)
 class Gate:
-    """Holds whoever passes while it is shut, as a paused process is."""
+    """Blocks callers while shut, like a paused process."""
 
     shut: bool = False
     waiting: int = 0
     _open: asyncio.Event = attrs.field(factory=asyncio.Event)
 
-    async def passing(self) -> None:
-        """Wait while shut."""
+    async def wait_until_open(self) -> None:
+        """Wait while the gate is shut."""
         if self.shut:
             self.waiting += 1
             await self._open.wait()
 
     def open(self) -> None:
-        """Let all go on."""
+        """Let all waiting callers continue."""
         self.shut = False
         self.waiting = 0
         self._open.set()
@@ -48,101 +48,104 @@
 
 @attrs.define(eq=False)
 class GatedTable(PassingTable):
-    """Table service as one router reaches it."""
+    """Table service as seen by one router, with gates around commits."""
 
     before: Gate = attrs.field(factory=Gate)
     after: Gate = attrs.field(factory=Gate)
 
     async def commit(self, change: Commit):
-        """Commit, held before or after it takes effect."""
-        await self.before.passing()
+        """Commit; gates can block before or after it takes effect."""
+        await self.before.wait_until_open()
         outcome = await super().commit(change)
-        await self.after.passing()
+        await self.after.wait_until_open()
         return outcome
 
 
 @attrs.define(eq=False)
-class PowerSwitch(HostList):
-    """The platform's host list and switch, with faults.
+class FakePlatform(HostList):
+    """The platform's host list and power switch, with faults.
 
     Parameters
     ----------
-    keep : bool
-        Whether each order to switch off is kept, to be delivered again.
+    keep_off_orders : bool
+        Whether orders to switch off are kept, to be delivered again.
     delay : float
-        Seconds that a host takes to come up.
+        Seconds that a host takes to start.
     """
 
     clock: VirtualClock
-    hosts_by: dict[str, FakeHost]
+    hosts_by_address: dict[str, FakeHost]
     routers: list[HostEntry] = attrs.field(factory=list)
     gate: Gate = attrs.field(factory=Gate)
-    keep: bool = False
-    kept: list[tuple[str, float]] = attrs.field(factory=list)
-    lose: int = 0
+    keep_off_orders: bool = False
+    kept_off_orders: list[tuple[str, float]] = attrs.field(factory=list)
+    lose_answers: int = 0
     down: bool = False
-    omit: set[str] = attrs.field(factory=set)
+    omitted: set[str] = attrs.field(factory=set)
     delay: float = 20
-    dead: set[str] = attrs.field(factory=set)
+    never_start: set[str] = attrs.field(factory=set)
     orders: list[tuple[str, bool, int]] = attrs.field(factory=list)
-    coming: dict[str, float] = attrs.field(factory=dict)
+    starting_at: dict[str, float] = attrs.field(factory=dict)
 
     async def hosts(self):
-        """List what is up and not omitted."""
+        """List the hosts that are up and not omitted."""
         if self.down:
             return UNAVAILABLE
         entries = [
             HostEntry(host.address, SERVICE, ZONE, 'live', host.incarnation)
-            for host in self.hosts_by.values()
-            if host.up and host.address not in self.omit
+            for host in self.hosts_by_address.values()
+            if host.up and host.address not in self.omitted
         ]
         entries.extend(
-            entry for entry in self.routers if entry.address not in self.omit
+            entry for entry in self.routers if entry.address not in self.omitted
         )
         return tuple(entries)
 
     async def power(self, address, *, on, fence):
-        """Switch a host, whatever the number says."""
-        await self.gate.passing()
+        """Switch a host, whatever the fencing number."""
+        await self.gate.wait_until_open()
         if self.down:
             return UNAVAILABLE
         self.orders.append((address, on, fence))
         self._switch(address, on=on)
-        if self.lose:
-            self.lose -= 1
+        if self.lose_answers:
+            self.lose_answers -= 1
             return UNKNOWN
         return None
 
-    def deliver_kept(self, longest: float = math.inf) -> None:
-        """Carry out again the orders to switch off that aren't too old."""
+    def redeliver_kept(self, longest: float = math.inf) -> None:
+        """Repeat the kept orders to switch off that aren't too old."""
         since = self.clock.now() - longest
-        for address, taken_at in self.kept:
+        for address, taken_at in self.kept_off_orders:
             if taken_at >= since:
-                self.hosts_by[address].switch(on=False)
-        self.kept.clear()
+                self.hosts_by_address[address].switch(on=False)
+        self.kept_off_orders.clear()
 
     def bring_up(self) -> None:
-        """Let hosts come up whose time has come."""
-        for address, when in tuple(self.coming.items()):
+        """Start the hosts whose start time has come."""
+        for address, when in tuple(self.starting_at.items()):
             if self.clock.now() >= when:
-                self.coming.pop(address)
-                self.hosts_by[address].switch(on=True)
+                self.starting_at.pop(address)
+                self.hosts_by_address[address].switch(on=True)
 
     def _switch(self, address: str, *, on: bool) -> None:
         if on:
-            if address not in self.dead and not self.hosts_by[address].up:
+            if (
+                address not in self.never_start
+                and not self.hosts_by_address[address].up
+            ):
                 when = self.clock.now() + self.delay
-                self.coming.setdefault(address, when)
+                self.starting_at.setdefault(address, when)
             return
-        self.coming.pop(address, None)
-        if self.keep:
-            self.kept.append((address, self.clock.now()))
-        self.hosts_by[address].switch(on=False)
+        self.starting_at.pop(address, None)
+        if self.keep_off_orders:
+            self.kept_off_orders.append((address, self.clock.now()))
+        self.hosts_by_address[address].switch(on=False)
 
 
 @attrs.define(eq=False)
-class WorldRouter:
-    """One router of the world."""
+class RouterNode:
+    """One simulated router."""
 
     watch: TargetWatch
     power: PowerManager
@@ -159,8 +162,8 @@
         """Its targets."""
         return self.watch.marks.targets
 
-    def in_state(self, state: str) -> list[str]:
-        """Return the targets in a state of power, as this router knows."""
+    def targets_in_state(self, state: str) -> list[str]:
+        """Return the targets in a power state, as this router knows it."""
         rows = self.power.follower.rows.values()
         records = [decode(row.value).hosts for row in rows]
         return [
@@ -171,16 +174,16 @@
         ]
 
     async def poll_all(self) -> None:
-        """Poll every target itself."""
+        """Poll every target from this router."""
         for target in tuple(self.targets.by_name.values()):
             await self.watch.loads.poll(target)
 
 
 @attrs.define(eq=False)
 class World:
-    """Routers before hosts of one service in one zone.
+    """Simulated routers and the hosts of one service in one zone.
 
-    ``cut`` counts requests that a switch-off ended.
+    ``cut`` counts requests that ended because a host was switched off.
     """
 
     count: int = 6
@@ -189,16 +192,16 @@
     clock: VirtualClock = attrs.field(factory=VirtualClock)
     net: FakeNet = attrs.field(factory=FakeNet)
     metrics: Metrics = attrs.field(factory=Metrics)
-    routers: list[WorldRouter] = attrs.field(factory=list)
+    routers: list[RouterNode] = attrs.field(factory=list)
     paused: set[str] = attrs.field(factory=set)
     running: list[tuple[Target, FakeHost, int]] = attrs.field(factory=list)
     rows: list[TargetRow] = attrs.field(init=False)
     client: FakeTargets = attrs.field(init=False)
     platform: MemoryPlatform = attrs.field(init=False)
-    switch: PowerSwitch = attrs.field(init=False)
+    switch: FakePlatform = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Put up hosts and platform."""
+        """Create the hosts and the platform."""
         addresses = [f'10.0.0.{number}:80' for number in range(self.count)]
         hosts = {
             address: FakeHost(address, up=number < self.up)
@@ -216,7 +219,7 @@
         ]
         self.client = FakeTargets(self.clock, hosts)
         self.platform = MemoryPlatform.start(self.clock)
-        self.switch = PowerSwitch(self.clock, hosts)
+        self.switch = FakePlatform(self.clock, hosts)
 
     @property
     def hosts(self) -> list[FakeHost]:
@@ -225,10 +228,10 @@
 
     @property
     def cut(self) -> int:
-        """Requests cut by switching a host off."""
+        """Number of requests cut by switching a host off."""
         return sum(host.cut for host in self.hosts)
 
-    def add_router(self, name: str, zone: str = ZONE) -> WorldRouter:
+    def add_router(self, name: str, zone: str = ZONE) -> RouterNode:
         """Start a router."""
         cfg = read_settings(None, (f'host.zone={zone}', *self.overrides))
         targets = Targets(warm_time=cfg.power.warm_time)
@@ -261,50 +264,50 @@
                 metrics=self.metrics,
             )
         )
-        router = WorldRouter(watch, power, table)
+        router = RouterNode(watch, power, table)
         self.routers.append(router)
         return router
 
     async def poll(self) -> None:
         """Let all routers poll targets and power rows once."""
-        for router in self._awake():
-            await router.power.follower.follow_once()
+        for router in self._running_routers():
+            await router.power.follower.update_once()
             await router.watch.loads.poll_once()
             router.watch.marks.catch_up()
         await self.net.settle()
 
     async def round(self, seconds: float = 5) -> None:
-        """Poll, decide and let time pass."""
+        """Poll, decide and advance the clock."""
         self.switch.bring_up()
         await self.poll()
-        for router in self._awake():
+        for router in self._running_routers():
             await self.step(router)
         await self.net.settle()
         await self.clock.advance(seconds)
 
     async def rounds(self, number: int) -> None:
-        """Go on for some rounds."""
+        """Run some rounds."""
         for _ in range(number):
             await self.round()
 
-    async def step(self, router: WorldRouter) -> asyncio.Task:
-        """Let a router decide; it may hang where a gate is shut."""
+    async def step(self, router: RouterNode) -> asyncio.Task:
+        """Run a router's deciders; they may block at a shut gate."""
         task = asyncio.create_task(router.power.step_all())
         await settle()
         return task
 
-    def send(self, router: WorldRouter, choice: int = 0) -> bool:
+    def send(self, router: RouterNode, choice: int = 0) -> bool:
         """Send one request to a target that the router would choose."""
-        able = [
+        available = [
             target
             for target in router.targets.among(self.rows)
             if target.suspended_until <= self.clock.now()
         ]
-        if not able:
+        if not available:
             return False
-        target = min(able, key=lambda one: (one.in_flight, one.name))
+        target = min(available, key=lambda one: (one.in_flight, one.name))
         if choice:
-            target = able[choice % len(able)]
+            target = available[choice % len(available)]
         host = self.client.hosts[target.row.address]
         if not host.up or host.leaving:
             # No connection, or refused by the target: not run.
@@ -314,8 +317,8 @@
         self.running.append((target, host, host.start))
         return True
 
-    def end_one(self, index: int = 0) -> None:
-        """Let one request end."""
+    def finish_one(self, index: int = 0) -> None:
+        """End one request."""
         if not self.running:
             return
         target, host, start = self.running.pop(index % len(self.running))
@@ -323,10 +326,10 @@
         if host.up and host.start == start:
             host.running -= 1
 
-    def end_all(self) -> None:
-        """Let all requests end."""
+    def finish_all(self) -> None:
+        """End all requests."""
         while self.running:
-            self.end_one()
+            self.finish_one()
 
-    def _awake(self) -> list[WorldRouter]:
+    def _running_routers(self) -> list[RouterNode]:
         return [one for one in self.routers if one.name not in self.paused]
--- a/tests/test_power_demand.py
+++ b/tests/test_power_demand.py
@@ -35,13 +35,13 @@
         load = Load(busy, slots=80, hosts=20)
         self.assertEqual(Demand(_CFG).desired(load, 0), desired)
 
-    def test_saturation_asks_for_half_as_many_again(self):
+    def test_saturation_adds_half_of_the_hosts(self):
         load = Load(busy=8, slots=8, hosts=2)
         self.assertEqual(Demand(_CFG).desired(load, 0), 5)
         load = Load(busy=40, slots=40, hosts=10)
         self.assertEqual(Demand(_CFG).desired(load, 0), 21)
 
-    def test_falls_only_after_the_idle_time(self):
+    def test_decreases_only_after_the_idle_time(self):
         demand = Demand(_CFG)
         full = Load(20, slots=80, hosts=20)
         empty = Load(0, slots=80, hosts=20)
@@ -49,12 +49,11 @@
         self.assertEqual(demand.desired(empty, 99), 11)
         self.assertEqual(demand.desired(empty, 100), 2)
 
-    def test_swings_faster_than_the_idle_time_move_nothing(self):
-        """Hosts are switched on and off with every swing of demand.
+    def test_fast_swings_change_nothing(self):
+        """Guards against hosts that start and stop all day.
 
-        Symptom: hosts start and stop all day.
-        Sequence: demand is high and low in turn, each for 40 seconds.
-        Cause: without a window each low would let hosts go.
+        Demand is high and low in turn, each for 40 seconds; without a window
+        each low would release hosts.
         """
         demand = Demand(_CFG)
         numbers = {
--- a/tests/test_power_histories.py
+++ b/tests/test_power_histories.py
@@ -1,11 +1,10 @@
-"""Histories of deciders, pauses, lost answers and late orders, drawn.
-
-Symptom: a request ends as its host is switched off.
-Sequence: whatever a history draws: two routers decide at the same time,
-pause before and after commits and before orders, lose answers, restart;
-orders are delivered twice; hosts ignore fencing numbers and some ignore the
-order to leave; the table goes down; routers are cut off from each other.
-Cause: anything that lets an order reach a start that has requests.
+"""Property test of deciders with random pauses, lost answers and late orders.
+
+Guards against any order that reaches an incarnation with requests and cuts
+them. In a history two routers decide at the same time, pause before and after
+commits and before orders, lose answers and restart; orders are delivered twice;
+hosts ignore fencing numbers and some ignore the order to leave; the table
+becomes unavailable; routers are cut off from each other.
 """
 
 import asyncio
@@ -19,7 +18,7 @@
 
 from tests.power_world import World
 
-#: More histories for a longer run, for example 5000.
+#: Number of histories; raise it for a longer run, for example to 5000.
 _EXAMPLES = int(os.environ.get('BALSAMREACH_POWER_HISTORIES', '60'))
 _SEED = 58
 _SETTINGS = (
@@ -37,19 +36,19 @@
     'round',
     'round',
     'round',
-    'crest',
-    'crest',
-    'calm',
-    'calm',
+    'high_demand',
+    'high_demand',
+    'low_demand',
+    'low_demand',
     'send',
     'send',
-    'end',
-    'end_all',
+    'finish_one',
+    'finish_all',
     'step_second',
     'pause_before',
     'pause_after',
     'pause_order',
-    'wake',
+    'resume',
     'lose_commit',
     'lose_order',
     'deliver_late',
@@ -68,20 +67,20 @@
 )
 
 
-#: How many orders to switch off (False) and on (True) were carried out.
-SEEN = collections.Counter()
+#: Number of orders to switch off (False) and on (True) carried out.
+ORDERS_SEEN = collections.Counter()
 
 
 class History:
-    """Carries out one drawn history."""
+    """Runs one generated history."""
 
-    def __init__(self, stubborn):
+    def __init__(self, disobedient):
         self.world = World(count=_HOSTS, up=_HOSTS, overrides=_SETTINGS)
-        self.world.switch.keep = True
+        self.world.switch.keep_off_orders = True
         self.world.switch.delay = 4
         for number, host in enumerate(self.world.hosts):
-            host.obeys_leave = number not in stubborn
-            host.blind = number in stubborn
+            host.obeys_leave = number not in disobedient
+            host.blind = number in disobedient
             host.checks_incarnation = number % 2 == 0
         self.world.add_router('r0')
         self.world.add_router('r1')
@@ -90,45 +89,45 @@
         self.weather = self.world.platform.weather
 
     async def run(self, events):
-        """Carry out all events."""
+        """Run all events."""
         await self.world.rounds(2)
         for name, choice in events:
             await getattr(self, f'do_{name}')(choice)
             assert self.world.cut == 0, name
-        await self.do_wake(0)
-        SEEN.update(on for _, on, _ in self.world.switch.orders)
+        await self.do_resume(0)
+        ORDERS_SEEN.update(on for _, on, _ in self.world.switch.orders)
 
     async def do_round(self, choice):
         await self.world.round()
 
-    async def do_crest(self, choice):
-        """Let demand rise for some rounds."""
+    async def do_high_demand(self, choice):
+        """Send requests for some rounds."""
         for _ in range(1 + choice // 2):
             for number in range(6):
                 self.world.send(self.world.routers[choice % 2], number)
             await self.world.round()
 
-    async def do_calm(self, choice):
-        """Let demand end for some rounds."""
-        self.world.end_all()
+    async def do_low_demand(self, choice):
+        """End all requests and run some rounds."""
+        self.world.finish_all()
         await self.world.rounds(1 + choice)
 
     async def do_send(self, choice):
         router = self.world.routers[choice % len(self.world.routers)]
         self.world.send(router, choice)
 
-    async def do_end(self, choice):
-        self.world.end_one(choice)
+    async def do_finish_one(self, choice):
+        self.world.finish_one(choice)
 
-    async def do_end_all(self, choice):
-        self.world.end_all()
+    async def do_finish_all(self, choice):
+        self.world.finish_all()
         await self.world.rounds(3)
 
     async def do_step_second(self, choice):
-        self.decider()
+        self.ensure_second_decider()
         task = asyncio.create_task(self.second.step())
         await self.world.clock.advance(choice)
-        if not self._shut():
+        if not self._any_gate_shut():
             await task
 
     async def do_pause_before(self, choice):
@@ -140,13 +139,13 @@
         await self._pause(router.table.after, choice)
 
     async def do_pause_order(self, choice):
-        """Hold orders on their way for less than the settling time."""
-        await self.do_wake(choice)
+        """Delay orders for less than the settling time."""
+        await self.do_resume(choice)
         self.world.switch.gate.shut = True
         await self.world.rounds(1 + choice % 4)
-        await self.do_wake(choice)
+        await self.do_resume(choice)
 
-    async def do_wake(self, choice):
+    async def do_resume(self, choice):
         for router in self.world.routers:
             router.table.before.open()
             router.table.after.open()
@@ -158,13 +157,13 @@
         await self.world.round()
 
     async def do_lose_order(self, choice):
-        self.world.switch.lose = choice % 3
+        self.world.switch.lose_answers = choice % 3
         await self.world.round()
 
     async def do_deliver_late(self, choice):
-        """Deliver again what was ordered within the settling time."""
+        """Deliver again the orders given within the settling time."""
         self.send_everywhere()
-        self.world.switch.deliver_kept(_SETTLE)
+        self.world.switch.redeliver_kept(_SETTLE)
 
     async def do_table_down(self, choice):
         self.weather.down = True
@@ -189,7 +188,7 @@
             host.leaving = False
 
     async def do_restart_router(self, choice):
-        """Start the second router anew when nothing runs."""
+        """Restart the second router while nothing runs."""
         if self.world.running:
             return
         old = self.world.routers.pop()
@@ -202,10 +201,10 @@
     async def do_pause_long(self, choice):
         """Pause the first decider after a commit; the second takes over."""
         world = self.world
-        if self._shut():
+        if self._any_gate_shut():
             return
         first = world.routers[0]
-        self.decider()
+        self.ensure_second_decider()
         first.table.after.shut = True
         await world.step(first)
         world.paused.add(first.name)
@@ -216,24 +215,24 @@
                 self.send_everywhere()
             await world.round()
         self.send_everywhere()
-        await self.do_wake(choice)
+        await self.do_resume(choice)
         world.paused.clear()
         world.net.heal()
 
-    def decider(self):
-        """Let the second router hold itself for the decider."""
+    def ensure_second_decider(self):
+        """Make the second router a decider too."""
         if self.second is None:
             router = self.world.routers[1]
-            self.second = router.power.open_decider('llm')
+            self.second = router.power.make_decider('llm')
 
     def send_everywhere(self):
-        """Send a request to each target that gets any."""
+        """Send requests from each router that is not paused."""
         for router in self.world.routers:
             for number in range(_HOSTS):
                 if router.name not in self.world.paused:
                     self.world.send(router, number)
 
-    def _shut(self):
+    def _any_gate_shut(self):
         gates = [self.world.switch.gate]
         for router in self.world.routers:
             gates.extend((router.table.before, router.table.after))
@@ -261,10 +260,10 @@
         phases=(Phase.generate,),
     )
     @given(_HISTORY, st.sets(st.integers(0, _HOSTS - 1)))
-    def test_nobody_is_cut(self, events, stubborn):
-        asyncio.run(History(stubborn).run(events))
+    def test_no_request_is_cut(self, events, disobedient):
+        asyncio.run(History(disobedient).run(events))
 
     def tearDown(self):
-        # Histories in which nothing is ordered would show nothing.
-        self.assertGreater(SEEN[False], _EXAMPLES)
-        self.assertGreater(SEEN[True], _EXAMPLES // 4)
+        # Histories without any order would prove nothing.
+        self.assertGreater(ORDERS_SEEN[False], _EXAMPLES)
+        self.assertGreater(ORDERS_SEEN[True], _EXAMPLES // 4)
--- a/tests/test_power_orders.py
+++ b/tests/test_power_orders.py
@@ -1,4 +1,4 @@
-"""Tests of orders to load weights, in the weight store's turn."""
+"""Tests of orders to load models, spaced by the weight store."""
 
 import asyncio
 import unittest
@@ -7,7 +7,7 @@
 
 from balsamreach.config.reader import read_settings
 from balsamreach.power.orders import Orders
-from balsamreach.power.scene import HostView
+from balsamreach.power.views import HostView
 from balsamreach.services.base import WeightStore
 from balsamreach.services.faults import UNREACHABLE
 from balsamreach.targets.registry import Target
@@ -20,17 +20,17 @@
 
 
 @attrs.define
-class _Store(WeightStore):
-    """Gives load slots one after the other."""
+class _FakeWeightStore(WeightStore):
+    """Grants load slots one after the other."""
 
     clock: VirtualClock
     away: bool = False
     free_at: float = 0
-    asked: list[str] = attrs.field(factory=list)
+    reserved: list[str] = attrs.field(factory=list)
 
     async def reserve(self, model):
         """Return the wait until the next free slot."""
-        self.asked.append(model)
+        self.reserved.append(model)
         if self.away:
             return UNREACHABLE
         begin = max(self.free_at, self.clock.now())
@@ -39,7 +39,7 @@
 
 
 class LoadTest(unittest.IsolatedAsyncioTestCase):
-    """Two hosts that were started at once, each with nothing loaded."""
+    """Two hosts started at the same time, without loaded models."""
 
     async def asyncSetUp(self):
         self.clock = VirtualClock()
@@ -49,7 +49,7 @@
             self.clock,
             {host.address: host for host in self.hosts},
         )
-        self.store = _Store(self.clock)
+        self.store = _FakeWeightStore(self.clock)
         self.metrics = Metrics()
         self.orders = Orders(
             read_settings(None, ('host.zone=zone-a',)).power,
@@ -68,15 +68,15 @@
         """Return how many hosts have loaded their model."""
         return sum(bool(host.models) for host in self.hosts)
 
-    async def test_loads_are_spaced_to_the_rate_of_the_store(self):
-        """Hosts that start together do not read weights all at once.
+    async def test_loads_are_spaced_by_the_weight_store(self):
+        """Guards against hosts that all read weights at once.
 
-        Symptom: each of many new hosts takes many times as long to load.
-        Sequence: demand steps up, hosts start, all read from one store.
-        Cause: an order to load without a turn, or before it has come.
+        After a step in demand many hosts start and read from one store, and
+        each would take many times as long to load if it were ordered to without
+        a slot, or before the slot has come.
         """
         loads = [
-            asyncio.create_task(self.orders.load(view, fence=1))
+            asyncio.create_task(self.orders.load_models(view, fence=1))
             for view in self.views
         ]
         await self.clock.advance(0)
@@ -87,25 +87,28 @@
         await asyncio.gather(*loads)
         self.assertEqual(self.loaded(), 2)
 
-    async def test_steps_meanwhile_take_no_second_turn(self):
-        """A host that waits for its turn does not take others' as well.
+    async def test_waiting_load_reserves_only_once(self):
+        """Guards against a host that reserves further slots while it waits.
 
-        Symptom: loads come ever later, the later the more steps pass.
-        Sequence: a decider's next step sees the host without its model.
-        Cause: each step asks the store for another slot.
+        A decider's next step sees the host still without its model; if each
+        step reserved another slot, loads would be delayed more and more.
         """
         self.store.free_at = self.clock.now() + _WAIT
-        first = asyncio.create_task(self.orders.load(self.views[0], fence=1))
+        first = asyncio.create_task(
+            self.orders.load_models(self.views[0], fence=1)
+        )
         await settle()
-        again = asyncio.create_task(self.orders.load(self.views[0], fence=2))
+        again = asyncio.create_task(
+            self.orders.load_models(self.views[0], fence=2)
+        )
         await settle()
-        self.assertEqual(self.store.asked, ['model-a'])
+        self.assertEqual(self.store.reserved, ['model-a'])
         await self.clock.advance(_WAIT + 1)
         await asyncio.gather(first, again)
 
-    async def test_store_that_is_away_gets_no_load_past_it(self):
+    async def test_unavailable_weight_store_prevents_loads(self):
         self.store.away = True
-        await self.orders.load(self.views[0], fence=1)
+        await self.orders.load_models(self.views[0], fence=1)
         self.assertEqual(self.loaded(), 0)
         counted = self.metrics.counted(
             _ORDERS,
@@ -114,7 +117,9 @@
         )
         self.assertEqual(counted, 1)
         self.store.away = False
-        load = asyncio.create_task(self.orders.load(self.views[0], fence=2))
+        load = asyncio.create_task(
+            self.orders.load_models(self.views[0], fence=2)
+        )
         await self.clock.advance(0)
         await load
         self.assertEqual(self.loaded(), 1)
