--- a/src/balsamreach/wire/__init__.py
+++ b/src/balsamreach/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The inner protocol between routers: typed messages and their encoding."""
+"""The protocol between routers: typed messages and their encoding."""
--- a/src/balsamreach/wire/answers.py
+++ b/src/balsamreach/wire/answers.py
@@ -1,4 +1,4 @@
-"""Messages that carry the answer of a request that runs elsewhere."""
+"""Messages that fetch the answer to a request that another router runs."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen(repr=False)
 class AnswerAsk(Message):
-    """Asks the router that runs a request for a part of its answer."""
+    """Asks the router that runs a request for its answer from an offset on."""
 
     team: str
     key: str
@@ -17,22 +17,23 @@
 
 @attrs.frozen(repr=False)
 class AnswerPart(Message):
-    """Part of an answer from an offset on.
+    """The bytes of an answer that are available from an offset on.
 
     Parameters
     ----------
     known : bool
-        Whether the asked router has the answer at all.
+        Whether the router that was asked has the answer.
     status : int
         HTTP status, 0 while it is not known.
     headers : tuple of str
-        Names and texts in turn.
+        Header names and values, alternating.
     body : bytes
-        Bytes from the offset on, as far as they are there.
+        Bytes from the offset on that have been received so far.
     ended, whole : bool
-        Whether nothing more comes, and whether that is the whole answer.
+        Whether no more bytes follow, and whether the answer is complete.
     fault, reason, ran : str
-        Code, sentence and ``no`` or ``unknown`` where it is not whole.
+        For an incomplete answer: the error code, a sentence for people, and
+        whether the request ran (``no`` or ``unknown``).
     """
 
     known: bool
--- a/src/balsamreach/wire/base.py
+++ b/src/balsamreach/wire/base.py
@@ -1,16 +1,16 @@
-"""Base of the typed messages of the inner protocol."""
+"""Base class of the messages between routers."""
 
 import attrs
 
 
 class Message:
-    """Base of all messages."""
+    """Base class of all messages."""
 
     def __repr__(self) -> str:
-        """Return the class and its fields, as attrs would.
+        """Return the class name and its fields in the format of attrs.
 
-        Made by attrs for each class, it would take a third of the time in
-        which the messages are imported, at each start of a router.
+        A method that attrs generates for each class would take a third of
+        the import time of the messages, at each start of a router.
         """
         fields = ', '.join(
             f'{field.name}={getattr(self, field.name)!r}'
--- a/src/balsamreach/wire/bills.py
+++ b/src/balsamreach/wire/bills.py
@@ -1,4 +1,4 @@
-"""Messages by which a buddy keeps copies of bills."""
+"""Messages that copy a router's bills to its backup peer."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen(repr=False)
 class BillCopy(Message):
-    """One bill as a buddy keeps it."""
+    """One bill as a backup peer stores it."""
 
     team: str
     key: str
@@ -16,15 +16,21 @@
 
 @attrs.frozen(repr=False)
 class BillCopies(Message):
-    """Bills to keep until their maker says that they are recorded.
+    """Bills to store until the router that made them has recorded them.
 
     Parameters
     ----------
+    incarnation : str
+        Incarnation of the router that made the bills.
+    bills : tuple of BillCopy
+        Bills to store.
+    recorded : tuple of BillCopy
+        Bills that are recorded and need no copy any more.
     left : bool
-        Whether the maker has stopped spending for good, so that its buddy
-        may settle its bills and close its allotments.
+        Whether that router has stopped spending permanently, so that its
+        backup peer may settle its bills and close its allotments.
     address : str
-        The maker's address if another router passes its copies on.
+        Address of that router if another router forwards the copies.
     """
 
     incarnation: str
--- a/src/balsamreach/wire/codec.py
+++ b/src/balsamreach/wire/codec.py
@@ -1,4 +1,4 @@
-"""Turns messages into bytes and back."""
+"""Encodes messages to bytes and decodes them."""
 
 from functools import cache
 from typing import Any
@@ -18,17 +18,17 @@
 from balsamreach.wire.plans import read_struct, write_struct
 from balsamreach.wire.schema import load_schema
 
-#: Most bytes of one message, packed or not.
+#: Maximum size of one message in bytes, packed or not.
 MOST_BYTES = 1024 * 1024
 
 _WORD = 8
-# A reader counts a word again each time a pointer leads to it, and one word
-# for each empty element of a list; so bytes that claim huge or cyclic lists
-# end in an error, not in a full memory.
-_MOST_WORDS = 2 * MOST_BYTES // _WORD
-_MOST_NESTING = 8
-# The first packed byte tells which bytes of the first word aren't zero, and
-# the word's first four bytes hold the number of segments less one.
+# A reader counts a word each time a pointer refers to it, and one word for
+# each empty list element. Bytes that declare huge or cyclic lists therefore
+# raise an error instead of exhausting the memory.
+_MAX_WORDS = 2 * MOST_BYTES // _WORD
+_MAX_NESTING = 8
+# The bits of the first packed byte mark the non-zero bytes of the first word,
+# whose first four bytes hold the number of segments minus one.
 _SEGMENTS_MASK = 0b1111
 _DECODE_ERRORS = (capnp.KjException, AttributeError, TypeError, ValueError)
 _ENCODE_ERRORS = (*_DECODE_ERRORS, OverflowError)
@@ -36,19 +36,20 @@
 
 @attrs.frozen
 class Envelope:
-    """A message with what pairs it with its answer.
+    """A message with the numbers that match questions to answers.
 
     Parameters
     ----------
     message : Message
         The message.
     ask : int
-        Number under which the sender awaits an answer; 0 for none.
+        Number of this question, which its answer repeats; 0 if the sender
+        expects no answer.
     answers : int
-        Number of the ask that this answers; 0 for none.
+        Number of the question that this message answers; 0 for none.
     traceparent : str
-        W3C trace context of the request that an ask belongs to; empty for
-        none. An older router neither sends nor reads it.
+        W3C trace context of the request that a question belongs to; empty
+        for none. An older router neither sends nor reads it.
     """
 
     message: Message
@@ -59,17 +60,17 @@
 
 @attrs.define
 class _LastTold:
-    """The message that was encoded last, where it asks and answers nothing.
+    """Cache of the last encoded message that neither asks nor answers.
 
-    A hub tells the same message to all routers of its zone, one after the
-    other; encoded anew for each, it would be most of what a hub does.
+    A hub sends the same message to each router of its zone. Without the
+    cache, encoding it for each of them would dominate a hub's CPU time.
     """
 
     message: Message | None = None
     packed: bytes | WireFault = b''
 
 
-_last_told = _LastTold()
+_last_encoded = _LastTold()
 
 
 def encode(envelope: Envelope) -> bytes | WireFault:
@@ -78,20 +79,20 @@
     Parameters
     ----------
     envelope : Envelope
-        What to send.
+        The message to send.
 
     Returns
     -------
     bytes or WireFault
         The packed bytes; MALFORMED if an attribute does not fit its type,
-        TOO_LARGE if there are too many.
+        TOO_LARGE if they exceed the maximum size.
     """
     if envelope.ask or envelope.answers or envelope.traceparent:
         return _encode(envelope)
-    if envelope.message is not _last_told.message:
-        _last_told.packed = _encode(envelope)
-        _last_told.message = envelope.message
-    return _last_told.packed
+    if envelope.message is not _last_encoded.message:
+        _last_encoded.packed = _encode(envelope)
+        _last_encoded.message = envelope.message
+    return _last_encoded.packed
 
 
 def _encode(envelope: Envelope) -> bytes | WireFault:
@@ -106,12 +107,12 @@
 
 
 def decode(packed: bytes) -> Envelope | WireFault:
-    """Return the message that bytes stand for.
+    """Return the message that the bytes encode.
 
     Parameters
     ----------
     packed : bytes
-        Bytes from anywhere.
+        Untrusted bytes.
 
     Returns
     -------
@@ -121,12 +122,12 @@
     if len(packed) > MOST_BYTES:
         size = len(packed)
         return TOO_LARGE.because(f'message of {size} bytes')
-    if not packed or _has_segments(packed):
-        # The library reads further segments late. If they are cut off, it
-        # throws from a destructor, which ends the whole process: a router
-        # would vanish with 'terminate called' as its last line. Messages of
-        # ours have one segment, which is read before anything else.
-        return MALFORMED.because('empty, or of more than one segment')
+    if not packed or _has_more_segments(packed):
+        # Cap'n Proto reads further segments lazily. If they are truncated,
+        # it throws from a destructor and the process aborts with 'terminate
+        # called'. Routers only send messages of one segment, which is read
+        # first.
+        return MALFORMED.because('message is empty or has several segments')
     try:
         return _unpack(packed)
     except _DECODE_ERRORS as exc:
@@ -135,18 +136,18 @@
 
 @cache
 def kinds() -> dict[str, type[Message]]:
-    """Return all classes of messages by their name in the schema."""
+    """Return all message classes by their name in the schema's union."""
     return {kind_label(kind): kind for kind in KINDS}
 
 
 def _pack_in_one_segment(envelope: Envelope) -> bytes:
     packed = _pack(envelope)
-    if _has_segments(packed):
-        return _pack(envelope, _MOST_WORDS)
+    if _has_more_segments(packed):
+        return _pack(envelope, _MAX_WORDS)
     return packed
 
 
-def _has_segments(packed: bytes) -> bool:
+def _has_more_segments(packed: bytes) -> bool:
     return bool(packed[0] & _SEGMENTS_MASK)
 
 
@@ -164,19 +165,19 @@
 def _unpack(packed: bytes) -> Envelope | WireFault:
     reader = load_schema().Envelope.from_bytes_packed(
         packed,
-        traversal_limit_in_words=_MOST_WORDS,
-        nesting_limit=_MOST_NESTING,
+        traversal_limit_in_words=_MAX_WORDS,
+        nesting_limit=_MAX_NESTING,
     )
-    label = _label(reader)
+    label = _union_label(reader)
     kind = kinds().get(label)
     if kind is None:
-        return UNKNOWN_KIND.because(f'message of the kind {label!r}')
+        return UNKNOWN_KIND.because(f'message of unknown kind {label!r}')
     message = read_struct(kind, getattr(reader, label))
     return Envelope(message, reader.ask, reader.answers, reader.traceparent)
 
 
-def _label(reader: Any) -> str:
-    # The union of a newer release may hold a kind that this schema lacks.
+def _union_label(reader: Any) -> str:
+    # A newer release may send a kind that this schema's union lacks.
     try:
         return str(reader.which())
     except (capnp.KjException, KeyError, ValueError):
--- a/src/balsamreach/wire/faults.py
+++ b/src/balsamreach/wire/faults.py
@@ -4,14 +4,14 @@
 
 
 class WireFault(Fault):
-    """A reason why bytes are no message, or a message has no bytes."""
+    """An error in encoding, decoding or transmitting a message."""
 
 
-#: The bytes are no message of this protocol.
+#: The bytes are not a valid message of this protocol.
 MALFORMED = WireFault('wire_malformed')
 #: The message is of a kind that this release does not know.
 UNKNOWN_KIND = WireFault('wire_unknown_kind')
-#: A frame is larger than the receiver takes.
+#: A frame or message exceeds the maximum size.
 TOO_LARGE = WireFault('wire_too_large')
-#: The other end closed the connection, or it broke.
+#: The peer closed the connection, or the connection broke.
 CLOSED = WireFault('wire_closed')
--- a/src/balsamreach/wire/framing.py
+++ b/src/balsamreach/wire/framing.py
@@ -1,4 +1,4 @@
-"""Frames on a connection: a length of four bytes, then so many bytes."""
+"""Length-prefixed frames: a length of four bytes, then the payload."""
 
 from collections.abc import Callable
 
@@ -7,14 +7,14 @@
 
 from balsamreach.wire.faults import CLOSED, TOO_LARGE, WireFault
 
-#: Bytes of the length before each frame.
+#: Size in bytes of the length prefix of a frame.
 HEAD = 4
-#: Most bytes that are taken from a connection at once.
-_MOST_READ = 64 * 1024
+#: Maximum number of bytes read from a connection at once.
+_MAX_READ = 64 * 1024
 
 
 def frame(packed: bytes) -> bytes:
-    """Return the bytes with their length before them."""
+    """Return the bytes with their length prefix."""
     return len(packed).to_bytes(HEAD) + packed
 
 
@@ -26,80 +26,80 @@
     stream : IOStream
         The connection.
     limit : int
-        Most bytes that the frame may have.
+        Maximum size of the payload in bytes.
 
     Returns
     -------
     bytes or WireFault
-        What the frame holds; TOO_LARGE before any of it is read, after
-        which the connection can only be closed, or CLOSED.
+        The payload, TOO_LARGE or CLOSED. TOO_LARGE is returned before any
+        of the payload is read; the caller then has to close the connection.
     """
     head = await _read(stream, HEAD)
     if isinstance(head, WireFault):
         return head
     size = int.from_bytes(head)
     if size > limit:
-        return TOO_LARGE.because(f'frame of {size} bytes, {limit} are taken')
+        return TOO_LARGE.because(f'frame of {size} bytes exceeds {limit}')
     return await _read(stream, size)
 
 
 @attrs.define(eq=False)
 class FrameReader:
-    """Reads the frames of a connection that has been greeted on.
+    """Reads the frames of a connection after the greeting.
 
-    It takes whatever has arrived at once. A wait for each length and each
-    frame costs more than to read what they hold, and small messages come in
-    bunches.
+    It reads all available bytes at once: small messages arrive in batches,
+    and awaiting each length and each payload separately costs more than
+    decoding them.
 
     Parameters
     ----------
     stream : IOStream
-        The connection; nobody else reads from it any more.
+        The connection; this reader must be the only one that reads from it.
     limit : int
-        Most bytes that a frame may have.
+        Maximum size of a payload in bytes.
     progress : callable or None
-        Is called for all bytes that arrive, of half a frame as well.
+        Called whenever bytes arrive, even for a part of a frame.
     """
 
     stream: IOStream
     limit: int
     progress: Callable[[], None] | None = None
-    _arrived: bytearray = attrs.field(factory=bytearray)
+    _buffer: bytearray = attrs.field(factory=bytearray)
 
     async def next(self) -> bytes | WireFault:
-        """Return the next frame, or a fault as ``read_frame`` does."""
+        """Return the next payload or a fault, like ``read_frame``."""
         while True:
-            packed = self._cut()
+            packed = self._pop_frame()
             if packed is not None:
                 return packed
             try:
-                chunk = await self.stream.read_bytes(_MOST_READ, partial=True)
+                chunk = await self.stream.read_bytes(_MAX_READ, partial=True)
             except StreamClosedError as exc:
                 return CLOSED.because(
                     str(exc.real_error or 'closed by the peer')
                 )
-            self._arrived += chunk
+            self._buffer += chunk
             if self.progress is not None:
                 self.progress()
 
-    def _cut(self) -> bytes | WireFault | None:
-        if len(self._arrived) < HEAD:
+    def _pop_frame(self) -> bytes | WireFault | None:
+        if len(self._buffer) < HEAD:
             return None
-        size = int.from_bytes(self._arrived[:HEAD])
+        size = int.from_bytes(self._buffer[:HEAD])
         if size > self.limit:
             return TOO_LARGE.because(
-                f'frame of {size} bytes, {self.limit} are taken',
+                f'frame of {size} bytes exceeds {self.limit}',
             )
         end = HEAD + size
-        if len(self._arrived) < end:
+        if len(self._buffer) < end:
             return None
-        packed = bytes(self._arrived[HEAD:end])
-        del self._arrived[:end]
+        packed = bytes(self._buffer[HEAD:end])
+        del self._buffer[:end]
         return packed
 
 
 async def write(stream: IOStream, octets: bytes) -> WireFault | None:
-    """Write bytes and wait until the connection has taken them.
+    """Write bytes and wait until they are flushed to the socket.
 
     Parameters
     ----------
--- a/src/balsamreach/wire/kinds.py
+++ b/src/balsamreach/wire/kinds.py
@@ -1,4 +1,4 @@
-"""Lists the kinds of messages that the codec reads."""
+"""The list of all message classes that the codec knows."""
 
 from balsamreach.wire.answers import AnswerAsk, AnswerPart
 from balsamreach.wire.base import Message
@@ -40,7 +40,7 @@
 )
 from balsamreach.wire.tokens import TokensAsk, TokensGrant, TokensUsed
 
-#: In the order of the schema.
+#: All message classes, in the order of the schema.
 KINDS: tuple[type[Message], ...] = (
     Member,
     Hello,
--- a/src/balsamreach/wire/loads.py
+++ b/src/balsamreach/wire/loads.py
@@ -1,4 +1,4 @@
-"""Messages about loads at targets."""
+"""Messages about the load of targets."""
 
 import attrs
 
@@ -7,12 +7,12 @@
 
 @attrs.frozen(repr=False)
 class TargetLoad(Message):
-    """One target's load as its home router saw it.
+    """Load of one target as its home router last saw it.
 
     Parameters
     ----------
     age : float
-        Seconds between the report and the sending of this message.
+        Age of the target's report in seconds when this message is sent.
     reachable : bool
         Whether the home router reaches the target.
     """
@@ -29,28 +29,29 @@
 
 @attrs.frozen(repr=False)
 class TargetLoads(Message):
-    """Loads told to the routers of the zone."""
+    """Loads of targets, sent to the routers of the zone."""
 
     loads: tuple[TargetLoad, ...] = ()
 
 
 @attrs.frozen(repr=False)
 class LoadWords(Message):
-    """Loads at targets, as one column for each figure.
+    """Loads of targets, one list per figure.
 
-    Told several times a second, they are most of what routers send; a list
-    of structs costs four times the processor time to read.
+    Routers send these messages several times a second, and they make up most
+    of the traffic. A list of structs costs four times the CPU time to read.
 
     Parameters
     ----------
     scope : str
-        Whose they are: the sender's own, its zone's, or the whole fleet's.
+        Whose requests are counted: those of the sender, of its zone or of
+        the whole fleet.
     targets : tuple of str
-        Incarnations.
+        Incarnations of the targets.
     running : tuple of int
-        Requests there.
+        Requests at each target.
     unread : tuple of int
-        Prompt tokens there that are not read yet.
+        Prompt tokens at each target that are not processed yet.
     """
 
     scope: str
--- a/src/balsamreach/wire/loans.py
+++ b/src/balsamreach/wire/loans.py
@@ -7,7 +7,7 @@
 
 @attrs.frozen(repr=False)
 class LoanAsk(Message):
-    """Asks for tokens of a team's budget out of the peer's allotment."""
+    """Asks a peer to lend tokens of a team's budget from its allotment."""
 
     loan_id: str
     team: str
@@ -16,15 +16,17 @@
 
 @attrs.frozen(repr=False)
 class LoanGrant(Message):
-    """Tokens lent; the lender has taken them off already. 0 lends none.
+    """Answers a LoanAsk; the lender has already deducted the tokens.
 
     Parameters
     ----------
+    tokens : int
+        Tokens lent; 0 if the lender refuses.
     left : int
-        Tokens of the team that the lender still has for no request.
+        Tokens of the team that the lender has left and not reserved.
     reserved : int
-        Tokens that it has set aside for requests in progress; a part of
-        them comes free.
+        Tokens that the lender has reserved for requests in progress; some
+        of them will be released.
     """
 
     loan_id: str
@@ -36,7 +38,7 @@
 
 @attrs.frozen(repr=False)
 class LoanReceipt(Message):
-    """Tells the lender that the loan arrived and is recorded."""
+    """Tells the lender that the borrower received and recorded a loan."""
 
     loan_id: str
     incarnation: str
@@ -44,21 +46,21 @@
 
 @attrs.frozen(repr=False)
 class RecallAsk(Message):
-    """Asks a router to hand back what it holds idle of a team's budget."""
+    """Asks a router to return the unused tokens it holds for a team."""
 
     team: str
 
 
 @attrs.frozen(repr=False)
 class RecallTold(Message):
-    """What a router has of a team's budget after it handed back.
+    """What a router has of a team's budget after returning unused tokens.
 
     Parameters
     ----------
     spent : int
-        Tokens of the bills that it made.
+        Tokens in the bills that the router made.
     held : int
-        Tokens set aside for requests, or not handed back.
+        Tokens reserved for requests, or not returned.
     """
 
     team: str
@@ -68,20 +70,21 @@
 
 @attrs.frozen(repr=False)
 class LenderAsk(Message):
-    """Asks whether anything of a dead lender is left; LenderGone answers."""
+    """Asks whether a peer still depends on a dead lender."""
 
     incarnation: str
 
 
 @attrs.frozen(repr=False)
 class LenderGone(Message):
-    """Tells what the sender has to do with a dead lender.
+    """Answers a LenderAsk.
 
     Parameters
     ----------
     clear : bool
-        Whether it has no unrecorded loan of it, will take none, keeps no
-        bills of dead routers, and holds the lender for dead as well.
+        Whether the sender has no unrecorded loan from the lender, will accept
+        none, stores no bills of dead routers, and considers the lender dead
+        as well.
     """
 
     clear: bool
--- a/src/balsamreach/wire/marks.py
+++ b/src/balsamreach/wire/marks.py
@@ -7,7 +7,7 @@
 
 @attrs.frozen(repr=False)
 class TargetMark(Message):
-    """Tells that one start of a target is leaving, for good."""
+    """Tells that an incarnation of a target is leaving and won't return."""
 
     target: str
     incarnation: str
@@ -27,7 +27,7 @@
     Parameters
     ----------
     closed : bool
-        Whether the router sends this target nothing more.
+        Whether the router sends this target no further requests.
     """
 
     target: str
--- a/src/balsamreach/wire/membership.py
+++ b/src/balsamreach/wire/membership.py
@@ -1,40 +1,40 @@
-"""Messages by which routers greet each other and know who is alive."""
+"""Messages for greeting peers and tracking which routers are alive."""
 
 import attrs
 
 from balsamreach.wire.base import Message
 
-#: Raised when a message changes in a way that older routers misread.
+#: Incremented when a message changes in a way that older routers misread.
 PROTOCOL_VERSION = 1
 
 
 @attrs.frozen(repr=False)
 class Member(Message):
-    """A router as others know it.
+    """A router as known to the other routers.
 
     Parameters
     ----------
     incarnation : str
-        Identity of one start of the router.
+        Unique identifier of one run of the router process.
     host : str
         Name of the host.
     address : str
-        ``ip:port`` of its peers' listener.
+        ``ip:port`` of its listener for peers.
     zone : str
         Availability zone.
     started : float
-        Wall time of the start; of two incarnations on one address the
-        later one holds.
+        Start time as seconds of the wall clock; of two incarnations at the
+        same address the later one is valid.
     leaving : bool
         Whether it has begun a graceful shutdown.
     revision : int
-        Raised by the router itself only; what is said about a lower
+        Only incremented by the router itself; information about a lower
         revision is out of date.
     dead : bool
-        Whether it is held to be dead at this revision. A router that lives
-        and hears this raises its revision.
+        Whether it is considered dead at this revision. A live router that
+        receives this increments its revision.
     link : int
-        Mbit/s of its host's link; 0 where not known.
+        Bandwidth of its host's link in Mbit/s; 0 if unknown.
     """
 
     incarnation: str
@@ -50,7 +50,7 @@
 
 @attrs.frozen(repr=False)
 class Hello(Message):
-    """First message on a connection, both ways."""
+    """First message on a connection, in both directions."""
 
     version: int
     fleet: str
@@ -60,14 +60,14 @@
 
 @attrs.frozen(repr=False)
 class Heartbeat(Message):
-    """Sent at a steady interval; its absence shows a silent connection.
+    """Sent at a fixed interval so that a broken connection is detected.
 
     Parameters
     ----------
     table_version : int
-        Version of the table in force at the sender.
+        Version of the table that the sender uses.
     orders : int
-        Digest of the evacuations that it knows; 0 for none.
+        Digest of the evacuations known to the sender; 0 for none.
     """
 
     table_version: int = 0
@@ -76,15 +76,15 @@
 
 @attrs.frozen(repr=False)
 class Members(Message):
-    """Routers that the sender knows, dead ones among them.
+    """Routers known to the sender, including dead ones.
 
     Parameters
     ----------
     members : tuple of Member
-        What the receiver may not know yet.
+        Entries that the receiver may not know yet.
     wanted : bytes
-        In an answer, the numbers of the parts of the list, one byte each,
-        that the sender wants in turn.
+        In an answer, the numbers of the parts of the list that the sender
+        requests in return, one byte each.
     """
 
     members: tuple[Member, ...] = ()
@@ -93,7 +93,7 @@
 
 @attrs.frozen(repr=False)
 class MembersAsk(Message):
-    """Asks for what differs from the sender's list of routers.
+    """Asks for entries that differ from the sender's list of routers.
 
     Parameters
     ----------
--- a/src/balsamreach/wire/messages.capnp
+++ b/src/balsamreach/wire/messages.capnp
@@ -1,14 +1,14 @@
 @0xd2b1f0c3a4e59687;
 
-# Messages between routers. Every struct mirrors the class of the same name that
-# kinds.py lists, field by field; its documentation stands there. Fields are
-# only ever added at the end: an older router leaves out what it does not know.
+# Messages between routers. Each struct mirrors the class of the same name in
+# kinds.py, which documents the fields. New fields are only added at the end:
+# older routers ignore fields that they do not know.
 
 struct Envelope {
   ask @0 :UInt32;
-  # Number under which the sender waits for an answer; 0 for none.
+  # Number of this question, which its answer repeats; 0 for no answer.
   answers @1 :UInt32;
-  # Number of the ask that this message answers; 0 for none.
+  # Number of the question that this message answers; 0 for none.
   union {
     none @2 :Void;
     member @3 :Member;
@@ -55,8 +55,8 @@
     tokensUsed @45 :TokensUsed;
   }
   traceparent @31 :Text;
-  # W3C trace context of the request that an ask belongs to; empty for none,
-  # and from routers that don't know this field yet.
+  # W3C trace context of the request that a question belongs to; empty for
+  # none, and from routers of releases without this field.
 }
 
 struct Member {
--- a/src/balsamreach/wire/plans.py
+++ b/src/balsamreach/wire/plans.py
@@ -1,4 +1,4 @@
-"""Works out how each class of messages maps onto its struct."""
+"""Mapping between message classes and the structs of the schema."""
 
 from collections.abc import Callable
 from functools import cache, partial
@@ -7,15 +7,15 @@
 import attrs
 
 from balsamreach.wire.base import Message
-from balsamreach.wire.labels import label_of
+from balsamreach.wire.labels import field_label
 
-#: Most elements of one list. A list of empty structs takes next to no bytes,
-#: so without this bound a small frame could keep the decoder busy for seconds.
-MOST_ELEMENTS = 4096
+#: Maximum length of one list. A list of empty structs takes almost no bytes,
+#: so without this limit a small frame could block the decoder for seconds.
+MAX_LIST_LENGTH = 4096
 
 #: Sets one field of a builder.
 Setter = Callable[[Any, str, Any], None]
-#: Turns what a reader returns for a field into the attribute.
+#: Converts the value that a reader returns for a field to the attribute.
 Getter = Callable[[Any], Any]
 
 
@@ -26,11 +26,11 @@
     Parameters
     ----------
     name : str
-        The attribute's name.
+        Name of the attribute.
     label : str
-        Its name in the schema.
+        Name of the field in the schema.
     default : object
-        Never written, since the schema has the same one.
+        Default of the field in the schema; it is not written.
     write, read : callable
         Setter and getter.
     """
@@ -43,8 +43,8 @@
 
 
 @cache
-def plan_for(kind: type[Message]) -> tuple[FieldPlan, ...]:
-    """Return the plans of all attributes of a class of messages."""
+def plan_fields(kind: type[Message]) -> tuple[FieldPlan, ...]:
+    """Return the plans of all attributes of a message class."""
     hints = get_type_hints(kind)
     return tuple(
         _plan_field(field.name, hints[field.name])
@@ -53,47 +53,51 @@
 
 
 def write_struct(builder: Any, message: Message) -> None:
-    """Fill a struct's builder from a message."""
-    for plan in plan_for(type(message)):
+    """Copy a message's attributes to the builder of its struct."""
+    for plan in plan_fields(type(message)):
         attribute = getattr(message, plan.name)
         if attribute != plan.default:
             plan.write(builder, plan.label, attribute)
 
 
 def read_struct(kind: type[Message], reader: Any) -> Message:
-    """Return the message that a struct's reader holds."""
+    """Return the message that a struct's reader contains."""
     return kind(
-        *[plan.read(getattr(reader, plan.label)) for plan in plan_for(kind)],
+        *[plan.read(getattr(reader, plan.label)) for plan in plan_fields(kind)],
     )
 
 
 def _plan_field(name: str, hint: Any) -> FieldPlan:
-    label = label_of(name)
+    label = field_label(name)
     if get_origin(hint) is tuple:
         element = get_args(hint)[0]
         if isinstance(element, type) and issubclass(element, Message):
             return FieldPlan(
-                name, label, (), _write_structs, partial(_read_structs, element)
+                name,
+                label,
+                (),
+                _write_struct_list,
+                partial(_read_struct_list, element),
             )
-        return FieldPlan(name, label, (), _write_plains, _read_plains)
+        return FieldPlan(name, label, (), _write_scalars, _read_scalars)
     if issubclass(hint, Message):
         return FieldPlan(
-            name, label, None, _write_inner, partial(read_struct, hint)
+            name, label, None, _write_nested, partial(read_struct, hint)
         )
-    getter = bytes if hint is bytes else _same
+    getter = bytes if hint is bytes else _unchanged
     return FieldPlan(name, label, hint(), setattr, getter)
 
 
-def _read_structs(kind: type[Message], readers: Any) -> tuple[Message, ...]:
-    _check_length(readers)
+def _read_struct_list(kind: type[Message], readers: Any) -> tuple[Message, ...]:
+    _check_list_length(readers)
     return tuple(read_struct(kind, reader) for reader in readers)
 
 
-def _write_inner(builder: Any, label: str, message: Message) -> None:
+def _write_nested(builder: Any, label: str, message: Message) -> None:
     write_struct(builder.init(label), message)
 
 
-def _write_structs(
+def _write_struct_list(
     builder: Any,
     label: str,
     messages: tuple[Message, ...],
@@ -103,27 +107,27 @@
         write_struct(structs[number], message)
 
 
-def _write_plains(
+def _write_scalars(
     builder: Any,
     label: str,
-    texts: tuple[str, ...],
+    elements: tuple[str, ...],
 ) -> None:
-    plains = builder.init(label, len(texts))
-    for number, text in enumerate(texts):
-        plains[number] = text
+    scalars = builder.init(label, len(elements))
+    for number, element in enumerate(elements):
+        scalars[number] = element
 
 
-def _read_plains(readers: Any) -> tuple[Any, ...]:
-    _check_length(readers)
+def _read_scalars(readers: Any) -> tuple[Any, ...]:
+    _check_list_length(readers)
     return tuple(readers)
 
 
-def _check_length(readers: Any) -> None:
-    # The codec turns the error into a fault, like those of the library.
+def _check_list_length(readers: Any) -> None:
+    # The codec converts this error to a fault, like those of the library.
     length = len(readers)
-    if length > MOST_ELEMENTS:
-        raise ValueError(f'list of {length} elements')
+    if length > MAX_LIST_LENGTH:
+        raise ValueError(f'list of {length} elements is too long')
 
 
-def _same(plain: Any) -> Any:
-    return plain
+def _unchanged(scalar: Any) -> Any:
+    return scalar
--- a/src/balsamreach/wire/rates.py
+++ b/src/balsamreach/wire/rates.py
@@ -1,4 +1,4 @@
-"""Messages about the use of teams' rate limits."""
+"""Messages that divide teams' rate limits among the routers."""
 
 import attrs
 
@@ -7,14 +7,14 @@
 
 @attrs.frozen(repr=False)
 class RatePart(Message):
-    """Part of one team's rate limits.
+    """A fraction of one team's rate limits.
 
     Parameters
     ----------
     team : int
         Hash of the team's name.
     part : int
-        Millionths of the limits.
+        Fraction of the limits in millionths.
     """
 
     team: int
@@ -23,23 +23,23 @@
 
 @attrs.frozen(repr=False)
 class RateDemands(Message):
-    """Tells what teams with limits want of them.
+    """Reports the demand of rate-limited teams.
 
     Parameters
     ----------
     level : int
         0 from a router to all others, 1 from a router to its zone's home
-        of a group, 2 from that home to the group's root.
+        router of a group, 2 from that home router to the group's root.
     group : int
         Group of teams.
     window : int
-        Number of the sender's words; a later one has a higher number.
+        Sequence number of the sender; it increases with each message.
     routers : int
-        Routers that the sender speaks for.
+        Number of routers whose demand is included.
     urgent : bool
-        Whether requests are refused until an answer comes.
+        Whether the sender refuses requests until it has an answer.
     parts : tuple of RatePart
-        What is wanted.
+        Demand by team.
     """
 
     level: int
@@ -52,17 +52,17 @@
 
 @attrs.frozen(repr=False)
 class RateShares(Message):
-    """Grants shares of teams' limits for what a RateDemands wanted.
+    """Grants shares of teams' rate limits in answer to a RateDemands.
 
     Parameters
     ----------
     level, group, window : int
-        Those of the word that this answers.
+        Those of the message that this answers.
     routers : int
-        Routers whose demand the shares follow.
+        Number of routers whose demand the shares are computed from.
     parts : tuple of RatePart
-        Shares. A team that is left out is far from its limit, and has
-        more than it wanted.
+        Shares by team. A team that is missing is far below its limit and
+        gets more than it demanded.
     """
 
     level: int
@@ -74,7 +74,7 @@
 
 @attrs.frozen(repr=False)
 class TeamUse(Message):
-    """One team's use at one router; told by earlier releases only."""
+    """One team's use at one router; only sent by earlier releases."""
 
     team: str
     requests: int
@@ -84,9 +84,10 @@
 
 @attrs.frozen(repr=False)
 class Uses(Message):
-    """Use of rate-limited teams; told by earlier releases only.
+    """Use of rate-limited teams; only sent by earlier releases.
 
-    Routers of this release leave it, and count its senders as unheard.
+    Routers of this release ignore it and treat its senders as routers whose
+    demand is unknown.
     """
 
     incarnation: str
--- a/src/balsamreach/wire/replies.py
+++ b/src/balsamreach/wire/replies.py
@@ -1,4 +1,4 @@
-"""Answers that any ask may get."""
+"""Generic answers to any message."""
 
 import attrs
 
@@ -7,14 +7,14 @@
 
 @attrs.frozen(repr=False)
 class Refused(Message):
-    """Answers a message, or a connection, that isn't taken.
+    """Rejects a message or a connection.
 
     Parameters
     ----------
     code : str
-        Fixed name of the reason.
+        Fixed code of the reason.
     reason : str
-        One sentence for a person.
+        One sentence for people.
     """
 
     code: str
@@ -23,4 +23,4 @@
 
 @attrs.frozen(repr=False)
 class Done(Message):
-    """Answers a message that asks for nothing but to be taken."""
+    """Acknowledges a message that needs no other answer."""
--- a/src/balsamreach/wire/runs.py
+++ b/src/balsamreach/wire/runs.py
@@ -1,4 +1,4 @@
-"""Messages about who runs a request."""
+"""Messages about which router runs a request."""
 
 import attrs
 
@@ -7,21 +7,21 @@
 
 @attrs.frozen(repr=False)
 class RunNote(Message):
-    """Tells a key's home router who runs a request, and where.
+    """Tells a key's home router which router runs a request.
 
     Parameters
     ----------
     incarnation : str
-        Router that runs it; empty in an answer means that none is known.
+        Router that runs the request; empty in an answer if none is known.
     address : str
-        That router's callers' listener.
+        Address of that router's listener for callers.
     target, generation : str
-        Target and its name for the generation, to resume it there.
+        Target and its identifier of the generation, for resuming it there.
     ended : bool
-        Whether the answer is complete and kept by that router.
+        Whether the answer is complete and stored by that router.
     sure : bool
-        In an answer that names no router, whether it is certain that none
-        ran the request.
+        In an answer that names no router: whether it is certain that no
+        router ran the request.
     """
 
     team: str
@@ -37,7 +37,10 @@
 
 @attrs.frozen(repr=False)
 class RunAsk(Message):
-    """Asks a key's home router who runs a request; a RunNote answers."""
+    """Asks a key's home router which router runs a request.
+
+    The answer is a RunNote.
+    """
 
     team: str
     key: str
@@ -46,23 +49,26 @@
 
 @attrs.frozen(repr=False)
 class RunsAsk(Message):
-    """Asks whether a router knows of any run of requests; RunsKnown answers."""
+    """Asks whether a router knows of a run of any of these requests.
+
+    The answer is a RunsKnown.
+    """
 
     runs: tuple[RunAsk, ...]
 
 
 @attrs.frozen(repr=False)
 class RunsKnown(Message):
-    """Tells which of the requests asked for the sender knows to have begun.
+    """Tells which of the requests in a RunsAsk are known to have begun.
 
     Parameters
     ----------
     runs : tuple of RunAsk
-        Those that it runs, ran, or was told of.
+        Requests that the sender runs, ran, or was told of.
     sure : bool
-        Whether it can have lost no knowledge of others.
+        Whether the sender cannot have lost its record of any others.
     members : bytes
-        Hash of the routers that it holds to be alive.
+        Hash of the routers that the sender considers alive.
     """
 
     runs: tuple[RunAsk, ...] = ()
--- a/src/balsamreach/wire/schema.py
+++ b/src/balsamreach/wire/schema.py
@@ -1,4 +1,4 @@
-"""Loads the schema of the inner protocol from the package's own files."""
+"""Loading of the Cap'n Proto schema from the package's files."""
 
 from functools import cache
 from pathlib import Path
@@ -11,13 +11,13 @@
 
 @cache
 def load_schema() -> Any:
-    """Return the loaded schema, the same one at each call.
+    """Return the schema, loaded at the first call and then cached.
 
     Returns
     -------
     module
-        Has one attribute per struct of ``messages.capnp``.
+        Module with one attribute per struct of ``messages.capnp``.
     """
-    # The hook would look for .capnp files at each import of any module.
+    # The hook would search for .capnp files at every import of any module.
     capnp.remove_import_hook()
     return capnp.load(str(Path(__file__).with_name(_FILE)))
--- a/src/balsamreach/wire/suspicions.py
+++ b/src/balsamreach/wire/suspicions.py
@@ -1,4 +1,4 @@
-"""Messages about requests that may crash targets."""
+"""Messages about requests that are suspected of crashing targets."""
 
 import attrs
 
@@ -7,23 +7,24 @@
 
 @attrs.frozen(repr=False)
 class Suspicion(Message):
-    """A request that may crash targets, or the end of that suspicion.
+    """A request suspected of crashing targets, or the end of the suspicion.
 
     Parameters
     ----------
     fingerprint : str
         Hash of team, path and body.
     team : str
-        Team that sent it.
+        Team that sent the request.
     target : str
-        Target that crashed, with its incarnation; empty where lifted.
+        Target that crashed, with its incarnation; empty if ``lifted``.
     lifted : bool
         Whether an operator lifted the quarantine.
     at : float
-        Wall time, so that a lift is not undone by older reports.
+        Time of the wall clock in seconds, so that older reports don't revert
+        the lifting of a quarantine.
     unexplained : bool
-        Whether the connection only broke and no crash is known of. ``at``
-        is 0 then, which a router that does not know this field ignores.
+        Whether only the connection broke and no crash is known. ``at`` is
+        then 0, so that routers without this field ignore the report.
     """
 
     fingerprint: str
--- a/src/balsamreach/wire/tables.py
+++ b/src/balsamreach/wire/tables.py
@@ -1,4 +1,4 @@
-"""Messages about rows of the tables that routers follow."""
+"""Messages about rows of the tables that routers replicate."""
 
 import attrs
 
@@ -7,25 +7,25 @@
 
 @attrs.frozen(repr=False)
 class TableAsk(Message):
-    """Asks for the rows written after a version."""
+    """Asks for the rows that were written after a version."""
 
     since: int = 0
 
 
 @attrs.frozen(repr=False)
 class TableRow(Message):
-    """A row of the table with its JSON; no JSON means deleted.
+    """A row of the table as JSON; a row without JSON is deleted.
 
     Parameters
     ----------
     key : str
-        Which row.
+        Key of the row.
     version : int
-        Raised by each change of it.
+        Version of the row; each change of it increases the version.
     body : str
-        Its JSON; empty where the row is deleted or the JSON is packed.
+        JSON text; empty if the row is deleted or the JSON is in ``packed``.
     packed : bytes
-        The JSON compressed, where it is large.
+        Compressed JSON, used for large rows.
     """
 
     key: str
@@ -36,14 +36,14 @@
 
 @attrs.frozen(repr=False)
 class TableRows(Message):
-    """Rows written between two versions of the table.
+    """Rows that were written between two versions of the table.
 
     Parameters
     ----------
     since, version : int
-        The rows bring a view at ``since`` or later to ``version``.
+        The rows update a copy at ``since`` or later to ``version``.
     more : bool
-        Whether to ask again from ``version``.
+        Whether more rows follow; the receiver asks again from ``version``.
     """
 
     since: int
@@ -54,27 +54,27 @@
 
 @attrs.frozen(repr=False)
 class PowerRows(Message):
-    """Power rows that the sender read or wrote."""
+    """Rows about hosts' power that the sender read or wrote."""
 
     rows: tuple[TableRow, ...] = ()
 
 
 @attrs.frozen(repr=False)
 class TablePage(Message):
-    """What the sender has just heard of a table that it follows.
+    """Changes that the sender has just received of a table.
 
     Parameters
     ----------
     table : str
-        The table.
+        Name of the table.
     since : int
         Version after which the rows changed.
     version : int
-        Version up to which nothing else changed.
+        Version up to which the rows are all changes since ``since``.
     rows : bytes
-        The rows, packed; empty for none.
+        Encoded rows; empty for none.
     whole : bool
-        Whether they are all that the table holds.
+        Whether the rows are the whole content of the table.
     """
 
     table: str
--- a/src/balsamreach/wire/tokens.py
+++ b/src/balsamreach/wire/tokens.py
@@ -1,4 +1,4 @@
-"""Messages between a team's home and those who spend its budget."""
+"""Messages between a team's home router and routers that spend its budget."""
 
 import attrs
 
@@ -7,16 +7,16 @@
 
 @attrs.frozen(repr=False)
 class TokensAsk(Message):
-    """Asks a team's home to set tokens aside for one request.
+    """Asks a team's home router to reserve tokens for one request.
 
     Parameters
     ----------
     number : int
-        No other ask of the sender has it.
+        Number of the reservation, unique to the sender.
     team : str
-        Whose budget.
+        Team whose budget is used.
     tokens : int
-        Most that the request may use.
+        Maximum number of tokens that the request may use.
     """
 
     number: int
@@ -26,16 +26,16 @@
 
 @attrs.frozen(repr=False)
 class TokensGrant(Message):
-    """Answer of a team's home.
+    """Answers a TokensAsk.
 
     Parameters
     ----------
     granted : bool
-        Whether the tokens are set aside.
+        Whether the tokens are reserved.
     code, reason : str
-        Why not.
+        Error code and sentence if they are not.
     spent : int
-        Tokens that the home has seen the team use.
+        Tokens that the home router has counted as used by the team.
     """
 
     granted: bool
@@ -46,14 +46,14 @@
 
 @attrs.frozen(repr=False)
 class TokensUsed(Message):
-    """Tells a home what requests used of the tokens set aside for them.
+    """Tells a home router how many of the reserved tokens requests used.
 
     Parameters
     ----------
     numbers : tuple of int
-        The asks.
+        Numbers of the reservations.
     used : tuple of int
-        Tokens that each one used; the rest is free again.
+        Tokens used of each reservation; the rest is released.
     """
 
     numbers: tuple[int, ...] = ()
--- a/tests/test_wire_codec.py
+++ b/tests/test_wire_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the encoding: whole messages, and bytes that are none."""
+"""Tests of the encoding: round trips of messages, and invalid bytes."""
 
 import os
 import re
@@ -26,31 +26,31 @@
 from balsamreach.wire.loads import LoadWords
 from balsamreach.wire.marks import InFlightAsk
 from balsamreach.wire.membership import Heartbeat
-from balsamreach.wire.plans import MOST_ELEMENTS
+from balsamreach.wire.plans import MAX_LIST_LENGTH
 from balsamreach.wire.schema import load_schema
 from balsamreach.wire.tables import TableRow, TableRows
 
-#: More examples for a longer run, for example 200000.
+#: Number of fuzz examples; set it higher for a longer run, e.g. 200000.
 _EXAMPLES = int(os.environ.get('BALSAMREACH_FUZZ_EXAMPLES', '300'))
 _SEED = 20
-_MOST_ALLOCATED = 16 * MOST_BYTES
+_MAX_ALLOCATED = 16 * MOST_BYTES
 
-_NAMES = st.text(max_size=20)
+_TEXTS = st.text(max_size=20)
 _NUMBERS = st.integers(0, 2**16 - 1)
-_PLAIN = {
-    str: _NAMES,
+_SCALARS = {
+    str: _TEXTS,
     int: _NUMBERS,
     bool: st.booleans(),
     float: st.floats(allow_nan=False),
     bytes: st.binary(max_size=50),
-    tuple[str, ...]: st.tuples(_NAMES, _NAMES),
+    tuple[str, ...]: st.tuples(_TEXTS, _TEXTS),
     tuple[int, ...]: st.tuples(_NUMBERS, _NUMBERS),
 }
 
 
 def _strategy(hint):
-    if hint in _PLAIN:
-        return _PLAIN[hint]
+    if hint in _SCALARS:
+        return _SCALARS[hint]
     if attrs.has(hint):
         return st.builds(hint, **_strategies(hint))
     element = hint.__args__[0]
@@ -63,39 +63,38 @@
 
 
 _MESSAGES = st.one_of([_strategy(kind) for kind in kinds().values()])
-_ENVELOPES = st.builds(Envelope, _MESSAGES, _NUMBERS, _NUMBERS, _NAMES)
+_ENVELOPES = st.builds(Envelope, _MESSAGES, _NUMBERS, _NUMBERS, _TEXTS)
 _TRACEPARENT = f'00-{"4b" * 16}-{"0a" * 8}-01'
 _FIELD = 'traceparent @31 :Text;'
-#: That field of the envelope and all that were added after it.
+#: Matches that field of the envelope and all that were added after it.
 _NEWER = re.compile(r'^ +\w+ @(3[1-9]|[4-9]\d) :\w+;$', re.MULTILINE)
-#: An ask as a release encoded it whose envelope had no trace context.
+#: A question encoded by a release whose envelope had no trace context.
 _OLD_ASK = (
     b'\x10\x07P\x02\x01\x01\x07\x01\x18@\x01\x11\x01J\xffengine-0\x00\x00\x00'
 )
 
 
 class CodecTest(unittest.TestCase):
-    """Every message comes back as it was sent."""
+    """Decoding returns the message that was encoded."""
 
     @seed(_SEED)
     @settings(max_examples=_EXAMPLES, deadline=None, database=None)
     @given(_ENVELOPES)
-    def test_messages_come_back(self, envelope):
+    def test_round_trip(self, envelope):
         self.assertEqual(decode(encode(envelope)), envelope)
 
-    def test_a_message_told_to_many_is_encoded_once(self):
-        """Symptom: a hub is busy with nothing but its words.
+    def test_broadcast_message_is_encoded_once(self):
+        """A hub sends one message to each router of its zone.
 
-        Sequence: it tells the routers of its zone, one after the other.
-        Cause: the same message was encoded for each of them.
+        Encoding it again for each of them would use most of its CPU time.
         """
-        words = LoadWords('zone', ('engine',), (1,), (2,))
-        first = encode(Envelope(words))
-        self.assertIs(encode(Envelope(words)), first)
-        self.assertEqual(decode(encode(Envelope(words, 7))).ask, 7)
-        again = encode(Envelope(words))
-        self.assertEqual(decode(again).message, words)
-        other = attrs.evolve(words, scope='fleet')
+        loads = LoadWords('zone', ('engine',), (1,), (2,))
+        first = encode(Envelope(loads))
+        self.assertIs(encode(Envelope(loads)), first)
+        self.assertEqual(decode(encode(Envelope(loads, 7))).ask, 7)
+        again = encode(Envelope(loads))
+        self.assertEqual(decode(again).message, loads)
+        other = attrs.evolve(loads, scope='fleet')
         self.assertEqual(decode(encode(Envelope(other))).message, other)
 
     @parameterized.expand(
@@ -109,18 +108,18 @@
     def test_attribute_of_a_wrong_type_is_refused(self, _name, message):
         self.assertEqual(encode(Envelope(message)), MALFORMED)
 
-    def test_too_large_a_message_is_refused(self):
+    def test_too_large_message_is_refused(self):
         part = AnswerPart(known=True, body=b'\1' * MOST_BYTES)
         self.assertEqual(encode(Envelope(part)), TOO_LARGE)
 
 
 class ReleasesTest(unittest.TestCase):
-    """Releases with and without trace contexts read each other."""
+    """Releases with and without trace contexts understand each other."""
 
     def test_ask_of_an_older_release(self):
         ask = InFlightAsk('engine-0')
         self.assertEqual(decode(_OLD_ASK), Envelope(ask, 7))
-        # Without a trace nothing is sent that the older one didn't send.
+        # Without a trace the message has no fields the older release lacks.
         self.assertEqual(decode(encode(Envelope(ask, 7))), decode(_OLD_ASK))
 
     def test_older_release_reads_an_ask_with_a_trace(self):
@@ -138,23 +137,23 @@
 
 
 class DecoderTest(unittest.TestCase):
-    """Bytes from anywhere give a message or a fault, never an exception.
+    """Untrusted bytes decode to a message or a fault, never an exception.
 
-    Symptom: one router's connections all break, or its memory fills.
-    Sequence: a damaged or hostile peer sends bytes that are no message.
-    Cause: a decoder that trusts lengths and pointers.
+    A faulty or hostile peer sends bytes that are not a message. A decoder
+    that trusts their lengths and pointers would exhaust the memory or raise
+    an error that breaks all connections of the router.
     """
 
     @seed(_SEED)
     @settings(max_examples=_EXAMPLES, deadline=None, database=None)
     @given(st.binary(max_size=300))
-    def test_any_bytes(self, octets):
+    def test_random_bytes(self, octets):
         self.assertIsInstance(decode(octets), Envelope | WireFault)
 
     @seed(_SEED)
     @settings(max_examples=_EXAMPLES, deadline=None, database=None)
     @given(_ENVELOPES, st.randoms(use_true_random=False))
-    def test_damaged_messages(self, envelope, rng):
+    def test_corrupted_messages(self, envelope, rng):
         octets = bytearray(encode(envelope))
         for _ in range(rng.randint(1, 4)):
             octets[rng.randrange(len(octets))] = rng.randrange(256)
@@ -169,31 +168,31 @@
             ('zeros', b'\0\xff' * (MOST_BYTES // 2), MALFORMED),
         ),
     )
-    def test_bytes_that_are_no_message(self, _name, octets, fault):
+    def test_invalid_bytes(self, _name, octets, fault):
         tracemalloc.start()
         self.addCleanup(tracemalloc.stop)
         self.assertEqual(decode(octets), fault)
         _, peak = tracemalloc.get_traced_memory()
-        self.assertLess(peak, _MOST_ALLOCATED)
+        self.assertLess(peak, _MAX_ALLOCATED)
 
-    def test_message_without_a_known_kind(self):
-        """A newer release sends a kind that this one doesn't know."""
+    def test_message_of_unknown_kind(self):
+        """A newer release may send a kind that this one doesn't know."""
         builder = load_schema().Envelope.new_message(ask=1)
         self.assertEqual(decode(builder.to_bytes_packed()), UNKNOWN_KIND)
 
     def test_long_list_of_empty_elements_is_refused_before_it_is_read(self):
-        """A list that costs few bytes would take seconds to read."""
+        """A list that takes few bytes could take seconds to read."""
         builder = load_schema().Envelope.new_message()
-        builder.init('members').init('members', MOST_ELEMENTS + 1)
+        builder.init('members').init('members', MAX_LIST_LENGTH + 1)
         self.assertEqual(decode(builder.to_bytes_packed()), MALFORMED)
 
-    def test_message_cut_off_in_a_later_segment_is_refused(self):
-        """The library would end the process over such bytes.
+    def test_message_truncated_in_a_later_segment_is_refused(self):
+        """Such a message must not abort the process.
 
-        Symptom: the router is gone, its last line reads 'terminate called'.
-        Sequence: a peer sends a packed message of several segments whose
-        last one is cut off. Cause: the library reads it in a destructor and
-        throws there. (Found by the fuzz test with 30,000 examples.)
+        A peer sends a packed message of several segments whose last one is
+        truncated. Cap'n Proto reads it in a destructor and throws there, so
+        the process aborts with 'terminate called'. The fuzz tests need about
+        30,000 examples to produce such bytes.
         """
         builder = load_schema().Envelope.new_message(1)
         rows = builder.init('tableRows').init('rows', 5)
--- a/tests/test_wire_framing.py
+++ b/tests/test_wire_framing.py
@@ -1,4 +1,4 @@
-"""Tests of frames on a real connection."""
+"""Tests of frames on a socket pair."""
 
 import asyncio
 import socket
@@ -13,7 +13,7 @@
 
 
 class FramingTest(unittest.IsolatedAsyncioTestCase):
-    """Frames arrive whole, and their size is bounded."""
+    """Frames arrive complete, and their size is limited."""
 
     async def asyncSetUp(self):
         near, far = socket.socketpair()
@@ -29,17 +29,17 @@
         self.assertEqual(arrived, [b'one', b'', b'two'])
 
     async def test_oversized_frame_is_refused_by_its_length(self):
-        """A length alone makes nobody set memory aside.
+        """A length prefix alone must not make the reader allocate memory.
 
-        Symptom: memory of a router fills. Sequence: a peer announces a
-        frame of gigabytes. Cause: a reader that believes each length.
+        A peer announces a frame of gigabytes; a reader that trusts the
+        length would exhaust the memory of the router.
         """
         await write(self.near, (2**31).to_bytes(4))
         fault = await read_frame(self.far, _LIMIT)
         self.assertEqual(fault, TOO_LARGE)
         self.assertIn('2147483648', fault.reason)
 
-    async def test_half_a_frame_is_no_frame(self):
+    async def test_connection_closed_within_a_frame(self):
         await write(self.near, frame(b'whole')[:-1])
         self.near.close()
         self.assertEqual(await read_frame(self.far, _LIMIT), CLOSED)
@@ -48,7 +48,7 @@
         self.near.close()
         self.assertEqual(await write(self.near, frame(b'late')), CLOSED)
 
-    async def test_frames_that_arrive_in_pieces_and_in_bunches(self):
+    async def test_reader_joins_pieces_and_splits_batches(self):
         reader = FrameReader(self.far, _LIMIT)
         octets = b''.join(frame(text) for text in (b'one', b'', b'two'))
         await write(self.near, octets[:5])
@@ -56,8 +56,8 @@
         arrived = [await reader.next() for _ in range(3)]
         self.assertEqual(arrived, [b'one', b'', b'two'])
 
-    async def test_a_reader_tells_of_each_piece(self):
-        """Guards against a frame under way that looks like silence."""
+    async def test_reader_reports_progress_of_partial_frames(self):
+        """A frame that arrives slowly must not count as silence."""
         pieces = asyncio.Queue()
         reader = FrameReader(
             self.far,
@@ -71,13 +71,13 @@
         self.assertEqual(await arriving, b'whole')
         self.assertTrue(pieces.empty())
 
-    async def test_a_reader_believes_no_length(self):
+    async def test_reader_refuses_oversized_frame_by_its_length(self):
         reader = FrameReader(self.far, _LIMIT)
         await write(self.near, frame(b'one') + (2**31).to_bytes(4))
         self.assertEqual(await reader.next(), b'one')
         self.assertEqual(await reader.next(), TOO_LARGE)
 
-    async def test_a_reader_meets_the_end_within_a_frame(self):
+    async def test_reader_meets_end_of_connection_within_a_frame(self):
         reader = FrameReader(self.far, _LIMIT)
         await write(self.near, frame(b'one') + frame(b'whole')[:-1])
         self.near.close()
--- a/tests/test_wire_kinds.py
+++ b/tests/test_wire_kinds.py
@@ -1,4 +1,4 @@
-"""Tests of the list of messages: nothing is missing, here or elsewhere."""
+"""Tests that the list of message classes and the schema are complete."""
 
 import gc
 import unittest
@@ -12,16 +12,17 @@
 
 
 class KindsTest(unittest.TestCase):
-    """The classes of messages, their list and the schema agree."""
+    """The message classes, the list of them and the schema agree."""
 
     def test_every_message_is_listed_and_in_the_schema(self):
-        """A class of messages needs its struct, and its place in KINDS."""
-        # A module that KINDS leaves out may not have been imported yet.
+        """Each message class needs a struct and an entry in KINDS."""
+        # A module that KINDS omits may not have been imported yet.
         for module in iter_modules(wire.__path__, f'{wire.__name__}.'):
             import_module(module.name)
         union = set(load_schema().Envelope.schema.union_fields)
         self.assertEqual(union, {*kinds(), 'none'})
-        # attrs makes each class anew; the first one is listed until it goes.
+        # attrs replaces each class by a new one; the original counts as a
+        # subclass until it is collected.
         gc.collect()
         self.assertEqual(
             sorted(kind.__name__ for kind in Message.__subclasses__()),
