--- a/src/balsamreach/wire/codec.py
+++ b/src/balsamreach/wire/codec.py
@@ -123,11 +123,11 @@
         size = len(packed)
         return TOO_LARGE.because(f'message of {size} bytes')
     if not packed or _has_more_segments(packed):
-        # Cap'n Proto reads further segments lazily. If they are truncated,
-        # it throws from a destructor and the process aborts with 'terminate
-        # called'. Routers only send messages of one segment, which is read
-        # first.
-        return MALFORMED.because('message is empty or has several segments')
+        # Cap'n Proto reads further segments lazily. If they are truncated, it
+        # throws from a destructor, so the whole process would abort with
+        # 'terminate called' as its last line. Routers only send messages of
+        # one segment, which is read first.
+        return MALFORMED.because('message is empty or has more than 1 segment')
     try:
         return _unpack(packed)
     except _DECODE_ERRORS as exc:
--- a/src/balsamreach/wire/framing.py
+++ b/src/balsamreach/wire/framing.py
@@ -39,7 +39,9 @@
         return head
     size = int.from_bytes(head)
     if size > limit:
-        return TOO_LARGE.because(f'frame of {size} bytes exceeds {limit}')
+        return TOO_LARGE.because(
+            f'frame of {size} bytes, at most {limit} taken'
+        )
     return await _read(stream, size)
 
 
@@ -88,7 +90,7 @@
         size = int.from_bytes(self._buffer[:HEAD])
         if size > self.limit:
             return TOO_LARGE.because(
-                f'frame of {size} bytes exceeds {self.limit}',
+                f'frame of {size} bytes, at most {self.limit} taken',
             )
         end = HEAD + size
         if len(self._buffer) < end:
