--- a/src/balsamreach/config/__init__.py
+++ b/src/balsamreach/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: one INI file in, frozen settings objects out."""
+"""Reading and validation of INI settings files."""
--- a/src/balsamreach/config/faults.py
+++ b/src/balsamreach/config/faults.py
@@ -12,18 +12,18 @@
     Parameters
     ----------
     problems : tuple of str
-        Every problem found, one sentence each; the reason joins them.
+        All problems found, one sentence each; the reason joins them.
     """
 
     problems: tuple[str, ...] = attrs.field(default=(), eq=False)
 
     def listing(self, problems: tuple[str, ...]) -> 'ConfigFault':
-        """Return the same sentinel with all problems of this occurrence.
+        """Return a copy of this fault with a list of problems.
 
         Parameters
         ----------
         problems : tuple of str
-            One sentence per problem, each naming its place.
+            One sentence per problem, each naming the section and key.
 
         Returns
         -------
@@ -34,12 +34,12 @@
         return attrs.evolve(self, reason=reason, problems=problems)
 
     def in_file(self, path: str | None) -> 'ConfigFault':
-        """Return the same fault whose problems name the settings file.
+        """Return a copy of this fault whose problems name the settings file.
 
         Parameters
         ----------
         path : str or None
-            The file; None if the settings came without one.
+            Path of the file; None if the settings are not from a file.
         """
         if path is None:
             return self
@@ -48,9 +48,9 @@
         )
 
 
-#: A single value can't be read; the reason says what to write instead.
+#: A single value is invalid; the reason says what to write instead.
 BAD_VALUE = ConfigFault('config_bad_value')
-#: The settings as a whole are refused; ``problems`` lists why.
+#: The settings are invalid; ``problems`` lists the reasons.
 BAD_SETTINGS = ConfigFault('config_bad_settings')
 #: A configured listener can't be bound.
 BAD_LISTENER = ConfigFault('config_bad_listener')
--- a/src/balsamreach/config/listeners.py
+++ b/src/balsamreach/config/listeners.py
@@ -1,4 +1,4 @@
-"""What the sections of all listeners share, and the check of their ports."""
+"""Base class of listener sections, and the check that they can be bound."""
 
 import contextlib
 import errno
@@ -20,18 +20,18 @@
     Parameters
     ----------
     view : callable
-        Reads the key's text; returns its value or a ConfigFault.
+        Parses the key's text; returns its value or a ConfigFault.
 
     Returns
     -------
     attrs field
-        A mandatory field that remembers the view.
+        A mandatory field with the parser in its metadata.
     """
     return attrs.field(metadata={_VIEW: view})
 
 
 def view_of(field: attrs.Attribute) -> views.View:
-    """Return the view that a field was declared with."""
+    """Return the parser of a field that ``key`` declared."""
     return field.metadata[_VIEW]
 
 
@@ -39,8 +39,8 @@
 class Listener:
     """Keys of every section that describes a listener.
 
-    The TLS keys are paths of PEM files; without a certificate the listener
-    speaks plain text, without a CA it asks for no client certificate.
+    The TLS keys are paths of PEM files. Without a certificate the listener
+    does not use TLS; without a CA it requests no client certificate.
     """
 
     address: str = key(views.read_own_address)
@@ -56,7 +56,7 @@
 
 
 def check_listeners(listeners: dict[str, Listener]) -> ConfigFault | None:
-    """Try to bind every listener, all at the same time, and let go again.
+    """Bind all listeners at the same time, then close them again.
 
     Parameters
     ----------
@@ -66,7 +66,7 @@
     Returns
     -------
     ConfigFault or None
-        Every listener that can't be bound, or None if all can.
+        A fault that lists the listeners that can't be bound; None if all can.
     """
     problems = []
     with contextlib.ExitStack() as stack:
@@ -74,7 +74,7 @@
             sock = stack.enter_context(_new_socket(listener.address))
             exc = _try_bind(sock, listener)
             if exc is not None:
-                problems.append(_describe(section, listener, exc))
+                problems.append(_describe_bind_error(section, listener, exc))
     return BAD_LISTENER.listing(tuple(problems)) if problems else None
 
 
@@ -85,15 +85,15 @@
 
 
 def _try_bind(sock: socket.socket, listener: Listener) -> OSError | None:
-    # Without the reuse option a port whose last connections still linger
-    # would be called in use, although the server itself could bind it.
+    # Without this option a port with connections in TIME_WAIT would be
+    # reported as in use, although the server itself could bind it.
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     if listener.shared:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     try:
         sock.bind((listener.address, listener.port))
-        # A socket that listened only to be closed would be sent connections
-        # of a shared port and reset them.
+        # On a shared port the kernel would also assign connections to this
+        # socket, and closing it would reset them.
         if not listener.shared:
             sock.listen(1)
     except OSError as exc:
@@ -101,11 +101,11 @@
     return None
 
 
-def _describe(section: str, listener: Listener, exc: OSError) -> str:
+def _describe_bind_error(section: str, listener: Listener, exc: OSError) -> str:
     if exc.errno == errno.EADDRNOTAVAIL:
         return (
-            f'[{section}] address: {listener.address} is no address of this '
-            'machine; set one of its IP numbers here or under [host]'
+            f'[{section}] address: {listener.address} is not an address of '
+            'this machine; set one of its IP numbers here or under [host]'
         )
     place = f'[{section}] port: {listener.address} port {listener.port}'
     cause = (exc.strerror or str(exc)).lower()
--- a/src/balsamreach/config/parsing.py
+++ b/src/balsamreach/config/parsing.py
@@ -1,9 +1,9 @@
-"""INI text into a parser, with every flaw of its form noted on the way."""
+"""Parsing of INI text that reports all syntax errors at once."""
 
 import configparser
 
-#: Stands for a line that the caller is told about and that is then left out.
-_LEFT_OUT = '#'
+#: Replaces a line whose error has been reported; it parses as a comment.
+_IGNORED_LINE = '#'
 
 
 def parse_ini(
@@ -11,26 +11,26 @@
     name: str,
     problems: list[str],
 ) -> configparser.ConfigParser:
-    """Parse INI text and note duplicates and malformed lines.
+    """Parse INI text and report duplicates and malformed lines.
 
     Parameters
     ----------
     content : str
         The text of one file.
     name : str
-        Name of the file for people.
+        Name of the file for messages.
     problems : list of str
-        Receives one sentence per flaw.
+        One sentence per error is appended to it.
 
     Returns
     -------
     configparser.ConfigParser
-        Whatever could be read.
+        The sections and keys that could be parsed.
     """
     lines = content.splitlines()
-    # The strict parser stops at the first duplicate; each one found is left
-    # out and the rest parsed again, or a person would learn of the second
-    # only after mending the first.
+    # The strict parser stops at the first duplicate key. Each duplicate is
+    # replaced by a comment and the text parsed again, so that all of them are
+    # reported at once and not one per run.
     while True:
         parser = _new_parser(strict=True)
         try:
@@ -40,14 +40,14 @@
                 f'{name}: [{exc.section}] {exc.option}: duplicate key in '
                 f'line {exc.lineno}; keep one of them',
             )
-            lines[exc.lineno - 1] = _LEFT_OUT
+            lines[exc.lineno - 1] = _IGNORED_LINE
         except configparser.Error as exc:
-            return _parse_loosely(lines, f'{name}: {_explain(exc)}', problems)
+            return _parse_leniently(lines, f'{name}: {_explain(exc)}', problems)
         else:
             return parser
 
 
-def _parse_loosely(
+def _parse_leniently(
     lines: list[str],
     problem: str,
     problems: list[str],
@@ -59,8 +59,8 @@
     except configparser.MissingSectionHeaderError:
         return _new_parser(strict=False)
     except configparser.Error:
-        # Malformed lines were explained when the strict parser met them; the
-        # rest of the text is in the parser all the same.
+        # The strict parser's error has already been reported; this parser
+        # holds the rest of the text.
         return parser
     return parser
 
@@ -70,11 +70,11 @@
         case configparser.DuplicateSectionError():
             return (
                 f'[{exc.section}]: duplicate section in line {exc.lineno}; '
-                'put its keys into the first'
+                'move its keys to the first'
             )
         case configparser.MissingSectionHeaderError():
             return (
-                f'line {exc.lineno}: text before any section; begin with a '
+                f'line {exc.lineno}: text before any section; start with a '
                 'line like [host]'
             )
         case configparser.ParsingError():
@@ -84,9 +84,9 @@
 
 
 def _new_parser(*, strict: bool) -> configparser.ConfigParser:
-    # A section called DEFAULT would lend its keys to all others, so that one
-    # wrong key there shows up in every section; with an impossible name for
-    # it the section counts as unknown like any other.
+    # configparser copies the keys of a section named DEFAULT to all others,
+    # so one wrong key there would be reported in every section. With an
+    # empty name as default section, DEFAULT is reported as unknown instead.
     parser = configparser.ConfigParser(
         strict=strict,
         interpolation=None,
--- a/src/balsamreach/config/reader.py
+++ b/src/balsamreach/config/reader.py
@@ -1,4 +1,4 @@
-"""Reading a settings file into settings objects, all problems at once."""
+"""Reading of settings files, which reports all problems at once."""
 
 import difflib
 from collections.abc import Iterable, Iterator
@@ -15,46 +15,50 @@
 )
 from balsamreach.config.parsing import parse_ini
 from balsamreach.config.settings import Settings
-from balsamreach.config.tls import check_client, check_listener, check_mutual
+from balsamreach.config.tls import (
+    check_client_files,
+    check_listener_files,
+    check_mutual_tls,
+)
 
 _OVERRIDES = 'override'
-#: The documented file of all keys, beside this module.
+#: File with all keys, their defaults and descriptions, in this folder.
 _DEFAULTS = 'defaults.ini'
-#: Sections of the listeners that ``serve`` opens.
-_SERVED = ('callers', 'operators', 'peers')
+#: Sections of the listeners that the command ``serve`` opens.
+_SERVE_LISTENERS = ('callers', 'operators', 'peers')
 
 
 def read_settings(
     path: str | Path | None,
     overrides: Iterable[str] = (),
 ) -> Settings | ConfigFault:
-    """Read defaults, a settings file and overrides, in that order.
+    """Read the defaults, a settings file and overrides, in that order.
 
     Parameters
     ----------
     path : str, Path or None
         Settings file; None for the defaults alone.
     overrides : iterable of str
-        Single keys like ``callers.port=0`` that win over the file.
+        Single keys like ``callers.port=0``, which replace those of the file.
 
     Returns
     -------
     Settings or ConfigFault
-        The settings, or every problem found in the file.
+        The settings, or a fault that lists all problems.
     """
     problems: list[str] = []
-    texts = _Texts(str(path or _OVERRIDES), problems)
-    texts.take(default_text())
+    raw = _RawSettings(str(path or _OVERRIDES), problems)
+    raw.merge_file(default_text())
     if path is not None:
         content = _read_file(Path(path))
-        # Without the file every key that has no default would be reported
-        # as well, and hide the one line that helps.
+        # Without the file every key without a default would be reported as
+        # well, which would hide the actual problem.
         if isinstance(content, ConfigFault):
             return content
-        texts.take(content)
+        raw.merge_file(content)
     for override in overrides:
-        texts.override(override)
-    settings = _build(texts)
+        raw.merge_override(override)
+    settings = _build(raw)
     if problems:
         return BAD_SETTINGS.listing(tuple(problems))
     return settings
@@ -62,28 +66,29 @@
 
 def check_ports(
     settings: Settings,
-    sections: tuple[str, ...] = _SERVED,
+    sections: tuple[str, ...] = _SERVE_LISTENERS,
 ) -> ConfigFault | None:
-    """Try to bind the listeners that a daemon opens.
+    """Check that the listeners of a daemon can be bound.
 
     Parameters
     ----------
     settings : Settings
-        Settings whose listeners are not yet bound.
+        Settings whose listeners are not bound yet.
     sections : tuple of str
         Sections of the listeners; by default those of ``serve``.
 
     Returns
     -------
     ConfigFault or None
-        Every port that is in use or address that isn't this machine's.
+        A fault that lists the ports in use and the addresses that don't
+        belong to this machine; None if there are none.
     """
     listeners = dict(_listeners(settings))
     return check_listeners({name: listeners[name] for name in sections})
 
 
 def check_certificates(settings: Settings) -> ConfigFault | None:
-    """Try to load the PEM files of listeners and for platform and targets.
+    """Check that the PEM files of listeners, platform and targets load.
 
     Parameters
     ----------
@@ -93,46 +98,47 @@
     Returns
     -------
     ConfigFault or None
-        Every file that can't be used, by section and key.
+        A fault that lists the unusable files by section and key; None if
+        there are none.
     """
     problems: list[str] = []
     for section, listener in _listeners(settings):
-        problems.extend(check_listener(section, listener))
-    problems.extend(check_mutual('peers', settings.peers))
-    problems.extend(_check_clients(settings))
+        problems.extend(check_listener_files(section, listener))
+    problems.extend(check_mutual_tls('peers', settings.peers))
+    problems.extend(_check_client_files(settings))
     if problems:
         return BAD_SETTINGS.listing(tuple(problems))
     return None
 
 
 def default_text() -> str:
-    """Return the documented file of all keys and their defaults."""
+    """Return the text of ``defaults.ini``."""
     return Path(__file__).with_name(_DEFAULTS).read_text(encoding='utf-8')
 
 
 @attrs.define
-class _Texts:
-    """Texts by section and key, and the problems met on the way."""
+class _RawSettings:
+    """Unparsed values by section and key, and the problems found so far."""
 
     name: str
     problems: list[str]
     sections: dict[str, dict[str, str]] = attrs.field(factory=dict)
 
-    def take(self, content: str) -> None:
-        """Lay the keys of one file over those already here."""
+    def merge_file(self, content: str) -> None:
+        """Merge one file; the first one defines the known keys."""
         known = bool(self.sections)
         parser = parse_ini(content, self.name, self.problems)
         for section in parser.sections():
             for name, text in parser.items(section):
                 if known:
-                    self.replace(section, name, text)
+                    self.replace_known(section, name, text)
                 else:
                     self.sections.setdefault(section, {})[name] = text
             if section not in self.sections:
-                self._complain_section(section)
+                self._add_unknown_section(section)
 
-    def override(self, override: str) -> None:
-        """Lay one key of the form ``section.key=text`` over the rest."""
+    def merge_override(self, override: str) -> None:
+        """Merge one override of the form ``section.key=text``."""
         place, equals, text = override.partition('=')
         section, dot, name = place.strip().partition('.')
         if not equals or not dot:
@@ -141,38 +147,38 @@
             )
             return
         if section not in self.sections:
-            self._complain_section(section)
+            self._add_unknown_section(section)
             return
-        self.replace(section, name, text.strip())
+        self.replace_known(section, name, text.strip())
 
-    def replace(self, section: str, name: str, text: str) -> None:
-        """Put a text in the place of the default of a known key."""
+    def replace_known(self, section: str, name: str, text: str) -> None:
+        """Replace the value of a key, or report the key as unknown."""
         if section not in self.sections:
             return
         if name not in self.sections[section]:
-            hint = _hint(name, self.sections[section])
-            self.complain(section, name, f'unknown key; {hint}')
+            hint = _suggest(name, self.sections[section])
+            self.add_problem(section, name, f'unknown key; {hint}')
             return
         self.sections[section][name] = text
 
-    def complain(self, section: str, name: str, reason: str) -> None:
-        """Note a problem with one key."""
+    def add_problem(self, section: str, name: str, reason: str) -> None:
+        """Add a problem with one key."""
         self.problems.append(f'{self.name}: [{section}] {name}: {reason}')
 
-    def _complain_section(self, section: str) -> None:
-        hint = _hint(section, self.sections)
+    def _add_unknown_section(self, section: str) -> None:
+        hint = _suggest(section, self.sections)
         self.problems.append(
             f'{self.name}: [{section}]: unknown section; {hint}',
         )
 
 
-def _hint(word: str, known: Iterable[str]) -> str:
+def _suggest(word: str, known: Iterable[str]) -> str:
     names = sorted(known)
     close = difflib.get_close_matches(word, names, 1)
     if close:
         return f'did you mean {close[0]}?'
-    names_text = ', '.join(names)
-    return f'write one of {names_text}'
+    listed = ', '.join(names)
+    return f'write one of {listed}'
 
 
 def _read_file(path: Path) -> str | ConfigFault:
@@ -185,11 +191,11 @@
     return BAD_SETTINGS.listing((problem,))
 
 
-def _build(texts: _Texts) -> Settings | None:
+def _build(raw: _RawSettings) -> Settings | None:
     sections: dict[str, Any] = {}
     for field in attrs.fields(Settings):
-        sections[field.name] = _build_section(field, texts)
-    if texts.problems:
+        sections[field.name] = _build_section(field, raw)
+    if raw.problems:
         return None
     address = sections['host'].address
     for name, section in sections.items():
@@ -198,13 +204,13 @@
     return Settings(**sections)
 
 
-def _build_section(field: attrs.Attribute, texts: _Texts) -> Any:
+def _build_section(field: attrs.Attribute, raw: _RawSettings) -> Any:
     read = {}
-    for name, text in texts.sections[field.name].items():
+    for name, text in raw.sections[field.name].items():
         view = view_of(getattr(attrs.fields(field.type), name))
         outcome = view(text)
         if isinstance(outcome, ConfigFault):
-            texts.complain(
+            raw.add_problem(
                 field.name, name, f'{text!r} is refused; {outcome.reason}'
             )
         read[name] = outcome
@@ -218,7 +224,7 @@
             yield field.name, section
 
 
-def _check_clients(settings: Settings) -> Iterator[str]:
+def _check_client_files(settings: Settings) -> Iterator[str]:
     for section, prefix in (('platform', 'tls'), ('routing', 'target_tls')):
         keys = {
             f'{prefix}_{name}': getattr(
@@ -226,4 +232,4 @@
             )
             for name in ('ca', 'certificate', 'key')
         }
-        yield from check_client(section, keys)
+        yield from check_client_files(section, keys)
--- a/src/balsamreach/config/relay_settings.py
+++ b/src/balsamreach/config/relay_settings.py
@@ -1,4 +1,4 @@
-"""Settings objects of the sections for requests that are passed through."""
+"""Settings classes of the sections for the command ``relay``."""
 
 import attrs
 
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class RelaySettings:
-    """Section ``[relay]``: requests that routes pass through."""
+    """Section ``[relay]``: requests that are forwarded by routes."""
 
     connect_timeout: float = key(units.read_duration)
     stream_gap: float = key(units.read_duration)
--- a/src/balsamreach/config/settings.py
+++ b/src/balsamreach/config/settings.py
@@ -1,7 +1,7 @@
-"""Frozen settings objects, one per section of the settings file.
+"""Frozen settings classes, one per section of the settings file.
 
-Defaults and units stand in ``defaults.ini`` alone; here each key has its
-type and the view that validates its text.
+Defaults, units and descriptions are only in ``defaults.ini``; the classes
+declare the type of each key and the function that parses it.
 """
 
 from typing import Any
@@ -13,7 +13,7 @@
 from balsamreach.config.relay_settings import ProbesSettings, RelaySettings
 from balsamreach.config.target_settings import PowerSettings, TargetsSettings
 
-#: Names of the policies that choose among targets.
+#: Names of the policies for choosing targets.
 POLICY_NAMES = (
     'affinity',
     'two_choices',
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class HostSettings:
-    """Section ``[host]``: who and where this router is."""
+    """Section ``[host]``: name, address and zone of this router."""
 
     name: str = key(views.read_name)
     address: str = key(views.read_address)
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class OperatorsSettings(Listener):
-    """Section ``[operators]``: the listener for table and status."""
+    """Section ``[operators]``: the listener for operators' commands."""
 
     keys: tuple[str, ...] = key(views.read_digests)
 
@@ -75,7 +75,7 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """Section ``[platform]``: the services routers stand on."""
+    """Section ``[platform]``: the services that routers depend on."""
 
     table: str = key(views.read_url)
     objects: str = key(views.read_url)
@@ -90,7 +90,7 @@
 
 @attrs.frozen
 class BudgetSettings:
-    """Section ``[budget]``: how prepaid budgets are drawn and billed."""
+    """Section ``[budget]``: drawing on and billing of prepaid budgets."""
 
     posture: str = key(views.Choice(('strict', 'lenient')))
     draw_ahead: float = key(units.read_duration)
@@ -108,7 +108,7 @@
 
 @attrs.frozen
 class RequestsSettings:
-    """Section ``[requests]``: kept answers, retries and deadlines."""
+    """Section ``[requests]``: stored answers, retries and deadlines."""
 
     keep_answers: float = key(units.read_duration)
     keep_bytes: int = key(units.read_size)
@@ -140,7 +140,7 @@
 
 @attrs.frozen
 class TableSettings:
-    """Section ``[table]``: how operators' edits reach this router."""
+    """Section ``[table]``: replication of the table to this router."""
 
     readers_per_zone: int = key(units.read_count)
     poll_interval: float = key(units.read_duration)
@@ -161,7 +161,7 @@
 
 @attrs.frozen
 class Settings:
-    """All sections; passed whole to whoever needs settings."""
+    """The settings of all sections."""
 
     host: HostSettings
     callers: CallersSettings
--- a/src/balsamreach/config/target_settings.py
+++ b/src/balsamreach/config/target_settings.py
@@ -1,4 +1,4 @@
-"""Settings objects of the sections that concern targets and their hosts."""
+"""Settings classes of the sections for targets and their hosts."""
 
 import attrs
 
@@ -8,7 +8,7 @@
 
 @attrs.frozen
 class TargetsSettings:
-    """Section ``[targets]``: how targets are watched."""
+    """Section ``[targets]``: monitoring of targets."""
 
     poll_interval: float = key(units.read_duration)
     poll_timeout: float = key(units.read_duration)
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class PowerSettings:
-    """Section ``[power]``: how hosts are switched on and off."""
+    """Section ``[power]``: switching hosts on and off."""
 
     enabled: bool = key(units.read_flag)
     interval: float = key(units.read_duration)
--- a/src/balsamreach/config/tls.py
+++ b/src/balsamreach/config/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts made of the PEM files that the settings name."""
+"""TLS contexts of listeners, and checks of the PEM files in the settings."""
 
 import os
 import ssl
@@ -6,11 +6,11 @@
 from balsamreach.config.faults import BAD_VALUE, ConfigFault
 from balsamreach.config.listeners import Listener
 
-_VERSION = ssl.TLSVersion.TLSv1_2
+_MIN_VERSION = ssl.TLSVersion.TLSv1_2
 
 
 def server_context(listener: Listener) -> ssl.SSLContext | ConfigFault | None:
-    """Return the context with which a listener speaks TLS.
+    """Return the TLS context of a listener.
 
     Parameters
     ----------
@@ -20,57 +20,60 @@
     Returns
     -------
     SSLContext, ConfigFault or None
-        None for plain text; the fault's problems name the key at fault.
+        None if the listener does not use TLS; the problems of a fault name
+        the invalid key.
     """
-    missing = _missing_key(listener)
+    missing = _missing_key_problem(listener)
     if missing:
         return BAD_VALUE.listing((missing,))
     if not listener.tls_certificate:
         return None
     for name in ('tls_certificate', 'tls_key', 'tls_ca'):
-        problem = _unreadable(name, getattr(listener, name))
+        problem = _read_problem(name, getattr(listener, name))
         if problem:
             return BAD_VALUE.listing((problem,))
-    return _load(listener)
+    return _load_context(listener)
 
 
-def check_listener(section: str, listener: Listener) -> tuple[str, ...]:
-    """Return what is wrong with a listener's PEM files, if anything."""
+def check_listener_files(section: str, listener: Listener) -> tuple[str, ...]:
+    """Return the problems with the PEM files of a listener."""
     context = server_context(listener)
     if isinstance(context, ConfigFault):
         return tuple(f'[{section}] {text}' for text in context.problems)
     return ()
 
 
-def check_mutual(section: str, listener: Listener) -> tuple[str, ...]:
-    """Return what is missing where both ends must show a certificate."""
+def check_mutual_tls(section: str, listener: Listener) -> tuple[str, ...]:
+    """Return the problems of a listener that needs mutual TLS."""
     if listener.tls_certificate and not listener.tls_ca:
-        return (f'[{section}] tls_ca: missing; name the CA of the routers',)
+        return (
+            f'[{section}] tls_ca: missing; name the CA file of the routers',
+        )
     return ()
 
 
-def check_client(section: str, keys: dict[str, str]) -> tuple[str, ...]:
-    """Return what is wrong with the PEM files for servers, if anything.
+def check_client_files(section: str, keys: dict[str, str]) -> tuple[str, ...]:
+    """Return the problems with the PEM files of a TLS client.
 
     Parameters
     ----------
     section : str
         Section of the settings that names the files.
     keys : dict
-        Paths of the CA, the certificate and its key, in this order, by
-        their key in the section.
+        Paths of the CA, the certificate and its private key, in this order,
+        by their key in the section.
     """
-    problems = [_unreadable(name, path) for name, path in keys.items()]
-    problems.append(_unfit(keys))
+    problems = [_read_problem(name, path) for name, path in keys.items()]
+    problems.append(_pem_problem(keys))
     return tuple(f'[{section}] {text}' for text in problems if text)
 
 
-def _unfit(keys: dict[str, str]) -> str:
+def _pem_problem(keys: dict[str, str]) -> str:
     names = tuple(keys)
-    ca, certificate, own_key = keys.values()
-    if bool(certificate) != bool(own_key):
+    ca, certificate, private_key = keys.values()
+    if bool(certificate) != bool(private_key):
         missing = names[2] if certificate else names[1]
-        return f'{missing}: missing; name it, or neither it nor its pair'
+        return f'{missing}: missing; name certificate and key, or neither'
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     name = names[0]
     try:
@@ -78,16 +81,16 @@
             context.load_verify_locations(ca)
         name = names[1]
         if certificate:
-            context.load_cert_chain(certificate, own_key)
+            context.load_cert_chain(certificate, private_key)
     except ssl.SSLError as exc:
         return f'{name}: {keys[name]}: no PEM file that fits ({_explain(exc)})'
     except OSError:
-        # Told already as a file that can't be read.
+        # check_client_files reports files that can't be read.
         return ''
     return ''
 
 
-def _missing_key(listener: Listener) -> str:
+def _missing_key_problem(listener: Listener) -> str:
     if listener.tls_certificate and not listener.tls_key:
         return 'tls_key: missing; name the PEM file of the private key'
     if listener.tls_certificate:
@@ -97,25 +100,25 @@
     return ''
 
 
-def _unreadable(name: str, path: str) -> str:
+def _read_problem(name: str, path: str) -> str:
     if not path or os.access(path, os.R_OK):
         return ''
     return f'{name}: {path} can not be read; name a readable PEM file'
 
 
-def _load(listener: Listener) -> ssl.SSLContext | ConfigFault:
+def _load_context(listener: Listener) -> ssl.SSLContext | ConfigFault:
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    context.minimum_version = _VERSION
+    context.minimum_version = _MIN_VERSION
     try:
         context.load_cert_chain(listener.tls_certificate, listener.tls_key)
     except (ssl.SSLError, OSError) as exc:
         reason = 'no PEM certificate, or tls_key is not its key'
         problem = f'tls_certificate: {listener.tls_certificate}: {reason}'
         return BAD_VALUE.listing((f'{problem} ({_explain(exc)})',))
-    return _require_client(context, listener)
+    return _require_client_certificate(context, listener)
 
 
-def _require_client(
+def _require_client_certificate(
     context: ssl.SSLContext,
     listener: Listener,
 ) -> ssl.SSLContext | ConfigFault:
--- a/src/balsamreach/config/units.py
+++ b/src/balsamreach/config/units.py
@@ -1,4 +1,4 @@
-"""Numbers with units as people write them: durations, sizes, shares."""
+"""Parsers of durations, sizes, shares, counts and flags."""
 
 import re
 
@@ -10,12 +10,12 @@
 _MIB = 1024 * _KIB
 _BYTES = {'B': 1, 'KiB': _KIB, 'MiB': _MIB, 'GiB': 1024 * _MIB}
 _PERCENT = {'%': 1.0}
-_WHOLE = 100.0
+_MAX_PERCENT = 100.0
 _FLAGS = {'yes': True, 'no': False}
 
 
 def read_duration(text: str) -> float | ConfigFault:
-    """Read a duration such as ``500ms``, ``2s``, ``5m`` or ``1h``.
+    """Parse a duration such as ``500ms``, ``2s``, ``5m`` or ``1h``.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
 
 
 def read_size(text: str) -> int | ConfigFault:
-    """Read a size such as ``512B``, ``64KiB`` or ``1MiB``.
+    """Parse a size such as ``512B``, ``64KiB`` or ``1MiB``.
 
     Parameters
     ----------
@@ -48,12 +48,12 @@
 
 
 def read_share(text: str) -> float | ConfigFault:
-    """Read a share between ``0%`` and ``100%``.
+    """Parse a share between ``0%`` and ``100%``.
 
     Parameters
     ----------
     text : str
-        Number and per cent sign.
+        Number and percent sign.
 
     Returns
     -------
@@ -63,13 +63,13 @@
     percent = _read_amount(text, _PERCENT, 'a share like 10%')
     if isinstance(percent, ConfigFault):
         return percent
-    if percent > _WHOLE:
+    if percent > _MAX_PERCENT:
         return BAD_VALUE.because('write a share from 0% to 100%')
-    return percent / _WHOLE
+    return percent / _MAX_PERCENT
 
 
 def read_count(text: str) -> int | ConfigFault:
-    """Read a whole number that is not negative.
+    """Parse a non-negative integer.
 
     Parameters
     ----------
@@ -87,12 +87,12 @@
 
 
 def read_flag(text: str) -> bool | ConfigFault:
-    """Read ``yes`` or ``no``.
+    """Parse a flag.
 
     Parameters
     ----------
     text : str
-        The word.
+        ``yes`` or ``no``.
 
     Returns
     -------
--- a/src/balsamreach/config/views.py
+++ b/src/balsamreach/config/views.py
@@ -1,4 +1,4 @@
-"""Validated views of single settings that are not plain numbers."""
+"""Parsers of names, addresses, ports, URLs and other texts in settings."""
 
 import ipaddress
 import re
@@ -9,7 +9,7 @@
 
 from balsamreach.config.faults import BAD_VALUE, ConfigFault
 
-#: Reads the text of one key into the value that the settings hold.
+#: Parses the text of one key; returns its value or a ConfigFault.
 View = Callable[[str], object]
 
 _LARGEST_PORT = 65535
@@ -18,12 +18,12 @@
 
 
 def read_text(text: str) -> str:
-    """Return the text as it is; it may be empty."""
+    """Return the text unchanged; it may be empty."""
     return text
 
 
 def read_name(text: str) -> str | ConfigFault:
-    """Read a name that must not be empty.
+    """Parse a name, which must not be empty.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
 
 
 def read_address(text: str) -> str | ConfigFault:
-    """Read an IP number; host names are refused.
+    """Parse an IP address; host names are invalid.
 
     Parameters
     ----------
@@ -51,7 +51,7 @@
     Returns
     -------
     str or ConfigFault
-        The address in its usual spelling.
+        The address in its canonical form.
     """
     try:
         return str(ipaddress.ip_address(text))
@@ -60,12 +60,12 @@
 
 
 def read_own_address(text: str) -> str | ConfigFault:
-    """Read an IP number, or nothing for the host's own address."""
+    """Parse an IP address; an empty text stands for the host's address."""
     return read_address(text) if text else ''
 
 
 def read_port(text: str) -> int | ConfigFault:
-    """Read a port; 0 lets the machine choose a free one.
+    """Parse a port; 0 lets the system choose a free one.
 
     Parameters
     ----------
@@ -83,7 +83,7 @@
 
 
 def read_url(text: str) -> str | ConfigFault:
-    """Read the base URL of a service, its host given as an IP number.
+    """Parse the base URL of a service, whose host must be an IP address.
 
     Parameters
     ----------
@@ -93,7 +93,7 @@
     Returns
     -------
     str or ConfigFault
-        The URL without a slash at its end.
+        The URL without a trailing slash.
     """
     if _is_numeric_url(text):
         return text.rstrip('/')
@@ -103,28 +103,28 @@
 
 
 def read_digests(text: str) -> tuple[str, ...] | ConfigFault:
-    """Read SHA-256 digests in hex, separated by commas or white space.
+    """Parse SHA-256 digests in hex, separated by commas or white space.
 
     Parameters
     ----------
     text : str
-        Any number of digests, over several lines if need be.
+        Any number of digests, on one or more lines.
 
     Returns
     -------
     tuple of str or ConfigFault
-        The digests in their order.
+        The digests in the given order.
     """
     digests = tuple(text.replace(',', ' ').split())
     if all(_DIGEST.fullmatch(digest) for digest in digests):
         return digests
     return BAD_VALUE.because(
-        'write SHA-256 digests of 64 small hex digits, never a key itself',
+        'write SHA-256 digests of 64 lower-case hex digits, never a key itself',
     )
 
 
 def read_endpoints(text: str) -> tuple[str, ...] | ConfigFault:
-    """Read pairs of IP number and port, separated by commas or white space.
+    """Parse ``ip:port`` pairs, separated by commas or white space.
 
     Parameters
     ----------
@@ -134,25 +134,25 @@
     Returns
     -------
     tuple of str or ConfigFault
-        The pairs in their order.
+        The pairs in the given order.
     """
     endpoints = tuple(text.replace(',', ' ').split())
     for endpoint in endpoints:
         address, _, port = endpoint.rpartition(':')
         for outcome in (read_address(address), read_port(port)):
             if isinstance(outcome, ConfigFault):
-                return BAD_VALUE.because('write pairs like 127.0.0.1:8082')
+                return BAD_VALUE.because('write ip:port like 127.0.0.1:8082')
     return endpoints
 
 
 @attrs.frozen
 class Choice:
-    """View of a key that takes one of a few words."""
+    """Parser of a key that accepts one of a few words."""
 
     words: tuple[str, ...]
 
     def __call__(self, text: str) -> str | ConfigFault:
-        """Return the text if it is one of the words."""
+        """Return the text if it is one of the words, else a fault."""
         if text in self.words:
             return text
         words = ', '.join(self.words)
@@ -172,8 +172,8 @@
 
 
 def _has_port(netloc: str) -> bool:
-    # The port property of a split URL raises on rubbish; the same rule as
-    # for a listener's port is asked instead.
+    # The port property of a split URL raises an error for an invalid port;
+    # the check for a listener's port is used instead.
     tail = netloc.rpartition(']')[2].rpartition(':')
     if not tail[1]:
         return True
--- a/tests/test_config_reader.py
+++ b/tests/test_config_reader.py
@@ -40,7 +40,7 @@
 
 
 class ReadSettingsTest(unittest.TestCase):
-    """The file lies over the defaults; all its problems come together."""
+    """The file replaces defaults; all its problems are reported together."""
 
     def setUp(self):
         directory = self.enterContext(tempfile.TemporaryDirectory())
@@ -51,20 +51,20 @@
         return read_settings(self.path, overrides)
 
     @parameterized.expand(_PROBLEMS)
-    def test_problem_names_its_place(self, _, text, sentence):
+    def test_problem_names_file_and_key(self, _, text, sentence):
         fault = self.read(text)
         self.assertEqual(fault, BAD_SETTINGS)
         named = [line for line in fault.problems if sentence in line]
         self.assertEqual(len(named), 1, fault.problems)
         self.assertTrue(named[0].startswith(f'{self.path}: '))
 
-    def test_all_problems_come_together(self):
+    def test_all_problems_are_reported_together(self):
         text = '[host]\nzone=a\nzone=b\n[callers]\nport=x\nport=y\nprt=1\n'
         fault = self.read(text)
         self.assertEqual(len(fault.problems), 4, fault.problems)
         self.assertEqual(fault.reason, '\n'.join(fault.problems))
 
-    def test_file_and_overrides_win_over_defaults(self):
+    def test_file_and_overrides_replace_defaults(self):
         cfg = self.read(
             '[host]\nzone = zone-b\naddress = 127.0.0.9\n'
             '[callers]\nidle_timeout = 90s\nbody_limit = 2KiB\n',
@@ -94,24 +94,24 @@
         self.assertEqual(len(fault.problems), 1)
         self.assertIn('name a readable file', fault.reason)
 
-    def test_zone_is_all_that_defaults_lack(self):
+    def test_only_the_zone_has_no_default(self):
         fault = read_settings(None)
         self.assertEqual(len(fault.problems), 1, fault.problems)
         self.assertEqual(read_settings(None, (_ZONE,)).callers.port, 8080)
 
 
 class CheckPortsTest(unittest.TestCase):
-    """Ports are tried before anything listens."""
+    """Ports are checked before a daemon listens on them."""
 
     def test_free_ports(self):
         cfg = read_settings(None, (_ZONE, *_FREE))
         self.assertIsNone(check_ports(cfg))
 
     def test_port_in_use(self):
-        """A second router starts beside the first.
+        """A router is started while another one uses its port.
 
-        Symptom: it ends with a traceback. Events: the first listens on a
-        port, the second binds it. Cause: nobody looked beforehand.
+        Without the check it would fail with a traceback when it binds the
+        port.
         """
         with socket.create_server(('127.0.0.1', 0)) as sock:
             port = sock.getsockname()[1]
--- a/tests/tls_files.py
+++ b/tests/tls_files.py
@@ -1,4 +1,4 @@
-"""A CA and certificates for tests of TLS."""
+"""A CA and certificates for TLS tests."""
 
 import ssl
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 
 class Files:
-    """A CA and a certificate in PEM files that live as long as a test."""
+    """A CA, a certificate and its key in PEM files in a test's folder."""
 
     def __init__(self, directory):
         root = Path(directory)
@@ -18,7 +18,7 @@
         self.renew()
 
     def renew(self):
-        """Write files of a new CA, as an operator would."""
+        """Replace the files by those of a new CA."""
         self.authority = trustme.CA()
         issued = self.authority.issue_cert('127.0.0.1')
         self.authority.cert_pem.write_to_path(str(self.ca))
@@ -27,14 +27,14 @@
         self.certificate.write_bytes(pem)
 
     def settings(self, section):
-        """Return the keys of a section that name the files."""
+        """Return overrides that name the files in a listener's section."""
         return (
             f'{section}.tls_certificate={self.certificate}',
             f'{section}.tls_key={self.key}',
         )
 
     def client(self):
-        """Return the context of a caller that trusts the CA."""
+        """Return the TLS context of a client that trusts the CA."""
         context = ssl.create_default_context()
         self.authority.configure_trust(context)
         return context
