--- a/src/balsamreach/config/parsing.py
+++ b/src/balsamreach/config/parsing.py
@@ -70,7 +70,7 @@
         case configparser.DuplicateSectionError():
             return (
                 f'[{exc.section}]: duplicate section in line {exc.lineno}; '
-                'move its keys to the first'
+                'put its keys into the first section'
             )
         case configparser.MissingSectionHeaderError():
             return (
