--- a/src/balsamreach/client/__init__.py
+++ b/src/balsamreach/client/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' interface as seen from the command line."""
+"""Client of the operators' interface, used by the command line."""
--- a/src/balsamreach/client/cells.py
+++ b/src/balsamreach/client/cells.py
@@ -1,34 +1,34 @@
-"""Cells of a spreadsheet and the fields of rows that they stand for."""
+"""Conversion between fields of table rows and cells of a spreadsheet."""
 
 import json
 from decimal import Decimal, InvalidOperation
 from typing import Any
 
-#: A spreadsheet takes a cell that begins so for a formula and runs it.
+#: Spreadsheets evaluate a cell that starts with one of these as a formula.
 _FORMULA_STARTS = ('=', '+', '-', '@', '\t', '\r', "'")
 _FLAGS = {'true': True, 'false': False}
 
 
-def write_cell(field: Any) -> str:
-    """Return the cell for a field; an empty list leaves it empty."""
+def format_cell(field: Any) -> str:
+    """Convert a field to a cell; an empty list or mapping is an empty cell."""
     if isinstance(field, str):
-        # A team named =HYPERLINK(...) must not run in an operator's
-        # spreadsheet; the apostrophe makes it plain text.
+        # A team named =HYPERLINK(...) must not be evaluated in an operator's
+        # spreadsheet; the apostrophe marks the cell as plain text.
         return f"'{field}" if field.startswith(_FORMULA_STARTS) else field
     if field in ([], {}, None):
         return ''
     return json.dumps(field, ensure_ascii=False)
 
 
-def read_cell(cell: str, like: Any) -> Any:
-    """Return the field that a cell stands for.
+def parse_cell(cell: str, like: Any) -> Any:
+    """Convert a cell to a field.
 
     Parameters
     ----------
     cell : str
         Text of the cell, not empty.
     like : object
-        A field of the kind wanted: text, number, flag, list or mapping.
+        A value of the field's type: text, number, flag, list or mapping.
 
     Returns
     -------
@@ -38,7 +38,7 @@
     Raises
     ------
     ValueError
-        If the cell is of another kind.
+        If the cell can't be converted to that type.
     """
     if isinstance(like, str):
         return cell[1:] if cell.startswith("'") else cell
@@ -53,7 +53,7 @@
 
 
 def _read_flag(cell: str) -> bool:
-    # Spreadsheets write TRUE where the file had true.
+    # Spreadsheets change true to TRUE.
     flag = _FLAGS.get(cell.strip().lower())
     if flag is None:
         raise ValueError('must be true or false')
@@ -61,8 +61,8 @@
 
 
 def _read_number(cell: str) -> int | float:
-    # Spreadsheets add decimals or exponents to whole numbers, and some
-    # write a decimal comma.
+    # Spreadsheets may write whole numbers with decimals or exponents, and
+    # some use a decimal comma.
     try:
         number = Decimal(cell.strip().replace(',', '.'))
     except InvalidOperation:
--- a/src/balsamreach/client/faults.py
+++ b/src/balsamreach/client/faults.py
@@ -7,28 +7,28 @@
 
 @attrs.frozen
 class ClientFault(Fault):
-    """A reason why a router did not do what an operator asked for.
+    """An error of an operator's command.
 
     Parameters
     ----------
     row : dict or None
-        The row as it stands, where an edit lost against it.
+        Current row, if an edit was in conflict with it.
     """
 
     row: dict[str, object] | None = attrs.field(default=None, eq=False)
 
 
-#: No router answered, or the platform behind it is away: nothing changed.
+#: The router or the platform is unavailable; nothing was changed.
 UNREACHABLE = ClientFault('router_unreachable')
-#: It isn't known whether the edit took effect.
+#: It is unknown whether the edit took effect.
 OUTCOME_UNKNOWN = ClientFault('outcome_unknown')
-#: The router's certificate isn't trusted here: nothing was sent.
+#: The TLS handshake failed; nothing was sent.
 UNTRUSTED = ClientFault('router_untrusted')
-#: A PEM file can't be used.
+#: A PEM file is invalid.
 BAD_CERTIFICATE = ClientFault('bad_certificate')
-#: The row changed meanwhile, or the edit can't be reconciled with it.
+#: The row was changed in the meantime, or the edit contradicts it.
 CONFLICTING = ClientFault('conflict')
-#: The router calls the request wrong.
+#: The router rejected the request as invalid.
 REFUSED = ClientFault('refused')
-#: A file can't be read or has wrong lines.
+#: A file can't be read or has invalid lines.
 BAD_FILE = ClientFault('bad_file')
--- a/src/balsamreach/client/importing.py
+++ b/src/balsamreach/client/importing.py
@@ -1,4 +1,4 @@
-"""Brings the rows of a file into the table, a batch at a time."""
+"""Import of a CSV file into the table, in batches of rows."""
 
 from collections.abc import Iterable, Iterator
 from itertools import islice
@@ -16,13 +16,13 @@
 UNCHANGED = 'unchanged'
 CONFLICT = 'conflict'
 REFUSED = 'refused'
-_MOST_FLAWS = 50
+_MAX_FAULTS = 50
 _CONFLICT_CODES = frozenset(('stale_edit', 'below_taken', 'edit_id_taken'))
 
 
 @attrs.frozen
 class LineOutcome:
-    """What became of one line.
+    """Result of importing one line.
 
     Parameters
     ----------
@@ -32,9 +32,9 @@
         ``applied``, ``would apply``, ``unchanged``, ``conflict`` or
         ``refused``.
     changes : dict
-        Old and new by field.
+        Old and new value by field.
     reason : str
-        Why it was refused.
+        Reason of a conflict or refusal.
     """
 
     line: Line
@@ -50,16 +50,16 @@
     Parameters
     ----------
     client : OperatorsClient
-        Speaks to a router.
+        Client of a router.
     dry_run : bool
-        Whether only the difference is wanted.
+        Whether to only report the changes, without applying them.
     """
 
     client: OperatorsClient
     dry_run: bool = False
 
     def run(self, lines: Iterable[Line]) -> Iterator[LineOutcome | ClientFault]:
-        """Yield what became of each line; a fault ends the import."""
+        """Yield the outcome of each line; a fault ends the import."""
         lines = iter(lines)
         while batch := list(islice(lines, BATCH)):
             outcomes = self._run_batch(batch)
@@ -69,60 +69,66 @@
             yield from outcomes
 
     def _run_batch(self, batch: list[Line]) -> list[LineOutcome] | ClientFault:
-        answer = self.client.current([line.key for line in batch])
+        answer = self.client.read_rows([line.key for line in batch])
         if isinstance(answer, ClientFault):
             return answer
         planned = [
-            _compare(line, row)
+            _plan_line(line, row)
             for line, row in zip(batch, answer['rows'], strict=True)
         ]
         if self.dry_run:
             return planned
-        wanted = [plan for plan in planned if plan.state == WOULD_APPLY]
-        if not wanted:
+        to_apply = [plan for plan in planned if plan.state == WOULD_APPLY]
+        if not to_apply:
             return planned
-        told = self.client.edit_all([_edit_of(plan.line) for plan in wanted])
-        if isinstance(told, ClientFault):
-            return told
-        done = dict(zip(map(id, wanted), told['outcomes'], strict=True))
-        return [_conclude(plan, done.get(id(plan))) for plan in planned]
+        result = self.client.edit_all(
+            [_make_edit(plan.line) for plan in to_apply]
+        )
+        if isinstance(result, ClientFault):
+            return result
+        outcomes = dict(zip(map(id, to_apply), result['outcomes'], strict=True))
+        return [_add_outcome(plan, outcomes.get(id(plan))) for plan in planned]
 
 
 def check_file(stream: Any) -> list[ClientFault]:
-    """Return what is wrong with a file, the first flaws at least.
+    """Return the errors in a file, up to a maximum number.
 
-    A file is checked whole before its first row is sent, so that a slip in
-    its last line leaves nothing half done.
+    The whole file is checked before the first row is sent, so that an error
+    in the last line does not leave the import half done.
     """
     seen: dict[str, int] = {}
-    flaws: list[ClientFault] = []
+    faults: list[ClientFault] = []
     for line in read_table(stream):
-        flaw = line if isinstance(line, ClientFault) else _repeated(line, seen)
-        if flaw is not None:
-            flaws.append(flaw)
-        if len(flaws) == _MOST_FLAWS:
-            return flaws
-    return flaws
-
-
-def _repeated(line: Line, seen: dict[str, int]) -> ClientFault | None:
+        fault = (
+            line
+            if isinstance(line, ClientFault)
+            else _duplicate_fault(line, seen)
+        )
+        if fault is not None:
+            faults.append(fault)
+        if len(faults) == _MAX_FAULTS:
+            return faults
+    return faults
+
+
+def _duplicate_fault(line: Line, seen: dict[str, int]) -> ClientFault | None:
     earlier = seen.setdefault(line.key, line.number)
     if earlier == line.number:
         return None
     return BAD_FILE.because(
-        f'line {line.number}: {line.key} stands in line {earlier} already',
+        f'line {line.number}: {line.key} is already in line {earlier}',
     )
 
 
-def _compare(line: Line, row: dict[str, Any]) -> LineOutcome:
+def _plan_line(line: Line, row: dict[str, Any]) -> LineOutcome:
     current = row['value'] or {}
     changes = {
         name: (current.get(name), field)
         for name, field in line.fields.items()
         if current.get(name) != field
     }
-    # A row that is as the file wants it is left alone whatever its version:
-    # an import that was cut short can then simply be run again.
+    # A row that already matches the file is skipped whatever its version, so
+    # that an interrupted import can simply be run again.
     if current and not changes:
         return LineOutcome(line, UNCHANGED)
     live_version = row['version'] if current else 0
@@ -133,23 +139,28 @@
 
 def _describe_conflict(row: dict[str, Any]) -> str:
     if row['value'] is None:
-        return 'the row was deleted since the export; empty its version'
+        return (
+            'the row was deleted since the export; empty its version to '
+            'create it again'
+        )
     version = row['version']
     return f'the row changed since the export and is at version {version}'
 
 
-def _edit_of(line: Line) -> dict[str, Any]:
+def _make_edit(line: Line) -> dict[str, Any]:
     return {'key': line.key, 'version': line.version, 'fields': line.fields}
 
 
-def _conclude(plan: LineOutcome, told: dict[str, Any] | None) -> LineOutcome:
-    if told is None:
+def _add_outcome(
+    plan: LineOutcome, outcome: dict[str, Any] | None
+) -> LineOutcome:
+    if outcome is None:
         return plan
-    if 'error' not in told:
+    if 'error' not in outcome:
         return attrs.evolve(plan, state=APPLIED)
-    stale = told['error']['code'] in _CONFLICT_CODES
+    stale = outcome['error']['code'] in _CONFLICT_CODES
     return attrs.evolve(
         plan,
         state=CONFLICT if stale else REFUSED,
-        reason=read_fault(told).reason,
+        reason=read_fault(outcome).reason,
     )
--- a/src/balsamreach/client/operators.py
+++ b/src/balsamreach/client/operators.py
@@ -22,20 +22,20 @@
 )
 from balsamreach.curl_tls import CurlTls
 
-_CONNECT_S = 5
-_WHOLE_S = 60
-_TRIES = 5
+_CONNECT_TIMEOUT_S = 5
+_REQUEST_TIMEOUT_S = 60
+_ATTEMPTS = 5
 _FIRST_PAUSE_S = 0.25
-_FIRST_ERROR = 400
+_MIN_ERROR_STATUS = 400
 _CONFLICT = 409
-_AWAY = 503
-_UNKNOWN = 504
-_PAGE = 1000
-_UNFIT = (
+_UNAVAILABLE = 503
+_GATEWAY_TIMEOUT = 504
+_PAGE_ROWS = 1000
+_BAD_KEY_PAIR = (
     BAD_CERTIFICATE,
     'give PEM files that fit with --certificate and --certificate-key',
 )
-_NOT_SENT = {
+_NOT_SENT_FAULTS = {
     pycurl.E_COULDNT_CONNECT: (
         UNREACHABLE,
         'check --router and that a router runs there',
@@ -56,13 +56,13 @@
         BAD_CERTIFICATE,
         'give a PEM file of the CA with --ca',
     ),
-    pycurl.E_SSL_CERTPROBLEM: _UNFIT,
-    # What a key gets that isn't the certificate's.
-    pycurl.E_BAD_FUNCTION_ARGUMENT: _UNFIT,
+    pycurl.E_SSL_CERTPROBLEM: _BAD_KEY_PAIR,
+    # Curl returns this error if the key doesn't belong to the certificate.
+    pycurl.E_BAD_FUNCTION_ARGUMENT: _BAD_KEY_PAIR,
 }
-_MAYBE_SENT = (
-    'check --router, also http or https, whether it wants --certificate, and '
-    'that a router runs there'
+_MAYBE_SENT_HINT = (
+    'check the URL in --router, also http or https, whether the listener '
+    'wants --certificate, and that a router runs there'
 )
 
 Answer = dict[str, Any] | ClientFault
@@ -70,18 +70,18 @@
 
 @attrs.define
 class OperatorsClient:
-    """Speaks to the operators' listener of one router.
+    """HTTP client of the operators' listener of one router.
 
     Parameters
     ----------
     url : str
-        Base address, like ``http://127.0.0.1:8081``.
+        Base URL, like ``http://127.0.0.1:8081``.
     key : str
         Operator key.
     tls : CurlTls
-        PEM files for https; the key may stand in the certificate's file.
+        PEM files for https; the certificate's file may contain the key.
     author : str
-        Who edits, for the history.
+        Author of edits, recorded in the history.
     """
 
     url: str
@@ -91,18 +91,20 @@
     _curl: pycurl.Curl = attrs.field(factory=pycurl.Curl)
 
     def read(self, path: str, **query: Any) -> Answer:
-        """Return the JSON of a GET."""
+        """Return the JSON answer to a GET request."""
         encoded = urlencode(query)
         quoted = quote(path)
         answer = self._send('GET', f'{quoted}?{encoded}' if query else quoted)
-        return _nothing_changed(answer)
+        return _fault_of_read(answer)
 
     def rows(self, prefix: str = '') -> Iterator[Answer]:
-        """Yield all rows, page by page; a fault ends it."""
+        """Yield all rows, read page by page; a fault ends the iteration."""
         after = ''
         more = True
         while more:
-            page = self.read('/table', prefix=prefix, after=after, limit=_PAGE)
+            page = self.read(
+                '/table', prefix=prefix, after=after, limit=_PAGE_ROWS
+            )
             if isinstance(page, ClientFault):
                 yield page
                 return
@@ -110,33 +112,38 @@
             more = page['more']
             after = page['rows'][-1]['key'] if more else ''
 
-    def current(self, keys: list[str]) -> Answer:
-        """Return rows by key under ``rows``, absent ones with no value."""
-        return _nothing_changed(self._send('POST', '/rows', {'keys': keys}))
+    def read_rows(self, keys: list[str]) -> Answer:
+        """Return current rows by key under ``rows``.
+
+        Rows that don't exist have the value None.
+        """
+        return _fault_of_read(self._send('POST', '/rows', {'keys': keys}))
 
     def edit(self, key: str, **change: Any) -> Answer:
-        """Send one edit, again with the same id if its answer is lost."""
+        """Send one edit; repeat it with the same id if its answer is lost."""
         change.setdefault('edit_id', uuid.uuid4().hex)
         body = {'author': self.author, **change}
-        return self._insist('PATCH', quote(f'/table/{key}'), body)
+        return self._send_with_retries('PATCH', quote(f'/table/{key}'), body)
 
     def edit_all(self, edits: list[dict[str, Any]]) -> Answer:
-        """Send edits of different rows; each has its own outcome."""
-        marked = [
+        """Send edits of different rows, each of which has its own outcome."""
+        identified = [
             {'author': self.author, 'edit_id': uuid.uuid4().hex, **edit}
             for edit in edits
         ]
-        return self._insist('POST', '/edits', {'edits': marked})
+        return self._send_with_retries('POST', '/edits', {'edits': identified})
 
     def close(self) -> None:
         """Close the connection."""
         self._curl.close()
 
-    def _insist(self, method: str, path: str, body: dict[str, Any]) -> Answer:
-        # The edit's id makes it safe to send again what may have arrived
-        # already: it is applied once.
+    def _send_with_retries(
+        self, method: str, path: str, body: dict[str, Any]
+    ) -> Answer:
+        # It is safe to repeat an edit that may already have arrived, because
+        # the table applies each edit id once.
         answer = self._send(method, path, body)
-        for attempt in range(_TRIES - 1):
+        for attempt in range(_ATTEMPTS - 1):
             if answer not in (UNREACHABLE, OUTCOME_UNKNOWN):
                 return answer
             unknown = answer == OUTCOME_UNKNOWN
@@ -159,17 +166,17 @@
         try:
             self._curl.perform()
         except pycurl.error as exc:
-            return _unanswered(exc, self.url)
+            return _transfer_fault(exc, self.url)
         status = self._curl.getinfo(pycurl.RESPONSE_CODE)
-        return _read(status, sink.getvalue())
+        return _parse_answer(status, sink.getvalue())
 
     def _prepare(self, method: str, path: str, sink: io.BytesIO) -> None:
         options = {
             pycurl.URL: self.url.rstrip('/') + path,
             pycurl.CUSTOMREQUEST: method,
             pycurl.HTTPHEADER: self._headers(),
-            pycurl.CONNECTTIMEOUT: _CONNECT_S,
-            pycurl.TIMEOUT: _WHOLE_S,
+            pycurl.CONNECTTIMEOUT: _CONNECT_TIMEOUT_S,
+            pycurl.TIMEOUT: _REQUEST_TIMEOUT_S,
             pycurl.NOPROXY: '*',
             pycurl.WRITEDATA: sink,
         }
@@ -185,54 +192,56 @@
         ]
 
 
-def _unanswered(exc: pycurl.error, url: str) -> ClientFault:
+def _transfer_fault(exc: pycurl.error, url: str) -> ClientFault:
     number, reason = exc.args
-    fault, hint = _NOT_SENT.get(number, (OUTCOME_UNKNOWN, _MAYBE_SENT))
+    fault, hint = _NOT_SENT_FAULTS.get(
+        number, (OUTCOME_UNKNOWN, _MAYBE_SENT_HINT)
+    )
     return fault.because(f'{url}: {reason}; {hint}')
 
 
-def _nothing_changed(answer: Answer) -> Answer:
+def _fault_of_read(answer: Answer) -> Answer:
     if isinstance(answer, ClientFault) and answer == OUTCOME_UNKNOWN:
         return UNREACHABLE.because(answer.reason)
     return answer
 
 
-def _read(status: int, body: bytes) -> Answer:
+def _parse_answer(status: int, body: bytes) -> Answer:
     try:
         answer = json.loads(body)
     except ValueError:
-        answer = {'error': {'message': f'no JSON came with {status}'}}
-    if status < _FIRST_ERROR:
+        answer = {'error': {'message': f'no JSON came with status {status}'}}
+    if status < _MIN_ERROR_STATUS:
         return answer
-    return read_fault(answer, _by_status(status))
+    return read_fault(answer, _kind_by_status(status))
 
 
 def read_fault(
     answer: dict[str, Any],
     kind: ClientFault = CONFLICTING,
 ) -> ClientFault:
-    """Return the fault that an answer tells of.
+    """Convert an error answer to a fault.
 
     Parameters
     ----------
     answer : dict
-        JSON with ``error``, and the row as it stands where there is one.
+        JSON with ``error`` and, for a conflict, the current ``row``.
     kind : ClientFault
-        The sentinel.
+        The sentinel to use.
 
     Returns
     -------
     ClientFault
-        The sentinel with the router's words.
+        The sentinel with the router's message as its reason.
     """
     error = answer.get('error', {})
     reason = error.get('message') or error.get('code', 'no reason given')
     return attrs.evolve(kind, reason=reason, row=answer.get('row'))
 
 
-def _by_status(status: int) -> ClientFault:
+def _kind_by_status(status: int) -> ClientFault:
     return {
         _CONFLICT: CONFLICTING,
-        _AWAY: UNREACHABLE,
-        _UNKNOWN: OUTCOME_UNKNOWN,
+        _UNAVAILABLE: UNREACHABLE,
+        _GATEWAY_TIMEOUT: OUTCOME_UNKNOWN,
     }.get(status, REFUSED)
--- a/src/balsamreach/client/team_keys.py
+++ b/src/balsamreach/client/team_keys.py
@@ -1,4 +1,4 @@
-"""Adds and revokes keys of a team, whoever else edits its row."""
+"""Adding and revoking of a team's keys, safe with concurrent edits."""
 
 import secrets
 from collections.abc import Callable
@@ -8,44 +8,50 @@
 from balsamreach.table.view import hash_key
 
 _KEY_BYTES = 24
-_TRIES = 5
-_LEAST_DIGITS = 6
+_ATTEMPTS = 5
+_MIN_DIGITS = 6
 
-Change = Callable[[list[str]], list[str] | ClientFault]
+DigestsChange = Callable[[list[str]], list[str] | ClientFault]
 
 
 def new_key() -> str:
-    """Return a new secret."""
+    """Return a new random key."""
     return secrets.token_urlsafe(_KEY_BYTES)
 
 
 def add_key(client: OperatorsClient, team: str, secret: str) -> Answer:
     """Add a key to a team's row."""
     digest = hash_key(secret)
-    return _change(client, team, lambda digests: [*digests, digest])
+    return _edit_digests(client, team, lambda digests: [*digests, digest])
 
 
 def revoke_key(client: OperatorsClient, team: str, prefix: str) -> Answer:
-    """Remove the one key whose digest begins with a text."""
-    return _change(client, team, lambda digests: _without(digests, prefix))
+    """Remove the key whose digest begins with the prefix."""
+    return _edit_digests(
+        client, team, lambda digests: _remove_by_prefix(digests, prefix)
+    )
 
 
-def _without(digests: list[str], prefix: str) -> list[str] | ClientFault:
+def _remove_by_prefix(
+    digests: list[str], prefix: str
+) -> list[str] | ClientFault:
     found = [digest for digest in digests if digest.startswith(prefix)]
-    if len(prefix) < _LEAST_DIGITS or len(found) != 1:
+    if len(prefix) < _MIN_DIGITS or len(found) != 1:
         return REFUSED.because(
-            f'{len(found)} keys begin with {prefix}; give at least '
-            f'{_LEAST_DIGITS} digits of one that keys list shows',
+            f'{len(found)} keys begin with {prefix!r}; give at least '
+            f'{_MIN_DIGITS} digits of one that "team keys list" shows',
         )
     return [digest for digest in digests if digest not in found]
 
 
-def _change(client: OperatorsClient, team: str, change: Change) -> Answer:
-    # The list of keys is written whole. Somebody else's edit between read
-    # and write must neither be undone nor fail this one, so it is made
-    # again on the row as it then stands.
+def _edit_digests(
+    client: OperatorsClient, team: str, change: DigestsChange
+) -> Answer:
+    # An edit replaces the whole list of keys. A concurrent edit between read
+    # and write must neither be undone nor make this one fail, so this edit
+    # is repeated on the row that the other one wrote.
     answer: Answer = CONFLICTING
-    for _ in range(_TRIES):
+    for _ in range(_ATTEMPTS):
         row = client.read(f'/table/team/{team}')
         if isinstance(row, ClientFault):
             return row
--- a/src/balsamreach/config/listeners.py
+++ b/src/balsamreach/config/listeners.py
@@ -104,9 +104,8 @@
 def _describe_bind_error(section: str, listener: Listener, exc: OSError) -> str:
     if exc.errno == errno.EADDRNOTAVAIL:
         return (
-            f'[{section}] address: this machine has no address '
-            f'{listener.address}; set one of its IP numbers here or under '
-            '[host]'
+            f'[{section}] address: {listener.address} is no address of this '
+            'machine; set one of its IP numbers here or under [host]'
         )
     place = f'[{section}] port: {listener.address} port {listener.port}'
     cause = (exc.strerror or str(exc)).lower()
--- a/src/balsamreach/ui/explain.py
+++ b/src/balsamreach/ui/explain.py
@@ -6,7 +6,12 @@
 import attrs
 import click
 
-from balsamreach.client.stories import Line, Story, read_lines, tell_story
+from balsamreach.client.request_history import (
+    LogLine,
+    RequestHistory,
+    find_request,
+    read_lines,
+)
 from balsamreach.faults import Fault
 from balsamreach.ui import exit_codes
 from balsamreach.ui.errors import CommandError
@@ -23,41 +28,41 @@
     files: tuple[click.utils.LazyFile, ...],
     as_json: bool,
 ) -> None:
-    """Print a request's story from the log lines of routers.
+    """Print a request's history from the log lines of routers.
 
     FILES are logs of any number of routers; without one, lines come from
     standard input.
     """
     sources = files or (click.get_text_stream('stdin'),)
     texts = (text for source in sources for text in source)
-    story = tell_story(request_id, read_lines(texts))
-    if not story.lines:
+    history = find_request(request_id, read_lines(texts))
+    if not history.lines:
         fault = _NOT_FOUND.because(
             f'no line of these logs names request {request_id}; give the '
             'logs of all routers, as each try reaches another one',
         )
         raise CommandError('explain', fault, exit_codes.FAILED)
     if as_json:
-        click.echo(json.dumps(attrs.asdict(story)))
+        click.echo(json.dumps(attrs.asdict(history)))
         return
-    for text in _texts(story):
+    for text in _texts(history):
         click.echo(text)
 
 
-def _texts(story: Story) -> Iterator[str]:
+def _texts(history: RequestHistory) -> Iterator[str]:
     yield 'What its routers knew:'
-    yield from map(_text, story.beliefs)
+    yield from map(_text, history.beliefs)
     yield 'What they did:'
-    yield from map(_text, story.lines)
-    deciding = story.deciding
-    if deciding is None:
+    yield from map(_text, history.lines)
+    end_line = history.end_line
+    if end_line is None:
         yield 'Its end is not in these logs.'
         return
-    outcome = deciding.fields.get('outcome', deciding.event)
-    reason = deciding.fields.get('reason', 'no reason given')
-    yield f'Decided at {deciding.time} by {deciding.host}: {outcome}, {reason}'
+    outcome = end_line.fields.get('outcome', end_line.event)
+    reason = end_line.fields.get('reason', 'no reason given')
+    yield f'Decided at {end_line.time} by {end_line.host}: {outcome}, {reason}'
 
 
-def _text(line: Line) -> str:
+def _text(line: LogLine) -> str:
     said = ' '.join(f'{name}={text}' for name, text in line.fields.items())
     return f'  {line.time} {line.host} {line.event} {said}'
--- a/src/balsamreach/ui/table.py
+++ b/src/balsamreach/ui/table.py
@@ -115,7 +115,7 @@
 
 
 def _version_now(client: OperatorsClient, key: str) -> int:
-    answer = need(f'read {key}', client.current([key]))
+    answer = need(f'read {key}', client.read_rows([key]))
     row = answer['rows'][0]
     return row['version'] if row['value'] is not None else 0
 
--- a/tests/test_ui_table.py
+++ b/tests/test_ui_table.py
@@ -144,7 +144,7 @@
         with socket.create_server(('127.0.0.1', 0)) as listener:
             listener.settimeout(0.01)
             port = listener.getsockname()[1]
-            with mock.patch.object(operators, '_WHOLE_S', 1):
+            with mock.patch.object(operators, '_REQUEST_TIMEOUT_S', 1):
                 url = f'http://127.0.0.1:{port}'
                 ended = self.run_code('team', 'top-up', self.team, '5', url=url)
         self.assertEqual(ended.exit_code, exit_codes.UNREACHABLE)
