--- a/src/balsamreach/client/csv_table.py
+++ b/src/balsamreach/client/csv_table.py
@@ -95,7 +95,7 @@
 def _describe_header(unknown: list[str], missing: list[str]) -> str:
     if missing:
         listed = ', '.join(missing)
-        return f'the columns {listed} are missing; export to see all columns'
+        return f'columns missing: {listed}; export to see all columns'
     listed = ', '.join(unknown)
     return f'there is no column {listed}; export to see all columns'
 
--- a/src/balsamreach/client/team_keys.py
+++ b/src/balsamreach/client/team_keys.py
@@ -48,8 +48,8 @@
     client: OperatorsClient, team: str, change: DigestsChange
 ) -> Answer:
     # An edit replaces the whole list of keys. A concurrent edit between read
-    # and write must neither be undone nor make this one fail, so this edit
-    # is repeated on the row that the other one wrote.
+    # and write must neither be undone nor make this edit fail, so it is
+    # repeated on the new row.
     answer: Answer = CONFLICTING
     for _ in range(_ATTEMPTS):
         row = client.read(f'/table/team/{team}')
--- a/src/balsamreach/ui/audit.py
+++ b/src/balsamreach/ui/audit.py
@@ -19,7 +19,7 @@
 
 
 @click.command('audit')
-@settings_options('Settings file that names the platform.')
+@settings_options('Settings file with the addresses of the platform.')
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 def command(
     path: str | None,
@@ -27,7 +27,7 @@
     *,
     as_json: bool,
 ) -> None:
-    """Check all budgets' records; exit 5 if an invariant is broken."""
+    """Check the records of all budgets; exit 5 if an invariant is broken."""
     cfg = load_settings(path, overrides)
     report = asyncio.run(_audit(cfg))
     if isinstance(report, BudgetFault):
@@ -62,12 +62,12 @@
             f'held {sums.held}, bills {sums.bills}',
         )
     now = time.time()
-    for lost in report.stranded:
-        hours = (now - lost.since) / 3600
-        why = 'may be lent' if lost.closed else 'holder serves no address'
+    for entry in report.stranded:
+        hours = (now - entry.since) / 3600
+        cause = 'may be lent' if entry.closed else 'holder serves no address'
         click.echo(
-            f'stranded: {lost.team} {lost.tokens} tokens of '
-            f'{lost.incarnation} ({why}), {hours:.1f} h',
+            f'stranded: {entry.team} {entry.tokens} tokens of '
+            f'{entry.incarnation} ({cause}), {hours:.1f} h',
         )
     click.echo(f'claims: {report.claims}, without a bill {report.claims_open}')
     for claim in report.open_claims:
@@ -76,7 +76,9 @@
             f'{claim.commits} commits ago',
         )
     for team in report.unjudged:
-        click.echo(f'{team}: changed while read, audit again', err=True)
+        click.echo(
+            f'{team}: not checked, changed while read; audit again', err=True
+        )
     for breach in report.breaches:
         click.echo(
             f'BROKEN {breach.invariant}: {breach.team}: {breach.detail}',
--- a/src/balsamreach/ui/budget.py
+++ b/src/balsamreach/ui/budget.py
@@ -23,22 +23,22 @@
 from balsamreach.ui.settings_file import load_settings, settings_options
 
 _WARNING = (
-    'Router {incarnation} must be dead: if it still serves, what it has not '
-    'recorded may go unbilled. Release what it holds?'
+    'Router {incarnation} must be dead: if it still serves requests, those '
+    'that it has not recorded may go unbilled. Release what it holds?'
 )
 
 
 @click.group('budget')
 def command() -> None:
-    """Look after budgets that routers hold."""
+    """Release budgets of dead routers and settle open claims."""
 
 
 @command.command('release')
 @click.argument('incarnation')
-@click.option('--by', required=True, help='Who says that it is dead.')
-@click.option('-y', '--yes', is_flag=True, help='Do not ask.')
+@click.option('--by', required=True, help='Your name, for the records.')
+@click.option('-y', '--yes', is_flag=True, help='Do not ask to confirm.')
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
-@settings_options('Settings file that names the platform.')
+@settings_options('Settings file with the addresses of the platform.')
 def release(
     incarnation: str,
     by: str,
@@ -48,7 +48,10 @@
     yes: bool,
     as_json: bool,
 ) -> None:
-    """Give back what a dead router holds whose address is not used again."""
+    """Return the tokens of a dead router whose address is not used again.
+
+    INCARNATION identifies one run of a router; audit prints it.
+    """
     cfg = load_settings(path, overrides)
     if not yes:
         click.confirm(_WARNING.format(incarnation=incarnation), abort=True)
@@ -63,7 +66,9 @@
     for team, tokens in sorted(outcome.returned.items()):
         click.echo(f'{team}: {tokens} tokens returned')
     if outcome.kept:
-        click.echo(f'{outcome.kept} tokens stay: borrowers may hold them')
+        click.echo(
+            f'{outcome.kept} tokens not returned: borrowers may hold them'
+        )
 
 
 @command.command('settle')
@@ -74,9 +79,9 @@
     required=True,
     help='Tokens to bill; 0 closes the claim without a charge.',
 )
-@click.option('--by', required=True, help='Who says how it ended.')
+@click.option('--by', required=True, help='Your name, for the records.')
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
-@settings_options('Settings file that names the platform.')
+@settings_options('Settings file with the addresses of the platform.')
 def settle(
     request_name: str,
     tokens: int,
@@ -86,10 +91,10 @@
     *,
     as_json: bool,
 ) -> None:
-    """End a claim of which no router knows how its run ended.
+    """Bill a claimed request if no router knows how its run ended.
 
-    Ask the service first whether it ran. The claim stays: the request is
-    never run again under its key.
+    First find out from the service whether the request ran. The claim is
+    kept, so the request is never run again under its key.
     """
     cfg = load_settings(path, overrides)
     team, _slash, key = request_name.partition('/')
--- a/src/balsamreach/ui/check_config.py
+++ b/src/balsamreach/ui/check_config.py
@@ -25,7 +25,7 @@
 @click.option(
     '--ports/--no-ports',
     default=False,
-    help='Also load the certificates and bind the listeners.',
+    help='Also check certificates and that the listeners can be bound.',
 )
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 def command(
@@ -35,7 +35,7 @@
     ports: bool,
     as_json: bool,
 ) -> None:
-    """Check settings files and name every problem in them."""
+    """Check settings files and list all problems in them."""
     checked = {}
     for path in files:
         checked[path] = _check(path, overrides, ports)
--- a/src/balsamreach/ui/errors.py
+++ b/src/balsamreach/ui/errors.py
@@ -1,4 +1,4 @@
-"""Errors as people see them, made of a fault and what was being done."""
+"""Errors that end a command, made from a fault."""
 
 import click
 
@@ -12,22 +12,22 @@
 
     Parameters
     ----------
-    verb : str
-        What the command was doing, as in ``read the settings``.
+    action : str
+        The failed action, completing "can't ...": ``read the settings``.
     fault : Fault
-        Why that failed.
+        The reason of the failure.
     exit_code : int
         One of ``exit_codes``.
     """
 
-    def __init__(self, verb: str, fault: Fault, exit_code: int):
+    def __init__(self, action: str, fault: Fault, exit_code: int):
         reason = fault.reason or fault.code
-        gap = '\n' if '\n' in reason else ' '
-        super().__init__(f"can't {verb}:{gap}{reason}")
+        separator = '\n' if '\n' in reason else ' '
+        super().__init__(f"can't {action}:{separator}{reason}")
         self.fault = fault
         self.exit_code = exit_code
 
 
 def settings_error(fault: ConfigFault) -> CommandError:
-    """Return the error for settings that can't be used."""
+    """Return the error for invalid settings."""
     return CommandError('use the settings', fault, exit_codes.USAGE)
--- a/src/balsamreach/ui/exit_codes.py
+++ b/src/balsamreach/ui/exit_codes.py
@@ -1,14 +1,14 @@
-"""Exit codes of every command."""
+"""Exit codes of all commands."""
 
-#: The command did what it was told.
+#: The command succeeded.
 OK = 0
 #: The operation failed; the message says why.
 FAILED = 1
-#: Wrong usage or settings; nothing was started.
+#: Invalid arguments or settings; nothing was started.
 USAGE = 2
-#: A row changed meanwhile; read it again and repeat.
+#: The row was changed in the meantime; read it again and repeat.
 CONFLICT = 3
 #: A router or service couldn't be reached.
 UNREACHABLE = 4
-#: An audit found that what must always hold doesn't.
+#: An audit found a broken invariant.
 BROKEN = 5
--- a/src/balsamreach/ui/explain.py
+++ b/src/balsamreach/ui/explain.py
@@ -28,10 +28,10 @@
     files: tuple[click.utils.LazyFile, ...],
     as_json: bool,
 ) -> None:
-    """Print a request's history from the log lines of routers.
+    """Print the log lines that explain how a request was handled.
 
-    FILES are logs of any number of routers; without one, lines come from
-    standard input.
+    FILES are logs of any number of routers; without FILES, the lines are
+    read from standard input.
     """
     sources = files or (click.get_text_stream('stdin'),)
     texts = (text for source in sources for text in source)
@@ -39,30 +39,30 @@
     if not history.lines:
         fault = _NOT_FOUND.because(
             f'no line of these logs names request {request_id}; give the '
-            'logs of all routers, as each try reaches another one',
+            'logs of all routers, since each retry may reach another one',
         )
-        raise CommandError('explain', fault, exit_codes.FAILED)
+        raise CommandError('explain the request', fault, exit_codes.FAILED)
     if as_json:
         click.echo(json.dumps(attrs.asdict(history)))
         return
-    for text in _texts(history):
+    for text in _format_history(history):
         click.echo(text)
 
 
-def _texts(history: RequestHistory) -> Iterator[str]:
-    yield 'What its routers knew:'
-    yield from map(_text, history.beliefs)
-    yield 'What they did:'
-    yield from map(_text, history.lines)
+def _format_history(history: RequestHistory) -> Iterator[str]:
+    yield 'State of its routers:'
+    yield from map(_format_line, history.beliefs)
+    yield 'Lines of the request:'
+    yield from map(_format_line, history.lines)
     end_line = history.end_line
     if end_line is None:
-        yield 'Its end is not in these logs.'
+        yield 'The end of the request is not in these logs.'
         return
     outcome = end_line.fields.get('outcome', end_line.event)
     reason = end_line.fields.get('reason', 'no reason given')
     yield f'Decided at {end_line.time} by {end_line.host}: {outcome}, {reason}'
 
 
-def _text(line: LogLine) -> str:
-    said = ' '.join(f'{name}={text}' for name, text in line.fields.items())
-    return f'  {line.time} {line.host} {line.event} {said}'
+def _format_line(line: LogLine) -> str:
+    fields = ' '.join(f'{name}={text}' for name, text in line.fields.items())
+    return f'  {line.time} {line.host} {line.event} {fields}'
--- a/src/balsamreach/ui/main.py
+++ b/src/balsamreach/ui/main.py
@@ -1,10 +1,10 @@
-"""Entry point: the group of all commands, each imported when it is used."""
+"""Entry point of the command line."""
 
 from importlib import import_module
 
 import click
 
-#: Module by command; its function ``command`` is the click command.
+#: Module of each command; its attribute ``command`` is the click command.
 COMMANDS = {
     'audit': 'balsamreach.ui.audit',
     'budget': 'balsamreach.ui.budget',
@@ -21,10 +21,10 @@
 
 
 class LazyGroup(click.Group):
-    """Group that imports a command's module only when it is called for.
+    """Group that imports a command's module when the command is used.
 
-    ``version`` and shell completion stay quick, although ``serve`` imports
-    the whole router.
+    This keeps ``version`` and shell completion fast, because ``serve``
+    imports the whole router.
     """
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -36,7 +36,7 @@
         ctx: click.Context,
         cmd_name: str,
     ) -> click.Command | None:
-        """Return a command by its name, None if there is none."""
+        """Return a command by its name, None if it does not exist."""
         if cmd_name not in COMMANDS:
             return None
         return import_module(COMMANDS[cmd_name]).command
@@ -47,8 +47,8 @@
     context_settings={'help_option_names': ['-h', '--help']},
 )
 def main() -> None:
-    """Route requests to language models on capacity paid for in advance.
+    """Route requests to language models on prepaid capacity.
 
-    Exit codes: 0 done, 1 failed, 2 usage or settings, 3 conflict,
+    Exit codes: 0 success, 1 failed, 2 invalid usage or settings, 3 conflict,
     4 unreachable, 5 an invariant is broken.
     """
--- a/src/balsamreach/ui/operator_options.py
+++ b/src/balsamreach/ui/operator_options.py
@@ -1,4 +1,4 @@
-"""Options that all commands share which speak to a router."""
+"""Options shared by all commands that send requests to a router."""
 
 import json
 from collections.abc import Callable
@@ -31,8 +31,8 @@
     REFUSED: exit_codes.FAILED,
 }
 _HINTS = {
-    CONFLICTING: 'read the row again and repeat',
-    OUTCOME_UNKNOWN: 'the edit may have taken effect; look at the row',
+    CONFLICTING: 'read the row again and repeat the command',
+    OUTCOME_UNKNOWN: 'the edit may have taken effect; read the row to check',
 }
 _PEM_FILE = click.Path(exists=True, dir_okay=False)
 _OPTIONS = (
@@ -43,7 +43,7 @@
         show_default=True,
         show_envvar=True,
         metavar='URL',
-        help="Operators' listener of any router.",
+        help="URL of any router's operators' listener.",
     ),
     click.option(
         '--key',
@@ -51,14 +51,14 @@
         envvar='BALSAMREACH_OPERATOR_KEY',
         default='',
         show_envvar=True,
-        help='Operator key; better in the variable or in a file.',
+        help='Operator key; the variable or a file is safer.',
     ),
     click.option(
         '--key-file',
         envvar='BALSAMREACH_OPERATOR_KEY_FILE',
         type=click.Path(exists=True, dir_okay=False),
         show_envvar=True,
-        help='File that holds the operator key.',
+        help='File that contains the operator key.',
     ),
     click.option(
         '--ca',
@@ -72,28 +72,28 @@
         envvar='BALSAMREACH_CERTIFICATE',
         type=_PEM_FILE,
         show_envvar=True,
-        help='PEM file to show to a listener that asks for a certificate.',
+        help='PEM file of the client certificate, if the listener wants one.',
     ),
     click.option(
         '--certificate-key',
         envvar='BALSAMREACH_CERTIFICATE_KEY',
         type=_PEM_FILE,
         show_envvar=True,
-        help='PEM file of its key, unless that stands with it.',
+        help='PEM file of its key, unless the certificate file contains it.',
     ),
     click.option(
         '--author',
         envvar='BALSAMREACH_AUTHOR',
         default='operator',
         show_envvar=True,
-        help='Who you are, for the history.',
+        help='Your name, for the history.',
     ),
     click.option('--json', 'as_json', is_flag=True, help='Print JSON.'),
 )
 
 
 def operator_command(function: Callable[..., Any]) -> Callable[..., Any]:
-    """Give a command the options and hand it a client in their place."""
+    """Add the options to a command, which gets a client made from them."""
     command: Callable[..., Any] = wraps(function)(
         partial(_run_with_client, function),
     )
@@ -119,26 +119,26 @@
         client.close()
 
 
-def need(verb: str, answer: Any) -> Any:
-    """Return an answer, or end the command with its fault."""
+def unwrap(action: str, answer: Any) -> Any:
+    """Return an answer; raise CommandError if it is a fault."""
     if isinstance(answer, ClientFault):
-        raise operator_error(verb, answer)
+        raise operator_error(action, answer)
     return answer
 
 
-def operator_error(verb: str, fault: ClientFault) -> CommandError:
-    """Return the error that tells what could not be done and what to do."""
+def operator_error(action: str, fault: ClientFault) -> CommandError:
+    """Return the error for a fault, with a hint on what to do."""
     hint = _HINTS.get(fault)
     reason = f'{fault.reason}; {hint}' if hint else fault.reason
     if fault.row is not None:
         shown = json.dumps(fault.row, ensure_ascii=False)
-        reason = f'{reason}\nthe row as it stands: {shown}'
+        reason = f'{reason}\nthe current row: {shown}'
     code = _EXIT_CODES.get(fault, exit_codes.FAILED)
-    return CommandError(verb, fault.because(reason), code)
+    return CommandError(action, fault.because(reason), code)
 
 
 def print_json(shown: Any) -> None:
-    """Print JSON for programs."""
+    """Print indented JSON."""
     click.echo(json.dumps(shown, indent=2, ensure_ascii=False))
 
 
--- a/src/balsamreach/ui/relay.py
+++ b/src/balsamreach/ui/relay.py
@@ -13,22 +13,22 @@
 from balsamreach.ui.errors import settings_error
 from balsamreach.ui.settings_file import load_settings, settings_options
 
-#: Sections whose listeners this daemon opens.
+#: Sections of the listeners that this daemon opens.
 LISTENERS = ('callers', 'probes')
 
 
 @click.command('relay')
-@settings_options("Settings file; the platform's own file lies over it.")
+@settings_options("Settings file; the platform's own file overrides it.")
 def command(path: str | None, overrides: tuple[str, ...]) -> None:
     """Run a router on the users' platform until SIGTERM or SIGINT.
 
-    The platform's settings file is named by the environment; see
+    The environment names the platform's settings file; see
     docs/operators/platform.md.
     """
-    given = read_boot()
-    if isinstance(given, ConfigFault):
-        raise settings_error(given)
-    cfg = load_settings(path, (*given, *overrides))
+    platform_overrides = read_boot()
+    if isinstance(platform_overrides, ConfigFault):
+        raise settings_error(platform_overrides)
+    cfg = load_settings(path, (*platform_overrides, *overrides))
     fault = check_ports(cfg, LISTENERS)
     if fault is not None:
         raise settings_error(fault.in_file(path))
--- a/src/balsamreach/ui/serve.py
+++ b/src/balsamreach/ui/serve.py
@@ -21,7 +21,7 @@
 
 
 @click.command('serve')
-@settings_options('Settings file; without one the defaults hold.')
+@settings_options('Settings file; without one the defaults are used.')
 def command(path: str | None, overrides: tuple[str, ...]) -> None:
     """Run a router daemon until SIGTERM or SIGINT."""
     cfg = load_settings(path, overrides)
@@ -39,7 +39,7 @@
 
 async def _start(router: Router) -> None:
     await router.start()
-    # With port 0 in the settings only this line tells where to connect.
+    # With port 0 in the settings only this line shows the actual ports.
     started = {
         'callers': router.callers.address,
         'operators': router.operators.address,
--- a/src/balsamreach/ui/settings_file.py
+++ b/src/balsamreach/ui/settings_file.py
@@ -1,4 +1,4 @@
-"""Options that name a settings file, and the settings read from it."""
+"""Options ``--config`` and ``--set``, and reading of the settings."""
 
 from collections.abc import Callable
 
@@ -12,20 +12,20 @@
 Command = Callable[..., None]
 
 
-def settings_options(about: str) -> Callable[[Command], Command]:
+def settings_options(help_text: str) -> Callable[[Command], Command]:
     """Return a decorator that adds ``--config`` and ``--set``.
 
     Parameters
     ----------
-    about : str
-        Help of ``--config``: what the file is read for.
+    help_text : str
+        Help text of ``--config``.
     """
     config = click.option(
         '-c',
         '--config',
         'path',
         type=click.Path(),
-        help=about,
+        help=help_text,
     )
     overrides = click.option(
         '--set',
@@ -38,12 +38,12 @@
 
 
 def load_settings(path: str | None, overrides: tuple[str, ...]) -> Settings:
-    """Read the settings that a command was given.
+    """Read the settings of a command.
 
     Raises
     ------
     CommandError
-        If they can't be used; the command ends with exit code 2.
+        If they are invalid; the command ends with exit code 2.
     """
     cfg = read_settings(path, overrides)
     if isinstance(cfg, ConfigFault):
--- a/src/balsamreach/ui/standin.py
+++ b/src/balsamreach/ui/standin.py
@@ -22,8 +22,8 @@
 from balsamreach.ui import exit_codes
 from balsamreach.ui.errors import CommandError
 
-_MOST_PORT = 65535
-#: A stand-in can't listen where it was told to.
+_MAX_PORT = 65535
+#: A stand-in can't listen on its address and port.
 _CANT_LISTEN = Fault('cant_listen')
 
 
@@ -43,26 +43,26 @@
 _port = click.option(
     '--port',
     default=0,
-    type=click.IntRange(0, _MOST_PORT),
-    help='0 takes a free one.',
+    type=click.IntRange(0, _MAX_PORT),
+    help='0 chooses a free port.',
 )
 _zone = click.option('--zone', default='zone-a', show_default=True)
 
 
 @attrs.define
 class _Standin:
-    """One stand-in for the life of its process."""
+    """The stand-in that this process runs."""
 
     settings: PlatformSettings | EngineSettings | ServiceSettings
     running: Running | None = None
 
     async def start(self) -> None:
-        """Start it and print one line that says where it listens.
+        """Start it and print its address as one JSON line.
 
         Raises
         ------
         CommandError
-            If it can't listen there.
+            If it can't listen on its address and port.
         """
         place = f'{self.settings.ip} port {self.settings.port}'
         try:
@@ -71,8 +71,8 @@
             fault = _CANT_LISTEN.because(
                 f'{place}: {exc.strerror}; give another --ip or --port',
             )
-            verb = 'start the stand-in'
-            raise CommandError(verb, fault, exit_codes.USAGE) from exc
+            action = 'start the stand-in'
+            raise CommandError(action, fault, exit_codes.USAGE) from exc
         click.echo(json.dumps({'address': self.running.address}))
 
     async def leave(self) -> None:
@@ -90,14 +90,17 @@
 
 @click.group('standin')
 def command() -> None:
-    """Run a stand-in for one of the systems that routers work with."""
+    """Run a stand-in for the platform, an engine or a service."""
 
 
 @command.command('platform')
 @_ip
 @_port
 def platform(ip: str, port: int) -> None:
-    """Run the table service, object store, host list and weight store."""
+    """Run stand-ins for the services of the platform.
+
+    These are the table service, object store, host list and weight store.
+    """
     _run(PlatformSettings(ip=ip, port=port))
 
 
@@ -109,10 +112,12 @@
 @click.option('--first-ms', default=20.0, show_default=True)
 @click.option('--pace-ms', default=5.0, show_default=True)
 @click.option('--slots', default=8, show_default=True)
-@click.option('--crash-mark', default='', help='Text that crashes it.')
+@click.option(
+    '--crash-mark', default='', help='Text in a prompt that crashes the engine.'
+)
 @click.option('--exit-on-crash', is_flag=True)
 def engine(**options: object) -> None:
-    """Run a model engine."""
+    """Run a stand-in for a model engine."""
     options['models'] = list(options['models'])
     _run(EngineSettings(**options))
 
@@ -123,7 +128,7 @@
 @_zone
 @click.option('--delay-ms', default=0.0, show_default=True)
 def service(**options: object) -> None:
-    """Run a plain service."""
+    """Run a stand-in for a service without a model."""
     _run(ServiceSettings(**options))
 
 
--- a/src/balsamreach/ui/table.py
+++ b/src/balsamreach/ui/table.py
@@ -1,4 +1,4 @@
-"""Commands ``table show|get|set|export``, and the group of them all."""
+"""Commands ``table show|get|set|export``, and the group ``table``."""
 
 import json
 from typing import Any
@@ -9,10 +9,10 @@
 from balsamreach.client.faults import ClientFault
 from balsamreach.client.operators import OperatorsClient
 from balsamreach.ui.operator_options import (
-    need,
     operator_command,
     operator_error,
     print_json,
+    unwrap,
 )
 from balsamreach.ui.table_import import import_command
 from balsamreach.ui.table_reports import history, status
@@ -32,7 +32,7 @@
 @click.option('--kind', type=click.Choice(['team', 'target']))
 @operator_command
 def show(client: OperatorsClient, kind: str | None, as_json: bool) -> None:
-    """List all rows as committed; JSON comes one row a line."""
+    """List all committed rows; with --json, one row per line."""
     for row in _rows(client, kind):
         click.echo(_dump(row) if as_json else _as_line(row))
 
@@ -41,8 +41,8 @@
 @click.argument('key', metavar='team/NAME|target/NAME')
 @operator_command
 def get(client: OperatorsClient, key: str, as_json: bool) -> None:
-    """Show one row with its version."""
-    row = need(f'read {key}', client.read(f'/table/{key}'))
+    """Show one row and its version."""
+    row = unwrap(f'read {key}', client.read(f'/table/{key}'))
     if as_json:
         print_json(row)
         return
@@ -54,7 +54,9 @@
 @command.command('set')
 @click.argument('key', metavar='team/NAME|target/NAME')
 @click.argument('fields', nargs=-1, metavar='FIELD=TEXT...')
-@click.option('--version', type=int, help='Version you saw; 0 for a new row.')
+@click.option(
+    '--version', type=int, help='Version that you read; 0 for a new row.'
+)
 @click.option('--delete', is_flag=True, help='Delete the row.')
 @operator_command
 def set_fields(
@@ -63,19 +65,19 @@
     fields: tuple[str, ...],
     **options: Any,
 ) -> None:
-    """Change fields of a row, make it, or delete it.
+    """Create a row, change fields of it, or delete it.
 
-    Numbers, true, false, lists and mappings are written as JSON, anything
-    else is text. Without --version the row must not change between the read
-    and the write that this command makes.
+    Write numbers, true, false, lists and mappings as JSON; anything else is
+    text. Without --version this command reads the row first, and fails with
+    a conflict if the row changes between its read and its write.
     """
     change: dict[str, Any] = {'fields': read_fields(fields)}
     if options['delete']:
         change = {'delete': True}
     change['version'] = options['version']
     if change['version'] is None:
-        change['version'] = _version_now(client, key)
-    edited = need(f'edit {key}', client.edit(key, **change))
+        change['version'] = _current_version(client, key)
+    edited = unwrap(f'edit {key}', client.edit(key, **change))
     if options['as_json']:
         print_json(edited)
         return
@@ -101,7 +103,7 @@
 
 
 def read_fields(fields: tuple[str, ...]) -> dict[str, Any]:
-    """Read ``field=text`` arguments; texts that are JSON count as such."""
+    """Parse ``field=text`` arguments; valid JSON is decoded."""
     read: dict[str, Any] = {}
     for field in fields:
         name, equals, text = field.partition('=')
@@ -114,8 +116,8 @@
     return read
 
 
-def _version_now(client: OperatorsClient, key: str) -> int:
-    answer = need(f'read {key}', client.read_rows([key]))
+def _current_version(client: OperatorsClient, key: str) -> int:
+    answer = unwrap(f'read {key}', client.read_rows([key]))
     row = answer['rows'][0]
     return row['version'] if row['value'] is not None else 0
 
@@ -129,9 +131,9 @@
 
 def _as_line(row: dict[str, Any]) -> str:
     fields = row['value']
-    told = f'{row["key"]}  version {row["version"]}  {fields["state"]}'
+    summary = f'{row["key"]}  version {row["version"]}  {fields["state"]}'
     amount = 'prepaid' if 'prepaid' in fields else 'address'
-    return f'{told}  weight {fields["weight"]}  {amount} {fields[amount]}'
+    return f'{summary}  weight {fields["weight"]}  {amount} {fields[amount]}'
 
 
 def _dump(shown: Any) -> str:
--- a/src/balsamreach/ui/table_import.py
+++ b/src/balsamreach/ui/table_import.py
@@ -29,33 +29,35 @@
 
 @attrs.define
 class Report:
-    """Prints what became of each line, and counts.
+    """Prints the outcome of each line and counts them.
 
     Parameters
     ----------
     as_json : bool
         Whether each line is printed as JSON.
     counts : Counter
-        Lines by state.
+        Number of lines by state.
     """
 
     as_json: bool
     counts: Counter[str] = attrs.field(factory=Counter)
 
     def add(self, outcome: LineOutcome) -> None:
-        """Count a line and print it unless nothing changes."""
+        """Count a line; print it, as text only if something changes."""
         self.counts[outcome.state] += 1
         if self.as_json:
             click.echo(json.dumps(attrs.asdict(outcome), ensure_ascii=False))
         elif outcome.state != UNCHANGED:
             click.echo(_as_line(outcome))
 
-    def conclude(self) -> None:
-        """Print the sums and end with the exit code that fits."""
-        told = [f'{count} {state}' for state, count in self.counts.items()]
-        click.echo(', '.join(told) or 'no rows', err=True)
+    def finish(self) -> None:
+        """Print the counts; exit with an error on conflicts or refusals."""
+        counts = [f'{count} {state}' for state, count in self.counts.items()]
+        click.echo(', '.join(counts) or 'no rows', err=True)
         if self.counts[CONFLICT]:
-            click.echo('export again for rows in conflict', err=True)
+            click.echo(
+                'rows in conflict: export again and repeat the change', err=True
+            )
             click.get_current_context().exit(exit_codes.CONFLICT)
         if self.counts[REFUSED]:
             click.get_current_context().exit(exit_codes.FAILED)
@@ -71,20 +73,20 @@
     dry_run: bool,
     as_json: bool,
 ) -> None:
-    """Bring the rows of a CSV file into the table.
+    """Import the rows of a CSV file into the table.
 
-    The file is checked whole first. A row is written only if it still has
-    the version that was exported; rows that are as the file wants them are
-    left alone, so an import that was cut short can be run again. Rows that
-    the file leaves out stay. An empty cell leaves its field as it is; write
-    [] to empty a list.
+    The whole file is checked first. A row is only written if it still has
+    the exported version. Rows that already match the file are skipped, so an
+    interrupted import can be run again. Rows that are not in the file are
+    kept. An empty cell keeps the value of its field; write [] to empty a
+    list.
     """
     with Path(path).open(encoding=_ENCODING, newline='') as stream:
         _check(path, stream)
     report = Report(as_json)
     with Path(path).open(encoding=_ENCODING, newline='') as stream:
         _run(Import(client, dry_run), read_table(stream), report)
-    report.conclude()
+    report.finish()
 
 
 def _check(path: str, stream: Any) -> None:
@@ -103,7 +105,7 @@
         if isinstance(outcome, ClientFault):
             done = dict(report.counts)
             reason = f'{outcome.reason}; so far {done}; run it again to go on'
-            raise operator_error('go on with it', outcome.because(reason))
+            raise operator_error('go on importing', outcome.because(reason))
         report.add(outcome)
 
 
--- a/src/balsamreach/ui/table_reports.py
+++ b/src/balsamreach/ui/table_reports.py
@@ -8,16 +8,16 @@
 
 from balsamreach.client.operators import OperatorsClient
 from balsamreach.ui.operator_options import (
-    need,
     operator_command,
     print_json,
+    unwrap,
 )
 
 
 @click.command('history')
 @click.argument('key', metavar='team/NAME|target/NAME')
 @click.option('--limit', default=20, show_default=True)
-@click.option('--after', default='', help='Where the page before ended.')
+@click.option('--after', default='', help='Mark printed by the page before.')
 @operator_command
 def history(
     client: OperatorsClient,
@@ -26,8 +26,8 @@
     after: str,
     as_json: bool,
 ) -> None:
-    """Show who changed a row and how, newest first."""
-    page = need(
+    """Show the changes of a row and their authors, newest first."""
+    page = unwrap(
         f'read the history of {key}',
         client.read('/history', key=key, limit=limit, after=after),
     )
@@ -35,23 +35,23 @@
         print_json(page)
         return
     for entry in page['entries']:
-        click.echo(_as_entry(entry))
+        click.echo(_format_entry(entry))
     if page['after']:
-        click.echo(f'older ones: --after {page["after"]}')
+        click.echo(f'for older changes: --after {page["after"]}')
 
 
 @click.command('status')
 @operator_command
 def status(client: OperatorsClient, as_json: bool) -> None:
-    """Show which version each router has in force, and who is behind."""
-    answer = need('ask for the status', client.read('/status'))
+    """Show the table version of each router, and which ones are behind."""
+    answer = unwrap('read the status', client.read('/status'))
     if as_json:
         print_json(answer)
         return
     click.echo(f'version {answer["version"]} in force at the router asked')
     for router in answer['routers']:
         since = router['behind_since']
-        behind = f' since {_when(since)}' if since else ''
+        behind = f' since {_format_time(since)}' if since else ''
         version = '-' if router['version'] is None else router['version']
         click.echo(
             f'{router["host"]}  {router["zone"]}  {router["address"]}  '
@@ -59,7 +59,7 @@
         )
 
 
-def _as_entry(entry: dict[str, Any]) -> str:
+def _format_entry(entry: dict[str, Any]) -> str:
     before = entry['before'] or {}
     after = entry['after'] or {}
     names = before | after
@@ -69,10 +69,10 @@
         if before.get(name) != after.get(name)
     ]
     listed = ', '.join(changes)
-    return f'{_when(entry["at"])}  {entry["author"]}  {listed}'
+    return f'{_format_time(entry["at"])}  {entry["author"]}  {listed}'
 
 
-def _when(seconds: float) -> str:
+def _format_time(seconds: float) -> str:
     moment = datetime.fromtimestamp(seconds, UTC)
     return moment.isoformat(timespec='seconds')
 
--- a/src/balsamreach/ui/team.py
+++ b/src/balsamreach/ui/team.py
@@ -9,9 +9,9 @@
 from balsamreach.client.team_keys import add_key, new_key, revoke_key
 from balsamreach.table.view import hash_key
 from balsamreach.ui.operator_options import (
-    need,
     operator_command,
     print_json,
+    unwrap,
 )
 from balsamreach.ui.table import read_fields
 
@@ -20,13 +20,13 @@
 
 @click.group('team')
 def command() -> None:
-    """Add teams, top up their budgets and give out keys."""
+    """Add teams, top up their budgets and manage their keys."""
 
 
 @command.command('add')
 @click.argument('name')
 @click.argument('fields', nargs=-1, metavar='FIELD=TEXT...')
-@click.option('--prepaid', default=0, help='Tokens paid for.')
+@click.option('--prepaid', default=0, help='Number of prepaid tokens.')
 @operator_command
 def add(
     client: OperatorsClient,
@@ -35,10 +35,10 @@
     prepaid: int,
     as_json: bool,
 ) -> None:
-    """Make a team and print its first key, this once."""
+    """Add a team and print its first key, which is never shown again."""
     secret = new_key()
     row = {'prepaid': prepaid, 'key_hashes': [hash_key(secret)]}
-    edited = need(
+    edited = unwrap(
         f'add {name}',
         client.edit(
             f'team/{name}',
@@ -46,13 +46,13 @@
             fields=row | read_fields(fields),
         ),
     )
-    _tell_key(edited, secret, as_json=as_json)
+    _print_key(edited, secret, as_json=as_json)
 
 
 @command.command('top-up')
 @click.argument('name')
 @click.argument('tokens', type=click.IntRange(min=1))
-@click.option('--edit-id', help='Repeat a top-up whose outcome is unknown.')
+@click.option('--edit-id', help='Edit id of an earlier top-up, to repeat it.')
 @operator_command
 def top_up(
     client: OperatorsClient,
@@ -61,12 +61,16 @@
     edit_id: str | None,
     as_json: bool,
 ) -> None:
-    """Add tokens to what a team has prepaid, counted once for each id."""
+    """Add tokens to a team's prepaid budget.
+
+    The tokens are added once per edit id. If the outcome is unknown, repeat
+    the command with the printed edit id.
+    """
     edit_id = edit_id or uuid.uuid4().hex
-    # Printed first: if no answer comes, this id is all that keeps a second
-    # try from topping up twice.
+    # The id is printed first: if no answer arrives, the operator needs it to
+    # repeat the top-up without adding the tokens twice.
     click.echo(f'edit id {edit_id}', err=True)
-    edited = need(
+    edited = unwrap(
         f'top up {name}',
         client.edit(f'team/{name}', top_up=tokens, edit_id=edit_id),
     )
@@ -81,8 +85,8 @@
 @operator_command
 def show(client: OperatorsClient, name: str, as_json: bool) -> None:
     """Show a team's row and budget."""
-    row = need(f'read {name}', client.read(f'/table/team/{name}'))
-    budget = need('read the budget', client.read(f'/budgets/{name}'))
+    row = unwrap(f'read {name}', client.read(f'/table/team/{name}'))
+    budget = unwrap('read the budget', client.read(f'/budgets/{name}'))
     if as_json:
         print_json({'row': row, 'budget': budget})
         return
@@ -100,7 +104,7 @@
 @operator_command
 def list_keys(client: OperatorsClient, name: str, as_json: bool) -> None:
     """List the digests of a team's keys."""
-    row = need(f'read {name}', client.read(f'/table/team/{name}'))
+    row = unwrap(f'read {name}', client.read(f'/table/team/{name}'))
     digests = row['value']['key_hashes']
     if as_json:
         print_json(digests)
@@ -113,10 +117,10 @@
 @click.argument('name')
 @operator_command
 def add_team_key(client: OperatorsClient, name: str, as_json: bool) -> None:
-    """Make a key for a team and print it, this once."""
+    """Add a key to a team and print it; it is never shown again."""
     secret = new_key()
-    edited = need(f'add a key to {name}', add_key(client, name, secret))
-    _tell_key(edited, secret, as_json=as_json)
+    edited = unwrap(f'add a key to {name}', add_key(client, name, secret))
+    _print_key(edited, secret, as_json=as_json)
 
 
 @keys.command('revoke')
@@ -129,8 +133,8 @@
     digest: str,
     as_json: bool,
 ) -> None:
-    """Revoke the key whose digest begins so, as ``keys list`` shows it."""
-    edited = need(f'revoke {digest}', revoke_key(client, name, digest))
+    """Revoke the key whose digest begins with DIGEST, see keys list."""
+    edited = unwrap(f'revoke {digest}', revoke_key(client, name, digest))
     if as_json:
         print_json(edited)
         return
@@ -138,9 +142,12 @@
     click.echo(f'revoked; {left} keys left')
 
 
-def _tell_key(edited: dict[str, Any], secret: str, *, as_json: bool) -> None:
+def _print_key(edited: dict[str, Any], secret: str, *, as_json: bool) -> None:
     if as_json:
         print_json({**edited, 'secret': secret})
         return
     click.echo(f'key {secret}')
-    click.echo('It is shown this once and kept only as a digest.', err=True)
+    click.echo(
+        'Save the key now: only its digest is kept, it is not shown again.',
+        err=True,
+    )
--- a/src/balsamreach/ui/trial.py
+++ b/src/balsamreach/ui/trial.py
@@ -22,11 +22,11 @@
     default=0,
     type=click.IntRange(0, MOST_SHIFT),
     show_default=True,
-    help='Added to every port, for a second trial.',
+    help='Number added to every port, for a second trial.',
 )
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 def command(shift: int, *, as_json: bool) -> None:
-    """Run a small fleet with stand-ins on this machine, to try it out."""
+    """Run a small trial fleet with stand-ins on this machine."""
     fleet = Fleet(Plan(shift=shift))
     taken = fleet.check()
     if isinstance(taken, TrialFault):
@@ -41,7 +41,7 @@
 
 async def _start(fleet: Fleet, as_json: bool) -> None:
     await fleet.start()
-    click.echo(_as_json(fleet.plan) if as_json else _welcome(fleet.plan))
+    click.echo(_as_json(fleet.plan) if as_json else _as_text(fleet.plan))
 
 
 def _as_json(plan: Plan) -> str:
@@ -57,7 +57,7 @@
     return json.dumps(shown, indent=2)
 
 
-def _welcome(plan: Plan) -> str:
+def _as_text(plan: Plan) -> str:
     lines = [
         f'callers    {", ".join(_urls(plan, plan.callers))}',
         f'operators  {", ".join(_urls(plan, plan.operators))}',
@@ -95,7 +95,7 @@
             f'{callers}/v1/chat/completions'
         ),
         "The team's budget": f'curl {bearer} {operators}/budgets/{TEAM}',
-        'An edit of the table, which pauses the team': (
+        'An edit of the table that pauses the team': (
             f"curl -X PATCH {bearer} -d '{pause}' {operators}/table/team/{TEAM}"
         ),
     }
--- a/tests/binary/__init__.py
+++ b/tests/binary/__init__.py
@@ -1,1 +1,1 @@
-"""Tests that start the built file, not the checkout."""
+"""Tests that run the built executable file, not the checkout."""
--- a/tests/binary/test_ui_binary.py
+++ b/tests/binary/test_ui_binary.py
@@ -1,4 +1,4 @@
-"""Tests of the single file that ``make binary`` builds."""
+"""Tests of the executable file that ``make binary`` builds."""
 
 import json
 import os
@@ -10,32 +10,32 @@
 from balsamreach import __version__
 
 _BINARY = Path(__file__).resolve().parents[2] / 'dist' / 'balsamreach'
-_SECONDS = 120
+_TIMEOUT_S = 120
 
 
 class BinaryTest(unittest.TestCase):
-    """The file runs by itself, away from the checkout."""
+    """The file runs on its own, outside of the checkout."""
 
     def setUp(self):
-        self.place = self.enterContext(tempfile.TemporaryDirectory())
+        self.directory = self.enterContext(tempfile.TemporaryDirectory())
 
     def environment(self):
         return {
-            # The interpreter named in the file may lie outside the default.
+            # The interpreter named in the file may not be in the default PATH.
             'PATH': os.environ.get('PATH', os.defpath),
-            'SHIV_ROOT': f'{self.place}/root',
-            'HOME': self.place,
+            'SHIV_ROOT': f'{self.directory}/root',
+            'HOME': self.directory,
         }
 
     def start(self, *args):
         return subprocess.run(
             [str(_BINARY), *args],
-            cwd=self.place,
+            cwd=self.directory,
             env=self.environment(),
             stdin=subprocess.DEVNULL,
             capture_output=True,
             text=True,
-            timeout=_SECONDS,
+            timeout=_TIMEOUT_S,
             check=False,
         )
 
@@ -45,12 +45,12 @@
         self.assertEqual(json.loads(ran.stdout), {'version': __version__})
 
     def test_packaged_defaults_are_read(self):
-        Path(self.place, 'a.ini').write_text('[host]\nzone=a\n')
+        Path(self.directory, 'a.ini').write_text('[host]\nzone=a\n')
         ran = self.start('check-config', 'a.ini')
         self.assertEqual(ran.returncode, 0, ran.stderr)
 
-    def test_serves_until_told_to_end(self):
-        """The file holds all that a router needs, the schema among it."""
+    def test_serves_until_terminated(self):
+        """The file contains everything a router needs, e.g. the schema."""
         free = ('callers.port=0', 'operators.port=0', 'peers.port=0')
         quick = 'callers.leave_delay=0s'
         settings = [
@@ -69,5 +69,5 @@
         started = json.loads(router.stdout.readline())
         self.assertEqual(set(started), {'callers', 'operators', 'peers'})
         router.terminate()
-        _, logged = router.communicate(timeout=_SECONDS)
+        _, logged = router.communicate(timeout=_TIMEOUT_S)
         self.assertEqual(router.returncode, 0, logged)
--- a/tests/test_ui_audit.py
+++ b/tests/test_ui_audit.py
@@ -1,4 +1,4 @@
-"""Command ``audit`` against records that were broken on purpose."""
+"""Tests of the commands ``audit`` and ``budget settle``."""
 
 import json
 import unittest
@@ -29,8 +29,8 @@
     return bill_key('team', key), fields | {'by': 'a'}
 
 
-def _whole():
-    """Return records of one team that hold together, by key."""
+def _consistent_records():
+    """Return consistent records of one team, by key."""
     return dict(
         (
             ('router/127.0.0.1:1', {'incarnation': 'a', 'started': 1}),
@@ -43,7 +43,7 @@
     )
 
 
-_BROKEN = (
+_DAMAGES = (
     (
         audit.OVERSPENT,
         (account_key('team'), encode(Account(400, 500, 100))),
@@ -63,17 +63,17 @@
 
 
 class AuditTest(unittest.TestCase):
-    """Symptom: an audit that finds nothing wrong whatever is wrong.
+    """The audit finds each kind of inconsistent record.
 
-    Sequence: records are damaged one way, and audited. Cause: a check that
-    was never seen to fail.
+    Each test damages consistent records in one way, because a check that
+    never fails would go unnoticed.
     """
 
     def setUp(self):
         self.server = PlatformServer()
         self.server.start()
         self.addCleanup(self.server.stop)
-        for key, fields in _whole().items():
+        for key, fields in _consistent_records().items():
             self.server.put(key, fields)
 
     def audit(self, *options):
@@ -96,7 +96,7 @@
         self.assertEqual(report['teams']['team']['recorded'], 160)
         self.assertEqual(report['teams']['team']['held'], 400)
 
-    @parameterized.expand(_BROKEN)
+    @parameterized.expand(_DAMAGES)
     def test_breach(self, invariant, damage):
         self.server.put(*damage)
         report = self.report(exit_codes.BROKEN)
@@ -122,10 +122,10 @@
         ],
     )
     def test_settle(self, _name, tokens, code, recorded):
-        """Symptom: a certificate that ran is never billed, and stays listed.
+        """An operator bills a request whose router died before the answer.
 
-        Sequence: a router dies before the service answers. Cause: nobody
-        else can know how the run ended.
+        No other router can know how the run ended, so without the command
+        the request would never be billed and its claim would stay listed.
         """
         self.server.put('claim/team/open', {'holder': 'b'})
         self.assertEqual(self.settle('open', tokens).exit_code, code)
@@ -134,7 +134,7 @@
         self.assertEqual(report['teams']['team']['recorded'], recorded)
         left = int(code != exit_codes.OK)
         self.assertEqual(report['claims_open'], left)
-        # Nobody runs it again, and a second word changes nothing.
+        # The claim prevents another run; settling it twice has no effect.
         self.assertIsNotNone(self.server.read('claim/team/open'))
         again = self.settle('open', 7)
         if not left:
@@ -146,8 +146,8 @@
 
     def settle(self, key, tokens):
         """Run the command that ends a claim."""
-        told = ['--tokens', str(tokens), '--by', 'Éva']
-        arguments = ['budget', 'settle', f'team/{key}', *told]
+        options = ['--tokens', str(tokens), '--by', 'Éva']
+        arguments = ['budget', 'settle', f'team/{key}', *options]
         return CliRunner().invoke(main, arguments + self.server.options())
 
     @parameterized.expand(
@@ -175,14 +175,14 @@
             ],
         )
 
-    def test_people_read_it(self):
+    def test_text_output(self):
         self.server.put(*_bill(101))
         ended = self.audit()
         self.assertEqual(ended.exit_code, exit_codes.BROKEN)
         self.assertIn(f'BROKEN {audit.BILLS_OFF}: team', ended.output)
         self.assertIn('team: prepaid 1000, recorded 160', ended.output)
 
-    def test_platform_away(self):
+    def test_platform_unreachable(self):
         self.server.go_down()
         ended = self.audit()
         self.assertEqual(ended.exit_code, exit_codes.UNREACHABLE, ended.output)
--- a/tests/test_ui_check_config.py
+++ b/tests/test_ui_check_config.py
@@ -15,7 +15,7 @@
 
 
 class CheckConfigTest(unittest.TestCase):
-    """Every problem is named, and the exit code says it."""
+    """Every problem is reported, and the exit code shows the result."""
 
     def setUp(self):
         self.runner = CliRunner()
@@ -57,7 +57,7 @@
             ('file', '[peers]\ntls_certificate = /no\n', '[peers] tls_key: '),
         )
     )
-    def test_what_the_machine_lacks_names_file_and_key(self, _, text, told):
+    def test_problem_with_the_host_names_file_and_key(self, _, text, message):
         with socket.create_server(('127.0.0.1', 0)) as sock:
             port = sock.getsockname()[1]
             content = _BASE + text.format(port=port)
@@ -66,7 +66,7 @@
             served = self.runner.invoke(main, ['serve', '-c', 'host.ini'])
         for ran in (checked, served):
             self.assertEqual(ran.exit_code, exit_codes.USAGE, ran.output)
-            self.assertIn(f'host.ini: {told}', ran.stderr)
+            self.assertIn(f'host.ini: {message}', ran.stderr)
 
     def test_no_file(self):
         self.assertEqual(self.run_main().exit_code, exit_codes.USAGE)
--- a/tests/test_ui_explain.py
+++ b/tests/test_ui_explain.py
@@ -1,4 +1,4 @@
-"""Tests of finding a request's story in logs."""
+"""Tests of the command ``explain``."""
 
 import json
 import tempfile
@@ -50,12 +50,12 @@
 
 
 class ExplainTest(unittest.TestCase):
-    """From a request's id to its cause."""
+    """The log lines that explain a request are found by its id."""
 
     def setUp(self):
         directory = self.enterContext(tempfile.TemporaryDirectory())
         self.path = Path(directory) / 'log'
-        # Collectors put words of their own before each line.
+        # Log collectors may add a prefix to each line.
         self.path.write_text('\n'.join(f' 1.5 host {one}' for one in _LINES))
 
     def explain(self, *arguments, **given):
@@ -74,10 +74,10 @@
             ('decision', 'by one: answer_broken, reset', True),
         )
     )
-    def test_story(self, _, text, told):
+    def test_story(self, _, text, expected):
         ran = self.explain('r-1', str(self.path))
         self.assertEqual(ran.exit_code, exit_codes.OK)
-        self.assertEqual(text in ran.output, told, ran.output)
+        self.assertEqual(text in ran.output, expected, ran.output)
 
     def test_standard_input_and_json(self):
         text = self.path.read_text()
@@ -86,7 +86,7 @@
         self.assertEqual(len(story['lines']), 1)
         self.assertEqual(story['lines'][0]['fields']['configuration'], 4)
 
-    def test_request_that_no_line_names(self):
+    def test_unknown_request(self):
         ran = self.explain('r-2', str(self.path))
         self.assertEqual(ran.exit_code, exit_codes.FAILED)
         self.assertIn('no line of these logs names request r-2', ran.output)
--- a/tests/test_ui_https.py
+++ b/tests/test_ui_https.py
@@ -1,4 +1,4 @@
-"""Operators' commands over HTTPS."""
+"""Tests of operators' commands over HTTPS."""
 
 import tempfile
 import unittest
@@ -18,7 +18,7 @@
 
 
 class HttpsTest(unittest.TestCase):
-    """A listener that asks its clients for a certificate of its CA."""
+    """The listener requires a client certificate of its CA."""
 
     @classmethod
     def setUpClass(cls):
@@ -34,7 +34,7 @@
         cls.addClassCleanup(cls.server.stop)
 
     def run_command(self, *arguments, **changed):
-        """Run a command as one who has the right files."""
+        """Run a command with the right files, unless changed."""
         environment = {
             'BALSAMREACH_ROUTER': self.server.url,
             'BALSAMREACH_OPERATOR_KEY': KEY,
@@ -42,7 +42,7 @@
             'BALSAMREACH_CERTIFICATE': str(self.files.certificate),
             'BALSAMREACH_CERTIFICATE_KEY': str(self.files.key),
         }
-        # No command pauses: nothing here is worth a second try.
+        # Retries sleep; none of these errors may be retried.
         with mock.patch.object(operators.time, 'sleep', self.fail):
             return CliRunner().invoke(
                 main,
@@ -70,12 +70,11 @@
             ),
         )
     )
-    def test_what_is_wrong_is_told(self, _, changed, code, told):
-        """An operator gives the wrong files.
+    def test_wrong_files_are_reported(self, _, changed, code, message):
+        """An operator gives a CA or certificate that doesn't fit.
 
-        Symptom: the command says that the edit may have taken effect, after
-        several tries. Events: the CA or certificate doesn't fit. Cause: a
-        failed handshake was taken for a lost answer.
+        A failed handshake must not be mistaken for a lost answer: the
+        command would retry and then say that the edit may have taken effect.
         """
         root = self.files.ca.parent
         environment = {
@@ -84,11 +83,11 @@
         for arguments in (('table', 'show'), ('team', 'top-up', 'x', '5')):
             ended = self.run_command(*arguments, **environment)
             self.assertEqual(ended.exit_code, code, ended.output)
-            self.assertIn(told, ended.output)
+            self.assertIn(message, ended.output)
             self.assertNotIn('Traceback', ended.output)
             self.assertNotIn('may have taken effect', ended.output)
 
-    def test_no_certificate_to_show(self):
+    def test_no_client_certificate(self):
         ended = self.run_command(
             'table',
             'show',
--- a/tests/test_ui_main.py
+++ b/tests/test_ui_main.py
@@ -1,4 +1,4 @@
-"""Tests of the group of commands."""
+"""Tests of the command group."""
 
 import socket
 import unittest
@@ -14,7 +14,7 @@
 
 
 class MainTest(unittest.TestCase):
-    """Commands are found by name and loaded when used."""
+    """Commands are found by name and imported when used."""
 
     def test_help_names_every_command(self):
         ran = CliRunner().invoke(main, ['--help'])
@@ -30,16 +30,16 @@
         ran = CliRunner().invoke(main, ['nothing'])
         self.assertEqual(ran.exit_code, exit_codes.USAGE)
 
-    def test_whatever_prints_takes_json(self):
-        """The long-lived roles print JSON anyway, in one line."""
-        lacking = {
+    def test_commands_that_print_have_a_json_option(self):
+        """The daemons have none, as they always print one line of JSON."""
+        without_json = {
             path
-            for path, command in _leaves(main, 'balsamreach')
+            for path, command in _leaf_commands(main, 'balsamreach')
             if '--json' not in _options(command)
         }
         roles = {'engine', 'platform', 'service'}
         self.assertEqual(
-            lacking,
+            without_json,
             {f'balsamreach standin {role}' for role in roles}
             | {'balsamreach relay', 'balsamreach serve'},
         )
@@ -70,11 +70,11 @@
             ('trial', ('trial', '--shift', 'SHIFT'), 'other trial'),
         )
     )
-    def test_place_that_can_not_be_taken(self, _, arguments, told):
-        """Symptom: a traceback instead of a sentence.
+    def test_invalid_address_or_port(self, _, arguments, message):
+        """A daemon is started twice, or with an invalid address or port.
 
-        Events: a newcomer starts something twice, or mistypes a place.
-        Cause: what the machine says was not turned into an error.
+        An operating system error that is not converted to a command's error
+        would be printed as a traceback.
         """
         with socket.create_server(('127.0.0.1', 0)) as sock:
             port = sock.getsockname()[1]
@@ -82,25 +82,25 @@
             words = [places.get(word, word) for word in arguments]
             ran = CliRunner().invoke(main, words)
         self.assertEqual(ran.exit_code, exit_codes.USAGE, ran.output)
-        self.assertIn(told, ran.output)
+        self.assertIn(message, ran.output)
 
 
 def _shift_to(port: int) -> int:
-    """Return the shift with which a trial needs the port."""
+    """Return the shift with which a trial uses the port."""
     return port - min(Plan().ports().values())
 
 
-def _leaves(command: click.Command, path: str):
-    """Yield the commands that do something, by the words that call them."""
+def _leaf_commands(command: click.Command, path: str):
+    """Yield the commands that are not groups, with their full names."""
     if not isinstance(command, click.Group):
         yield path, command
         return
     with click.Context(command) as ctx:
         for name in command.list_commands(ctx):
             inner = command.get_command(ctx, name)
-            yield from _leaves(inner, f'{path} {name}')
+            yield from _leaf_commands(inner, f'{path} {name}')
 
 
 def _options(command: click.Command) -> set[str]:
-    """Return the options that a command takes."""
+    """Return the option names of a command."""
     return {word for param in command.params for word in param.opts}
--- a/tests/test_ui_table.py
+++ b/tests/test_ui_table.py
@@ -1,4 +1,4 @@
-"""Operators' commands against a router's operators' interface."""
+"""Tests of the commands ``table`` and ``team`` against a server."""
 
 import csv
 import io
@@ -22,7 +22,7 @@
 
 
 class CommandTest(unittest.TestCase):
-    """A table with two teams and a target."""
+    """Base class: a server and one team per test in its table."""
 
     @classmethod
     def setUpClass(cls):
@@ -30,15 +30,15 @@
         cls.server.start()
         cls.addClassCleanup(cls.server.stop)
         cls.runner = CliRunner()
-        cls.made = 0
+        cls.team_count = 0
 
     def setUp(self):
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
         self.file = Path(directory.name) / 'table.csv'
-        # Each test has rows of its own in the one table.
-        type(self).made += 1
-        self.team = f'Győr-{self.made}'
+        # All tests share one table, so each uses rows of its own.
+        type(self).team_count += 1
+        self.team = f'Győr-{self.team_count}'
         self.key = f'team/{self.team}'
         self.run_ok('team', 'add', self.team, '--prepaid', '100')
 
@@ -52,13 +52,13 @@
             return self.runner.invoke(main, arguments, env=environment)
 
     def run_ok(self, *arguments):
-        """Run a command that must succeed and return its output."""
+        """Run a command, which must succeed, and return its output."""
         ended = self.run_code(*arguments)
         self.assertEqual(ended.exit_code, 0, ended.output)
         return ended.stdout
 
     def row(self):
-        """Return the team's row as committed."""
+        """Return the team's committed row."""
         return json.loads(self.run_ok('table', 'get', self.key, '--json'))
 
     def export(self):
@@ -68,7 +68,7 @@
             return list(csv.DictReader(stream))
 
     def write(self, lines, delimiter=','):
-        """Write lines as a spreadsheet would."""
+        """Write lines to the CSV file like a spreadsheet."""
         sink = io.StringIO(newline='')
         writer = csv.DictWriter(sink, lines[0], delimiter=delimiter)
         writer.writeheader()
@@ -76,7 +76,7 @@
         self.file.write_text(sink.getvalue(), 'utf-8-sig', newline='')
 
     def change(self, **cells):
-        """Export, change this test's team in the file, and save it."""
+        """Export the table and change this test's team in the file."""
         lines = self.export()
         for line in lines:
             if line['name'] == self.team:
@@ -134,12 +134,10 @@
         self.assertNotIn('Traceback', ended.output)
 
     def test_silent_router(self):
-        """A router takes the connection and closes it without an answer.
+        """A router accepts an edit and never answers.
 
-        Symptom: the command can't tell whether the edit took effect.
-        Events: the edit is sent, the connection closes. Cause: the router
-        died before it answered. The command must say so, name the exit
-        code for unreachable, and have tried again with the same id.
+        The command can't know whether the edit took effect. It must retry
+        with the same edit id, say so, and exit with the code for unreachable.
         """
         with socket.create_server(('127.0.0.1', 0)) as listener:
             listener.settimeout(0.01)
@@ -168,21 +166,21 @@
     def test_top_up_with_an_id_counts_once(self):
         top_up = ('team', 'top-up', self.team, '50')
         for _ in range(2):
-            self.run_ok(*top_up, '--edit-id', f'top-{self.made}')
+            self.run_ok(*top_up, '--edit-id', f'top-{self.team_count}')
         shown = json.loads(self.run_ok('team', 'show', self.team, '--json'))
         self.assertEqual(shown['budget']['prepaid'], 150)
 
-    def test_team_that_is_there_already(self):
+    def test_add_existing_team(self):
         ended = self.run_code('team', 'add', self.team)
         self.assertEqual(ended.exit_code, exit_codes.CONFLICT)
 
     def test_keys(self):
-        made = json.loads(
+        added = json.loads(
             self.run_ok('team', 'keys', 'add', self.team, '--json'),
         )
         digests = self.row()['value']['key_hashes']
         self.assertEqual(len(digests), 2)
-        self.assertIn(hash_key(made['secret']), digests)
+        self.assertIn(hash_key(added['secret']), digests)
         listed = self.run_ok('team', 'keys', 'list', self.team).split()
         self.run_ok('team', 'keys', 'revoke', self.team, listed[0])
         self.assertEqual(self.row()['value']['key_hashes'], digests[1:])
@@ -191,7 +189,7 @@
 
 
 class ImportTest(CommandTest):
-    """CSV files out of spreadsheets."""
+    """Import of CSV files written by spreadsheets."""
 
     def test_round_trip_changes_nothing(self):
         models = json.dumps({'a,b': 0.5, 'ő;"': 1})
@@ -226,7 +224,7 @@
         self.assertEqual(self.row()['value'][field], wanted)
 
     def test_semicolons_and_a_new_row(self):
-        name = f'new-{self.made}'
+        name = f'new-{self.team_count}'
         line = {'kind': 'team', 'name': name, 'version': '', 'prepaid': '7'}
         self.write([line], delimiter=';')
         self.run_ok('table', 'import', str(self.file))
@@ -234,11 +232,10 @@
         self.assertIn('prepaid: 7', shown)
 
     def test_row_changed_since_the_export(self):
-        """An operator imports a file that another one's edit outdated.
+        """A row is edited between the export and the import of a file.
 
-        Symptom: the other edit would be undone. Events: export, another
-        edit of one row, import of the file with two rows changed. Cause:
-        the file holds the old row; its version tells.
+        The file contains the old row, so importing it would undo the other
+        edit. The version in the file shows the conflict.
         """
         self.change(weight='5')
         self.run_ok('table', 'set', self.key, 'weight=2')
@@ -293,7 +290,7 @@
         self.assertEqual(ended.exit_code, exit_codes.USAGE)
         self.assertIn(named, ended.output)
 
-    def test_import_cut_short_tells_how_far_it_came(self):
+    def test_interrupted_import_reports_progress(self):
         self.change(weight='3')
         self.server.cut(cut=True)
         self.addCleanup(self.server.cut, cut=False)
--- a/tests/test_ui_trial.py
+++ b/tests/test_ui_trial.py
@@ -1,4 +1,4 @@
-"""The trial as a newcomer meets it: start, three commands, Ctrl-C."""
+"""Tests of the command ``trial``: start, three commands, Ctrl-C."""
 
 import json
 import shlex
@@ -12,27 +12,27 @@
 from balsamreach.trial.plan import MOST_SHIFT, TEAM, Plan
 from balsamreach.ui import exit_codes
 
-_SECONDS = 60
-_STEP = 50
+_TIMEOUT_S = 60
+_SHIFT_STEP = 50
 
 
 def _free_shift():
-    """Return a shift with which all ports of a trial are free."""
+    """Return a shift at which all ports of a trial are free."""
     return next(
         shift
-        for shift in range(_STEP, MOST_SHIFT, _STEP)
+        for shift in range(_SHIFT_STEP, MOST_SHIFT, _SHIFT_STEP)
         if Fleet(Plan(shift=shift)).check() is None
     )
 
 
 def _run_curl(command):
-    """Send what a printed curl command would, and return the answer."""
+    """Send the request of a printed curl command; return the answer."""
     options, url = _read_curl(shlex.split(command)[1:])
     headers = dict(text.split(': ', 1) for text in options['-H'])
     body = ''.join(options['-d']).encode() or None
     method = ''.join(options['-X']) or None
     sent = request.Request(url, body, headers, method=method)
-    with request.urlopen(sent, timeout=_SECONDS) as answer:
+    with request.urlopen(sent, timeout=_TIMEOUT_S) as answer:
         return answer.read().decode()
 
 
@@ -45,7 +45,7 @@
 
 
 class TrialTest(unittest.TestCase):
-    """A trial in a process of its own."""
+    """A trial runs in its own process."""
 
     def setUp(self):
         self.shift = _free_shift()
@@ -69,7 +69,7 @@
         )
 
     def read_shown(self):
-        """Return the JSON that the trial prints once it runs."""
+        """Return the JSON that the trial prints after its start."""
         lines = []
         for line in self.trial.stdout:
             lines.append(line)
@@ -87,12 +87,12 @@
         row = json.loads(_run_curl(edit))['row']
         self.assertEqual(row['state'], 'paused')
         second = self.start()
-        _, told = second.communicate(timeout=_SECONDS)
+        _, stderr = second.communicate(timeout=_TIMEOUT_S)
         self.assertEqual(second.returncode, exit_codes.USAGE)
-        self.assertIn('end the other trial or give --shift', told)
-        self.assertNotIn('Traceback', told)
+        self.assertIn('end the other trial or give --shift', stderr)
+        self.assertNotIn('Traceback', stderr)
         self.trial.send_signal(signal.SIGINT)
-        _, told = self.trial.communicate(timeout=_SECONDS)
-        self.assertEqual(self.trial.returncode, exit_codes.OK, told)
-        self.assertNotIn('Traceback', told)
+        _, stderr = self.trial.communicate(timeout=_TIMEOUT_S)
+        self.assertEqual(self.trial.returncode, exit_codes.OK, stderr)
+        self.assertNotIn('Traceback', stderr)
         self.assertIsNone(Fleet(Plan(shift=self.shift)).check())
