--- a/src/balsamreach/client/team_keys.py
+++ b/src/balsamreach/client/team_keys.py
@@ -47,9 +47,9 @@
 def _edit_digests(
     client: OperatorsClient, team: str, change: DigestsChange
 ) -> Answer:
-    # An edit replaces the whole list of keys. A concurrent edit between read
-    # and write must neither be undone nor make this edit fail, so it is
-    # repeated on the new row.
+    # After a conflict the edit is repeated on the new row, because it replaces
+    # the whole list of keys: a concurrent edit between read and write must
+    # neither be undone nor make this one fail.
     answer: Answer = CONFLICTING
     for _ in range(_ATTEMPTS):
         row = client.read(f'/table/team/{team}')
--- a/src/balsamreach/ui/audit.py
+++ b/src/balsamreach/ui/audit.py
@@ -19,7 +19,7 @@
 
 
 @click.command('audit')
-@settings_options('Settings file with the addresses of the platform.')
+@settings_options('Settings file that names the platform services.')
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 def command(
     path: str | None,
--- a/src/balsamreach/ui/budget.py
+++ b/src/balsamreach/ui/budget.py
@@ -35,10 +35,10 @@
 
 @command.command('release')
 @click.argument('incarnation')
-@click.option('--by', required=True, help='Your name, for the records.')
+@click.option('--by', required=True, help='Who says that the router is dead.')
 @click.option('-y', '--yes', is_flag=True, help='Do not ask to confirm.')
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
-@settings_options('Settings file with the addresses of the platform.')
+@settings_options('Settings file that names the platform services.')
 def release(
     incarnation: str,
     by: str,
@@ -79,9 +79,9 @@
     required=True,
     help='Tokens to bill; 0 closes the claim without a charge.',
 )
-@click.option('--by', required=True, help='Your name, for the records.')
+@click.option('--by', required=True, help='Who says how the request ended.')
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
-@settings_options('Settings file with the addresses of the platform.')
+@settings_options('Settings file that names the platform services.')
 def settle(
     request_name: str,
     tokens: int,
--- a/src/balsamreach/ui/check_config.py
+++ b/src/balsamreach/ui/check_config.py
@@ -25,7 +25,7 @@
 @click.option(
     '--ports/--no-ports',
     default=False,
-    help='Also check certificates and that the listeners can be bound.',
+    help='Also load the certificates and try to bind the listeners.',
 )
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 def command(
--- a/src/balsamreach/ui/table_reports.py
+++ b/src/balsamreach/ui/table_reports.py
@@ -17,7 +17,7 @@
 @click.command('history')
 @click.argument('key', metavar='team/NAME|target/NAME')
 @click.option('--limit', default=20, show_default=True)
-@click.option('--after', default='', help='Mark printed by the page before.')
+@click.option('--after', default='', help='Where the page before ended.')
 @operator_command
 def history(
     client: OperatorsClient,
@@ -44,7 +44,7 @@
 @operator_command
 def status(client: OperatorsClient, as_json: bool) -> None:
     """Show the table version of each router, and which ones are behind."""
-    answer = unwrap('read the status', client.read('/status'))
+    answer = unwrap('ask for the status', client.read('/status'))
     if as_json:
         print_json(answer)
         return
--- a/src/balsamreach/ui/team.py
+++ b/src/balsamreach/ui/team.py
@@ -52,7 +52,10 @@
 @command.command('top-up')
 @click.argument('name')
 @click.argument('tokens', type=click.IntRange(min=1))
-@click.option('--edit-id', help='Edit id of an earlier top-up, to repeat it.')
+@click.option(
+    '--edit-id',
+    help='Repeat the top-up with this id, whose outcome is unknown.',
+)
 @operator_command
 def top_up(
     client: OperatorsClient,
