--- a/src/balsamreach/telemetry/hops.py
+++ b/src/balsamreach/telemetry/hops.py
@@ -1,4 +1,4 @@
-"""Spans of a request's hops, tied together by the task they run in."""
+"""Spans of a request's hops, linked by a context variable of the task."""
 
 from collections.abc import Generator
 from contextlib import contextmanager
@@ -15,7 +15,7 @@
 
 @attrs.define
 class Timing:
-    """Where a request's time went.
+    """Time that parts of a request took.
 
     Parameters
     ----------
@@ -28,16 +28,16 @@
 
 @attrs.frozen
 class Trail:
-    """One request's trace at this router.
+    """Trace context of one request at this router.
 
     Parameters
     ----------
     span : Span
-        The hop that runs now; new hops become its children.
+        Span of the current hop; spans of new hops become its children.
     tracing : Tracing
         Starts the spans of the hops.
     timing : Timing
-        Filled in on the way; shared by all hops of the request.
+        Updated by the hops; shared by all hops of the request.
     """
 
     span: trace.Span
@@ -50,7 +50,7 @@
 
 @contextmanager
 def following(trail: Trail) -> Generator[None, None, None]:
-    """Make a trail that of this block and of tasks started in it."""
+    """Make a trail the current one in this block and tasks started in it."""
     token = _CURRENT.set(trail)
     try:
         yield
@@ -63,23 +63,23 @@
     name: str,
     **attributes: Any,
 ) -> Generator[trace.Span, None, None]:
-    """Run a block as one hop of the request at hand.
+    """Run a block as one hop of the current request.
 
     Parameters
     ----------
     name : str
         Name of the hop.
     **attributes : Any
-        What is known of it; never keys or prompts.
+        Attributes of the span; must not contain keys or prompts.
 
     Yields
     ------
     Span
-        The hop's span; one that goes nowhere outside of a request.
+        Span of the hop; an invalid span outside of a sampled request.
     """
     trail = _CURRENT.get()
-    # Most requests are not sampled, and work of the router's own belongs to
-    # none: neither is worth the price of a span.
+    # Most requests are not sampled, and internal work belongs to no request.
+    # Neither needs a span, which would cost CPU time.
     if trail is None or not trail.span.is_recording():
         yield trace.INVALID_SPAN
         return
@@ -103,18 +103,18 @@
     Parameters
     ----------
     tracing : Tracing or None
-        Starts the hop's span; None where nothing is traced.
+        Starts the span of the hop; None without tracing.
     traceparent : str
-        The other router's context; empty for work of no traced request.
+        Trace context from the other router; empty if no request is traced.
     name : str
         Name of the hop.
     **attributes : Any
-        What is known of it; never keys or prompts.
+        Attributes of the span; must not contain keys or prompts.
 
     Yields
     ------
     Span
-        The hop's span; one that goes nowhere where nothing is traced.
+        Span of the hop; an invalid span if no request is traced.
     """
     if tracing is None or not traceparent:
         yield trace.INVALID_SPAN
@@ -129,21 +129,21 @@
 
 
 def current() -> Trail | None:
-    """Return the trail of the request at hand, None outside of one."""
+    """Return the trail of the current request, None outside of a request."""
     return _CURRENT.get()
 
 
 def current_headers() -> dict[str, str]:
-    """Return the headers that carry the request's trace to the next hop."""
+    """Return the headers that propagate the trace to the next hop."""
     trail = _CURRENT.get()
     return {} if trail is None else inject(trail.span)
 
 
 def current_traceparent() -> str:
-    """Return what carries the trace to another router; empty for none.
+    """Return the traceparent to send to another router; empty for none.
 
-    A request that isn't sampled leaves no span there either, so it isn't
-    worth the bytes.
+    For a request that is not sampled it is empty, because the other router
+    would record no span either and the bytes would be wasted.
     """
     trail = _CURRENT.get()
     if trail is None or not trail.span.is_recording():
--- a/src/balsamreach/telemetry/log_queue.py
+++ b/src/balsamreach/telemetry/log_queue.py
@@ -1,9 +1,9 @@
-"""Log lines on their way to a reader that may be slow or gone.
+"""Logging through a bounded queue, for readers that may be slow or gone.
 
-A write to a pipe that nobody reads blocks. On the event loop it would hold
-up every request; it shows as a router that stands still while its log is
-read slowly. Lines wait in a bounded queue, a thread writes them, and what
-doesn't fit is dropped, counted and told.
+A write to a full pipe blocks. On the event loop it would block all requests
+while the log is read slowly. So log records are put into a bounded queue and
+a thread writes them. Records that don't fit are dropped and counted, and the
+number is logged.
 """
 
 import logging
@@ -15,40 +15,40 @@
 from balsamreach.config.settings import Settings
 from balsamreach.telemetry.logs import log_event, make_handler
 
-#: Lines that may wait. Source: ten seconds of a router at the target size,
-#: 80 requests a second with a line each, and as many lines of other events.
-MOST_WAITING = 1600
-#: Seconds in which waiting lines are written at the end of the process.
-_LAST_S = 1.0
+#: Maximum number of queued lines: ten seconds of a router at the target size,
+#: which logs 80 requests a second and as many lines of other events.
+MAX_QUEUED_LINES = 1600
+#: Time limit in seconds for writing queued lines at the end of the process.
+_CLOSE_TIMEOUT_S = 1.0
 
 _logger = logging.getLogger(__name__)
 
 
 class QueueingHandler(logging.Handler):
-    """Puts records into a bounded queue, and drops what doesn't fit.
+    """Puts records into a bounded queue and drops those that don't fit.
 
     Parameters
     ----------
-    waiting : queue.Queue
-        Where records wait.
+    records : queue.Queue
+        Queue of the records.
     """
 
-    def __init__(self, waiting: queue.Queue) -> None:
+    def __init__(self, records: queue.Queue) -> None:
         super().__init__()
-        self.waiting = waiting
+        self.records = records
         self.dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Put a record into the queue."""
+        """Queue a record, or drop and count it if the queue is full."""
         try:
-            self.waiting.put_nowait(record)
+            self.records.put_nowait(record)
         except queue.Full:
             self.dropped += 1
             return
         if self.dropped:
-            self._tell_dropped()
+            self._log_dropped()
 
-    def _tell_dropped(self) -> None:
+    def _log_dropped(self) -> None:
         lines = self.dropped
         self.dropped = 0
         log_event(
@@ -61,65 +61,68 @@
 
 
 class LogWriter:
-    """Writes waiting records, in a thread of its own.
+    """Writes queued records in a separate thread.
 
     Parameters
     ----------
-    written : logging.Handler
-        Formats a record and writes it.
-    most : int
-        Records that may wait.
+    output_handler : logging.Handler
+        Handler that formats and writes the records.
+    max_lines : int
+        Maximum number of queued records.
     """
 
     def __init__(
         self,
-        written: logging.Handler,
-        most: int = MOST_WAITING,
+        output_handler: logging.Handler,
+        max_lines: int = MAX_QUEUED_LINES,
     ) -> None:
-        self.queue: queue.Queue[logging.LogRecord | None] = queue.Queue(most)
+        self.queue: queue.Queue[logging.LogRecord | None] = queue.Queue(
+            max_lines
+        )
         self.handler = QueueingHandler(self.queue)
-        self._written = written
-        # A daemon: the process ends though a reader never comes back.
+        self._output_handler = output_handler
+        # A daemon thread, so that a blocked write can't keep the process
+        # from exiting.
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the thread."""
         self._thread.start()
 
     def close(self) -> None:
-        """Write what waits, for a bounded time."""
+        """Write the queued records, for a limited time."""
         try:
-            self.queue.put(None, timeout=_LAST_S)
+            self.queue.put(None, timeout=_CLOSE_TIMEOUT_S)
         except queue.Full:
-            # Nobody reads; the lines are lost with the process.
+            # The log is not read; the queued lines are lost.
             return
-        self._thread.join(_LAST_S)
+        self._thread.join(_CLOSE_TIMEOUT_S)
 
     def _run(self) -> None:
         while True:
             record = self.queue.get()
             if record is None:
                 return
-            self._written.handle(record)
+            self._output_handler.handle(record)
 
 
 def queue_logging(
     settings: Settings,
     stream: TextIO | None = None,
 ) -> LogWriter:
-    """Send all records of this process through a queue to a stream.
+    """Log all records of this process through a queue to a stream.
 
     Parameters
     ----------
     settings : Settings
         Host, zone and log level.
     stream : text stream, optional
-        Where lines go; standard output by default.
+        Output; standard output by default.
 
     Returns
     -------
     LogWriter
-        What writes them, to be closed at the end.
+        The started writer; the caller closes it at the end.
     """
     writer = LogWriter(make_handler(settings, stream or sys.stdout))
     root = logging.getLogger()
--- a/src/balsamreach/telemetry/logs.py
+++ b/src/balsamreach/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Log records as JSON lines, all of one schema."""
+"""Logging of JSON lines with a common schema."""
 
 import logging
 import re
@@ -10,7 +10,7 @@
 
 from balsamreach.config.settings import Settings
 
-#: Event name of a record that no code of ours wrote.
+#: Event name of a record that was not logged by ``log_event``.
 FOREIGN_EVENT = 'log'
 
 _FIELDS = 'event_fields'
@@ -21,10 +21,10 @@
 
 
 class SecretFilter(logging.Filter):
-    """Drops fields that by their name hold a key or a prompt."""
+    """Drops fields whose names indicate a key or a prompt."""
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Clean the record's fields; the record itself always passes."""
+        """Remove the record's secret fields; the record always passes."""
         fields = getattr(record, _FIELDS, None)
         if fields:
             kept = {
@@ -37,14 +37,14 @@
 
 
 class EventFormatter(JsonFormatter):
-    """Writes the fixed keys of the schema first, then the event's own.
+    """Writes the keys of the schema first, then the event's own fields.
 
     Parameters
     ----------
     host : str
         Name of this router.
     zone : str
-        Its availability zone.
+        Availability zone of this router.
     """
 
     def __init__(self, host: str, zone: str):
@@ -60,18 +60,18 @@
     ) -> None:
         """Fill the mapping that becomes one JSON line."""
         fields = dict(getattr(record, _FIELDS, ()))
-        ours = hasattr(record, _FIELDS)
+        is_event = hasattr(record, _FIELDS)
         moment = datetime.fromtimestamp(record.created, UTC)
         log_data['time'] = moment.isoformat(timespec='milliseconds')
         log_data['level'] = record.levelname.lower()
         log_data['logger'] = record.name
-        log_data['event'] = record.getMessage() if ours else FOREIGN_EVENT
+        log_data['event'] = record.getMessage() if is_event else FOREIGN_EVENT
         log_data['host'] = self._host
         log_data['zone'] = self._zone
         log_data['request_id'] = fields.pop('request_id', None)
         log_data['team'] = fields.pop('team', None)
         log_data['reason'] = fields.pop('reason', None)
-        if not ours:
+        if not is_event:
             log_data['reason'] = record.getMessage()
         if record.exc_info:
             log_data['exception'] = self.formatException(record.exc_info)
@@ -85,19 +85,19 @@
     event: str,
     **fields: Any,
 ) -> None:
-    """Log one event of the product.
+    """Log one event of this package.
 
     Parameters
     ----------
     logger : logging.Logger
-        Logger of the module that saw the event.
+        Logger of the calling module.
     level : int
         Level from ``logging``.
     event : str
         Fixed name of the event in snake case.
     **fields : Any
-        ``request_id``, ``team`` and ``reason`` of the schema, and fields of
-        the event's own. Fields named like keys or prompts are dropped.
+        ``request_id``, ``team`` and ``reason`` of the schema, and the event's
+        own fields. Fields whose names indicate a key or prompt are dropped.
     """
     if logger.isEnabledFor(level):
         logger.log(level, '%s', event, extra={_FIELDS: fields})
@@ -107,19 +107,19 @@
     settings: Settings,
     stream: TextIO | None = None,
 ) -> logging.Handler:
-    """Make a handler that writes the schema's JSON lines.
+    """Create a handler that writes JSON lines of the schema.
 
     Parameters
     ----------
     settings : Settings
-        Names the host and its zone.
+        Host and zone.
     stream : text stream, optional
-        Where lines go; standard error by default.
+        Output; standard error by default.
 
     Returns
     -------
     logging.Handler
-        The handler, its filter in place.
+        Handler with the filter for secrets.
     """
     handler = logging.StreamHandler(stream or sys.stderr)
     host = settings.host
@@ -132,14 +132,14 @@
     settings: Settings,
     stream: TextIO | None = None,
 ) -> None:
-    """Send all records of this process through one handler.
+    """Replace the handlers of the root logger by one that writes JSON lines.
 
     Parameters
     ----------
     settings : Settings
         Host, zone and log level.
     stream : text stream, optional
-        Where lines go; standard error by default.
+        Output; standard error by default.
     """
     root = logging.getLogger()
     for handler in tuple(root.handlers):
--- a/src/balsamreach/telemetry/metrics.py
+++ b/src/balsamreach/telemetry/metrics.py
@@ -8,52 +8,55 @@
 
 #: Media type of the rendered text.
 CONTENT_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
-#: Most label sets per name; what goes beyond is counted and left out.
-MOST_SERIES = 1000
-#: Counter of measurements left out for want of room.
+#: Maximum number of label sets per name; measurements with further label sets
+#: are dropped and counted.
+MAX_SERIES = 1000
+#: Counter of measurements dropped because of that limit.
 DROPPED = 'balsamreach_metrics_dropped_total'
 
 _MICROSECONDS = 1_000_000
-_LONGEST = 3600 * _MICROSECONDS
-_DIGITS = 2
+_MAX_MICROSECONDS = 3600 * _MICROSECONDS
+_SIGNIFICANT_DIGITS = 2
 _QUANTILES = (0.5, 0.9, 0.99, 0.999)
 
 Labels = tuple[tuple[str, str], ...]
 
 
 class Latencies:
-    """Latencies of one series since the start of the process."""
+    """Histogram of the latencies of one series since the process started."""
 
     def __init__(self):
         self.total: float = 0
-        self._histogram = HdrHistogram(1, _LONGEST, _DIGITS)
+        self._histogram = HdrHistogram(
+            1, _MAX_MICROSECONDS, _SIGNIFICANT_DIGITS
+        )
 
     @property
     def count(self) -> int:
-        """Number of latencies recorded."""
+        """Number of recorded latencies."""
         return self._histogram.get_total_count()
 
     def record(self, seconds: float) -> None:
-        """Record one latency; beyond an hour it counts as an hour."""
+        """Record one latency; one above an hour counts as an hour."""
         self.total += seconds
         micros = math.ceil(seconds * _MICROSECONDS)
-        self._histogram.record_value(min(max(micros, 1), _LONGEST))
+        self._histogram.record_value(min(max(micros, 1), _MAX_MICROSECONDS))
 
     def quantile(self, share: float) -> float:
-        """Return the latency in seconds that a share stays within."""
+        """Return the latency in seconds at a quantile from 0 to 1."""
         micros = self._histogram.get_value_at_percentile(share * 100)
         return micros / _MICROSECONDS
 
 
 @attrs.define
 class Metrics:
-    """Everything one process measures; passed to whoever measures.
+    """Registry of all metrics of one process.
 
-    Names are Prometheus names, counters ending in ``_total`` and latencies
-    in ``_seconds``. One name is only ever one kind of metric.
+    Names are Prometheus names; those of counters end in ``_total``, those of
+    latencies in ``_seconds``. Each name is used for one type of metric only.
     """
 
-    most_series: int = MOST_SERIES
+    max_series: int = MAX_SERIES
     _counters: dict[str, dict[Labels, float]] = attrs.field(
         factory=dict,
         init=False,
@@ -70,45 +73,47 @@
     def count(self, name: str, amount: float = 1, **labels: object) -> None:
         """Add to a counter."""
         series = self._counters.setdefault(name, {})
-        labelled = _sort_labels(labels)
-        if self._has_room(series, labelled):
-            series[labelled] = series.get(labelled, 0) + amount
+        sorted_labels = _sort_labels(labels)
+        if self._accepts_series(series, sorted_labels):
+            series[sorted_labels] = series.get(sorted_labels, 0) + amount
 
     def gauge(self, name: str, amount: float, **labels: object) -> None:
         """Set a gauge."""
         series = self._gauges.setdefault(name, {})
-        labelled = _sort_labels(labels)
-        if self._has_room(series, labelled):
-            series[labelled] = amount
+        sorted_labels = _sort_labels(labels)
+        if self._accepts_series(series, sorted_labels):
+            series[sorted_labels] = amount
 
     def observe(self, name: str, seconds: float, **labels: object) -> None:
         """Record one latency."""
         series = self._latencies.setdefault(name, {})
-        labelled = _sort_labels(labels)
-        if not self._has_room(series, labelled):
+        sorted_labels = _sort_labels(labels)
+        if not self._accepts_series(series, sorted_labels):
             return
-        if labelled not in series:
-            series[labelled] = Latencies()
-        series[labelled].record(seconds)
+        if sorted_labels not in series:
+            series[sorted_labels] = Latencies()
+        series[sorted_labels].record(seconds)
 
     def counted(self, name: str, **labels: object) -> float:
-        """Return a counter's present number, 0 if it never counted."""
+        """Return the current value of a counter, 0 if it does not exist."""
         return self._counters.get(name, {}).get(_sort_labels(labels), 0)
 
     def render(self) -> str:
-        """Return all metrics in the Prometheus text form, sorted."""
+        """Return all metrics in the Prometheus text format, sorted."""
         lines = [
-            *_render_plain('counter', self._counters),
-            *_render_plain('gauge', self._gauges),
+            *_render_values('counter', self._counters),
+            *_render_values('gauge', self._gauges),
             *_render_summaries(self._latencies),
         ]
         return ''.join(f'{line}\n' for line in lines)
 
-    def _has_room(self, series: dict[Labels, object], labels: Labels) -> bool:
-        # A label taken from a caller's words could otherwise fill the memory
-        # one series at a time; it would show as a page that grows without
-        # end. The counter of dropped measurements tells that it happened.
-        if labels in series or len(series) < self.most_series:
+    def _accepts_series(
+        self, series: dict[Labels, object], labels: Labels
+    ) -> bool:
+        # Label values from callers' input could otherwise create series
+        # without limit and exhaust the memory; the metrics page would grow
+        # without end. The counter of dropped measurements shows it happened.
+        if labels in series or len(series) < self.max_series:
             return True
         dropped = self._counters.setdefault(DROPPED, {})
         dropped[()] = dropped.get((), 0) + 1
@@ -120,7 +125,7 @@
     return tuple(sorted(pairs))
 
 
-def _render_plain(
+def _render_values(
     kind: str,
     metrics: dict[str, dict[Labels, float]],
 ) -> Iterator[str]:
@@ -137,8 +142,10 @@
         yield f'# TYPE {name} summary'
         for labels, latencies in sorted(series.items(), key=_by_labels):
             for share in _QUANTILES:
-                marked = (*labels, ('quantile', str(share)))
-                yield _render_line(name, marked, latencies.quantile(share))
+                quantile_labels = (*labels, ('quantile', str(share)))
+                yield _render_line(
+                    name, quantile_labels, latencies.quantile(share)
+                )
             yield _render_line(f'{name}_sum', labels, latencies.total)
             yield _render_line(f'{name}_count', labels, latencies.count)
 
@@ -148,17 +155,17 @@
 
 
 def _render_line(name: str, labels: Labels, number: float) -> str:
-    # Prometheus reads whole numbers of any length; a rounded form would make
-    # a large counter of tokens stand still between two scrapes.
-    written = repr(number)
+    # Prometheus accepts integers of any length. A rounded format would hide
+    # the increase of a large counter of tokens between two scrapes.
+    formatted = repr(number)
     if not labels:
-        return f'{name} {written}'
+        return f'{name} {formatted}'
     pairs = []
     for label, text in labels:
         escaped = _escape(text)
         pairs.append(f'{label}="{escaped}"')
     joined = ','.join(pairs)
-    return f'{name}{{{joined}}} {written}'
+    return f'{name}{{{joined}}} {formatted}'
 
 
 def _escape(text: str) -> str:
--- a/src/balsamreach/telemetry/otlp.py
+++ b/src/balsamreach/telemetry/otlp.py
@@ -1,4 +1,4 @@
-"""Sends spans to an OTLP collector, which may be slow or away."""
+"""Export of spans to an OTLP collector, which may be slow or unreachable."""
 
 from collections.abc import Sequence
 
@@ -15,22 +15,22 @@
 
 from balsamreach.config.settings import TelemetrySettings
 
-#: Most spans that wait for the collector; the oldest are dropped beyond.
-MOST_WAITING = 2048
-#: Most spans in one request to the collector.
-MOST_IN_BATCH = 512
+#: Maximum number of queued spans; beyond it the oldest are dropped.
+MAX_QUEUED_SPANS = 2048
+#: Maximum number of spans in one request to the collector.
+MAX_BATCH_SPANS = 512
 
-_EXPORT_S = 5
+_EXPORT_TIMEOUT_S = 5
 _PATH = '/v1/traces'
 
 
 class CollectorExporter(SpanExporter):
-    """Gives up on a collector that is away once the process ends.
+    """Stops exporting to an unreachable collector when the process ends.
 
     Parameters
     ----------
     exporter : SpanExporter
-        Sends the spans.
+        Exporter that sends the spans.
     """
 
     def __init__(self, exporter: SpanExporter):
@@ -40,16 +40,16 @@
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
         """Send a batch, unless the process ends and the last one failed."""
-        # Each batch takes its whole timeout with a collector that is away.
-        # With a full queue a router would seem to hang at its very end.
+        # Each batch to an unreachable collector takes the whole timeout, so
+        # a router with a full queue would seem to hang when it exits.
         if self._ending and self._failed:
             return SpanExportResult.FAILURE
         outcome = self._exporter.export(spans)
         self._failed = outcome is not SpanExportResult.SUCCESS
         return outcome
 
-    def end(self) -> None:
-        """Begin to give up on the first failure."""
+    def stop_after_failure(self) -> None:
+        """Drop all further batches after a failed one."""
         self._ending = True
 
     def shutdown(self) -> None:
@@ -58,32 +58,32 @@
 
 
 class CollectorProcessor(BatchSpanProcessor):
-    """Queues spans for a collector and sends them in a thread of its own.
+    """Queues spans for a collector and sends them in a separate thread.
 
     Parameters
     ----------
     settings : TelemetrySettings
-        Where the collector is.
+        Settings with the URL of the collector.
     """
 
     def __init__(self, settings: TelemetrySettings):
         session = requests.Session()
-        # A proxy named in the environment must not come between.
+        # Ignore proxies that are set in the environment.
         session.trust_env = False
         self._collector = CollectorExporter(
             OTLPSpanExporter(
                 endpoint=settings.otlp_url + _PATH,
-                timeout=_EXPORT_S,
+                timeout=_EXPORT_TIMEOUT_S,
                 session=session,
             ),
         )
         super().__init__(
             self._collector,
-            max_queue_size=MOST_WAITING,
-            max_export_batch_size=MOST_IN_BATCH,
+            max_queue_size=MAX_QUEUED_SPANS,
+            max_export_batch_size=MAX_BATCH_SPANS,
         )
 
     def shutdown(self) -> None:
-        """Send what waits; blocks, for two batches' timeout at most."""
-        self._collector.end()
+        """Send the queued spans; blocks for at most two batches' timeout."""
+        self._collector.stop_after_failure()
         super().shutdown()
--- a/src/balsamreach/telemetry/trace_provider.py
+++ b/src/balsamreach/telemetry/trace_provider.py
@@ -1,4 +1,4 @@
-"""Recording spans and sending them out."""
+"""Setup of the provider that records and exports spans."""
 
 import json
 import sys
@@ -35,7 +35,7 @@
     Parameters
     ----------
     stream : text stream
-        Where lines go.
+        Output.
     """
 
     def __init__(self, stream: TextIO):
@@ -54,14 +54,14 @@
     settings: Settings,
     stream: TextIO | None,
 ) -> TracerProvider:
-    """Make what records spans and sends them where the settings say.
+    """Create the provider that records and exports spans.
 
     Parameters
     ----------
     settings : Settings
-        Where spans go and which share of them.
+        Destination of spans and the share of traced requests.
     stream : text stream or None
-        Where JSON lines go; None for standard error.
+        Output for JSON lines; None for standard error.
     """
     provider = TracerProvider(
         sampler=_make_sampler(settings.telemetry),
@@ -91,8 +91,8 @@
 
 
 def _make_otlp(settings: TelemetrySettings) -> SpanProcessor:
-    # The exporter takes a good part of a second to import; only processes
-    # that are set to use it pay for it.
+    # Importing the exporter takes a good part of a second, so only processes
+    # that use it import it.
     from balsamreach.telemetry.otlp import CollectorProcessor
 
     return CollectorProcessor(settings)
--- a/src/balsamreach/ui/operator_options.py
+++ b/src/balsamreach/ui/operator_options.py
@@ -72,7 +72,7 @@
         envvar='BALSAMREACH_CERTIFICATE',
         type=_PEM_FILE,
         show_envvar=True,
-        help='PEM file of the certificate to show if the listener asks for one.',
+        help='PEM certificate to show if the listener asks for one.',
     ),
     click.option(
         '--certificate-key',
--- a/tests/collector.py
+++ b/tests/collector.py
@@ -1,4 +1,4 @@
-"""A small OTLP collector inside the test's own event loop."""
+"""A minimal OTLP collector that runs in the event loop of a test."""
 
 import asyncio
 from itertools import chain
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Received:
-    """A span, and the attributes of the process that it is from."""
+    """A span and the resource attributes of its process."""
 
     resource: dict[str, str]
     span: Span
@@ -25,10 +25,10 @@
 
 @attrs.define(eq=False)
 class Collector:
-    """Keeps what it is sent, and answers while its gate is open."""
+    """Stores received exports; answers only while its gate is set."""
 
     received: list[ExportTraceServiceRequest] = attrs.field(factory=list)
-    asks: int = 0
+    requests: int = 0
     gate: asyncio.Event = attrs.field(factory=asyncio.Event)
     url: str = ''
     _server: HTTPServer = attrs.field(init=False)
@@ -44,13 +44,13 @@
         self.url = f'http://127.0.0.1:{port}'
 
     async def stop(self) -> None:
-        """Answer nobody any more."""
+        """Close the listener and all connections."""
         self.gate.set()
         self._server.stop()
         await self._server.close_all_connections()
 
     def spans(self) -> list[Received]:
-        """Return all spans in the order in which they came."""
+        """Return all spans in the order of their arrival."""
         groups = [list(request.resource_spans) for request in self.received]
         return [
             Received(_texts(group.resource), span)
@@ -60,17 +60,17 @@
 
 
 class TracesHandler(RequestHandler):
-    """Takes an export as the protocol describes it."""
+    """Receives exports over OTLP/HTTP."""
 
     def initialize(self, collector: Collector) -> None:
-        """Take the collector that keeps the spans."""
+        """Set the collector that stores the spans."""
         self.collector = collector
 
     async def post(self) -> None:
-        """Decode the spans, wait for the gate and thank for them."""
+        """Decode the spans, wait for the gate and answer."""
         assert self.request.headers['Content-Type'] == 'application/x-protobuf'
         export = ExportTraceServiceRequest.FromString(self.request.body)
-        self.collector.asks += 1
+        self.collector.requests += 1
         await self.collector.gate.wait()
         self.collector.received.append(export)
         self.set_header('Content-Type', 'application/x-protobuf')
--- a/tests/test_telemetry_log_queue.py
+++ b/tests/test_telemetry_log_queue.py
@@ -1,4 +1,4 @@
-"""Tests of log lines on their way to a slow reader."""
+"""Tests of the log queue with a slow reader."""
 
 import io
 import json
@@ -13,18 +13,18 @@
 _CFG = read_settings(None, ('host.zone=zone-a', 'telemetry.log_level=info'))
 
 
-class _StuckHandler(logging.Handler):
-    """A reader that takes nothing until it is let go."""
+class _BlockedHandler(logging.Handler):
+    """A handler that blocks until it is released."""
 
     def __init__(self):
         super().__init__()
         self.entered = threading.Event()
-        self.let_go = threading.Event()
+        self.released = threading.Event()
         self.written = []
 
     def emit(self, record):
         self.entered.set()
-        self.let_go.wait()
+        self.released.wait()
         self.written.append(record)
 
 
@@ -33,7 +33,7 @@
 
 
 class LogQueueTest(unittest.TestCase):
-    """No line blocks who writes it."""
+    """Logging never blocks the caller."""
 
     def setUp(self):
         root = logging.getLogger()
@@ -48,7 +48,7 @@
             root.addHandler(handler)
         root.setLevel(level)
 
-    def test_lines_come_out_whole_and_in_order(self):
+    def test_lines_are_complete_and_in_order(self):
         stream = io.StringIO()
         writer = queue_logging(_CFG, stream)
         logger = logging.getLogger('balsamreach.test')
@@ -59,26 +59,26 @@
         self.assertEqual([line['number'] for line in lines], list(range(50)))
         self.assertEqual(lines[0]['zone'], 'zone-a')
 
-    def test_a_reader_that_stands_still(self):
-        """Symptom: a router serves nobody while its log isn't read.
+    def test_blocked_reader(self):
+        """The log collector stops reading while lines are still logged.
 
-        Sequence: the collector stops reading; lines go on being written.
-        Cause: a write to a full pipe blocks the event loop.
+        A write to a full pipe blocks; on the event loop the router would
+        serve no requests until the log is read again.
         """
-        stuck = _StuckHandler()
-        writer = LogWriter(stuck, most=10)
+        blocked = _BlockedHandler()
+        writer = LogWriter(blocked, max_lines=10)
         writer.start()
         writer.handler.emit(_record(0))
-        stuck.entered.wait()
+        blocked.entered.wait()
         for number in range(1, 31):
             writer.handler.emit(_record(number))
         self.assertEqual(writer.handler.dropped, 20)
-        stuck.let_go.set()
+        blocked.released.set()
         writer.close()
-        self.assertEqual(len(stuck.written), 11)
+        self.assertEqual(len(blocked.written), 11)
 
-    def test_what_was_dropped_is_told(self):
-        writer = LogWriter(_StuckHandler(), most=2)
+    def test_dropped_lines_are_logged(self):
+        writer = LogWriter(_BlockedHandler(), max_lines=2)
         logging.getLogger().addHandler(writer.handler)
         for number in range(3):
             writer.handler.emit(_record(number))
--- a/tests/test_telemetry_logs.py
+++ b/tests/test_telemetry_logs.py
@@ -24,7 +24,7 @@
 
 
 class LogTest(unittest.TestCase):
-    """Every record becomes one JSON line of the schema."""
+    """Each record is written as one JSON line of the schema."""
 
     def setUp(self):
         cfg = read_settings(None, ('host.zone=zone-a', 'host.name=r1'))
--- a/tests/test_telemetry_metrics.py
+++ b/tests/test_telemetry_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the Prometheus rendering."""
+"""Tests of metrics and their Prometheus text format."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class MetricsTest(unittest.TestCase):
-    """What was measured is what the page shows."""
+    """The rendered page contains what was measured."""
 
     def setUp(self):
         self.metrics = Metrics()
@@ -59,13 +59,13 @@
         self.metrics.count('a_total', team='\n'.join((r'q"', r'\z')))
         self.assertIn(r'a_total{team="q\"\n\\z"} 1', self.metrics.render())
 
-    def test_series_are_bounded(self):
-        """A caller invents model names.
+    def test_number_of_series_is_limited(self):
+        """A caller sends requests with ever new model names.
 
-        Symptom: memory and page grow without end. Events: each refused
-        request counts under its own label. Cause: labels from outside.
+        Each refused request would add a series with its own label, so memory
+        and the metrics page would grow without end.
         """
-        metrics = Metrics(most_series=2)
+        metrics = Metrics(max_series=2)
         for model in ('a', 'b', 'c', 'd', 'a'):
             metrics.count('refused_total', model=model)
         self.assertEqual(metrics.counted('refused_total', model='a'), 2)
--- a/tests/test_telemetry_names.py
+++ b/tests/test_telemetry_names.py
@@ -1,4 +1,4 @@
-"""Checks the names of all metrics against the operators' page."""
+"""Checks the names of all metrics against the operators' documentation."""
 
 import ast
 import pathlib
@@ -12,9 +12,9 @@
 _SOURCE = pathlib.Path(balsamreach.__file__).parent
 _NAME = re.compile(r'balsamreach_[a-z_]*[a-z]')
 _ROW = re.compile(r'^\| `([a-z_]+)` \|', re.MULTILINE)
-#: A type in the body of an error, not a metric.
+#: Not a metric: the type in the body of an error answer.
 _OTHERS = frozenset(('balsamreach_error',))
-#: Gauges whose names ``table.follower`` puts together.
+#: Suffixes of the gauges whose names ``table.follower`` builds.
 _TABLE = ('version', 'age_seconds', 'rows', 'rows_rejected')
 
 
@@ -25,7 +25,7 @@
 
 
 class NamesTest(unittest.TestCase):
-    """One name, one meaning, and a row on the page."""
+    """Each metric name is used once in the source and documented."""
 
     def setUp(self):
         found = Counter(
@@ -36,17 +36,16 @@
         )
         self.found = found
 
-    def test_each_name_stands_in_one_place(self):
-        """A sum over one counter counts the same request twice.
+    def test_each_name_is_used_once(self):
+        """Two modules count under one name, with different labels.
 
-        Symptom: attempts seem to be twice the requests.
-        Sequence: two modules count under one name, with other labels.
-        Cause: a name that was written down twice.
+        A sum over that counter would count each request twice, so attempts
+        would seem to be twice the requests.
         """
         twice = [name for name, count in self.found.items() if count > 1]
         self.assertEqual(twice, [])
 
-    def test_page_lists_all_and_no_others(self):
+    def test_documentation_lists_exactly_these_names(self):
         page = (_ROOT / 'docs' / 'operators' / 'metrics.md').read_text()
         listed = Counter(f'balsamreach_{row}' for row in _ROW.findall(page))
         made = [f'balsamreach_table_{name}' for name in _TABLE]
--- a/tests/test_telemetry_otlp.py
+++ b/tests/test_telemetry_otlp.py
@@ -1,4 +1,4 @@
-"""Tests of spans that go to a collector, also one that is away."""
+"""Tests of the export of spans to a collector, also an unreachable one."""
 
 import asyncio
 import socket
@@ -18,17 +18,17 @@
 _TRACE = '4bf92f3577b34da6a3ce929d0e0e4736'
 _PARENT = '00f067aa0ba902b7'
 _CALLER = f'00-{_TRACE}-{_PARENT}-01'
-_MANY = 3 * otlp.MOST_WAITING
+_MANY = 3 * otlp.MAX_QUEUED_SPANS
 
 
 class CollectorTest(unittest.IsolatedAsyncioTestCase):
-    """A collector that answers, or does not."""
+    """The collector answers, or is unreachable."""
 
     async def asyncSetUp(self):
         self.collector = Collector()
         self.collector.start()
         self.addAsyncCleanup(self.collector.stop)
-        patch = mock.patch.object(otlp, '_EXPORT_S', 1)
+        patch = mock.patch.object(otlp, '_EXPORT_TIMEOUT_S', 1)
         patch.start()
         self.addCleanup(patch.stop)
 
@@ -40,7 +40,7 @@
         )
 
     async def serve_one(self, url):
-        """Start a router, send it a traced request, and let it leave."""
+        """Start a router, send it a traced request, and shut it down."""
         deployment = Deployment(self.settings(url))
         await deployment.start()
         line = 'POST /services/desk/certificate/1'
@@ -50,12 +50,11 @@
         return answer
 
     async def test_spans_of_a_request_arrive(self):
-        """The last spans are sent while the router leaves.
+        """The last spans are sent during the shutdown of the router.
 
-        Symptom: the collector lacks the spans of a router's last requests.
-        Events: the router leaves, its collector answers slowly. Cause:
-        whatever else keeps the loop from running; here the collector runs
-        in the same loop and could not answer.
+        If the export blocked the event loop, the collector would lack the
+        spans of the last requests: it runs in the same loop and could not
+        answer.
         """
         with self.assertNoLogs('opentelemetry', 'WARNING'):
             await self.serve_one(self.collector.url)
@@ -75,8 +74,8 @@
         self.assertLess(target.start_time_unix_nano, target.end_time_unix_nano)
 
     @parameterized.expand((('refused',), ('silent',)))
-    async def test_collector_that_is_away_holds_up_no_request(self, kind):
-        """The collector is down while the router serves and leaves."""
+    async def test_unreachable_collector_blocks_no_request(self, kind):
+        """The collector is down while the router serves and shuts down."""
         url = self.collector.url
         self.collector.gate.clear()
         if kind == 'refused':
@@ -88,39 +87,39 @@
         self.assertEqual(answer.status, HTTPStatus.OK)
         self.assertEqual(self.collector.received, [])
 
-    async def test_end_waits_for_no_collector_that_is_away(self):
-        """A router whose collector is away leaves with a full queue.
+    async def test_shutdown_does_not_wait_for_unreachable_collector(self):
+        """A router shuts down with a full queue and no reachable collector.
 
-        Symptom: the router seems to hang at its end, for 30 s. Cause: each
-        batch that waited took its whole timeout, one after the other.
+        If each queued batch took its whole timeout, one after the other, the
+        router would seem to hang for 30 s.
         """
         tracing = self.tracing()
         self.collector.gate.clear()
-        for _ in range(otlp.MOST_WAITING):
+        for _ in range(otlp.MAX_QUEUED_SPANS):
             tracing.start_span('caller').end()
         with self.assertLogs('opentelemetry', 'WARNING'):
             await asyncio.to_thread(tracing.close)
-        # One batch may have been under way as the end came.
-        self.assertIn(self.collector.asks, {1, 2})
+        # One batch may have been in transit when the shutdown began.
+        self.assertIn(self.collector.requests, {1, 2})
 
-    async def test_spans_that_wait_are_bounded(self):
-        """A collector is away for hours.
+    async def test_span_queue_is_bounded(self):
+        """A collector is unreachable for hours.
 
-        Symptom: the router's memory grows. Cause: a queue without a bound.
+        With an unbounded queue the router's memory would grow.
         """
         tracing = self.tracing()
         self.collector.gate.clear()
         for _ in range(_MANY):
             tracing.start_span('caller').end()
-        self.assertTrue(await until(lambda: self.collector.asks))
+        self.assertTrue(await until(lambda: self.collector.requests))
         self.collector.gate.set()
         await asyncio.to_thread(tracing.close)
         arrived = {one.span.span_id for one in self.collector.spans()}
         self.assertGreater(len(arrived), 0)
-        # Those that waited and the batch under way; a slow machine may send
-        # one batch more before the queue is full.
-        most = otlp.MOST_WAITING + 2 * otlp.MOST_IN_BATCH
-        self.assertLessEqual(len(arrived), most)
+        # The queued spans and the batch in transit; a slow machine may send
+        # one more batch before the queue is full.
+        limit = otlp.MAX_QUEUED_SPANS + 2 * otlp.MAX_BATCH_SPANS
+        self.assertLessEqual(len(arrived), limit)
 
     def tracing(self):
         place = ('host.zone=zone-a', *self.settings(self.collector.url))
--- a/tests/test_telemetry_traces.py
+++ b/tests/test_telemetry_traces.py
@@ -1,4 +1,4 @@
-"""Tests of spans and their context."""
+"""Tests of spans and the propagation of their context."""
 
 import io
 import json
@@ -16,7 +16,7 @@
 
 
 class TracingTest(unittest.TestCase):
-    """One request is followed across hops by its trace id."""
+    """Spans of one request share a trace id across hops."""
 
     def test_spans_of_two_routers_share_one_trace(self):
         stream = io.StringIO()
@@ -48,7 +48,7 @@
             ('not_sampled', 'telemetry.trace_share=0%'),
         )
     )
-    def test_nothing_written_but_context_passed_on(self, _, override):
+    def test_context_is_propagated_without_recording(self, _, override):
         stream = io.StringIO()
         tracing = _tracing(stream, override)
         with tracing.start_span('caller') as span:
