--- a/src/balsamreach/wire/codec.py
+++ b/src/balsamreach/wire/codec.py
@@ -13,7 +13,7 @@
     UNKNOWN_KIND,
     WireFault,
 )
-from balsamreach.wire.kinds import KINDS
+from balsamreach.wire.kinds import MESSAGE_CLASSES
 from balsamreach.wire.labels import kind_label
 from balsamreach.wire.plans import read_struct, write_struct
 from balsamreach.wire.schema import load_schema
@@ -135,9 +135,9 @@
 
 
 @cache
-def kinds() -> dict[str, type[Message]]:
+def message_classes() -> dict[str, type[Message]]:
     """Return all message classes by their name in the schema's union."""
-    return {kind_label(kind): kind for kind in KINDS}
+    return {kind_label(kind): kind for kind in MESSAGE_CLASSES}
 
 
 def _pack_in_one_segment(envelope: Envelope) -> bytes:
@@ -169,7 +169,7 @@
         nesting_limit=_MAX_NESTING,
     )
     label = _union_label(reader)
-    kind = kinds().get(label)
+    kind = message_classes().get(label)
     if kind is None:
         return UNKNOWN_KIND.because(f'message of unknown kind {label!r}')
     message = read_struct(kind, getattr(reader, label))
--- a/src/balsamreach/wire/framing.py
+++ b/src/balsamreach/wire/framing.py
@@ -40,7 +40,7 @@
     size = int.from_bytes(head)
     if size > limit:
         return TOO_LARGE.because(
-            f'frame of {size} bytes, at most {limit} taken'
+            f'frame of {size} bytes, at most {limit} are taken'
         )
     return await _read(stream, size)
 
@@ -90,7 +90,7 @@
         size = int.from_bytes(self._buffer[:HEAD])
         if size > self.limit:
             return TOO_LARGE.because(
-                f'frame of {size} bytes, at most {self.limit} taken',
+                f'frame of {size} bytes, at most {self.limit} are taken',
             )
         end = HEAD + size
         if len(self._buffer) < end:
--- a/src/balsamreach/wire/kinds.py
+++ b/src/balsamreach/wire/kinds.py
@@ -41,7 +41,7 @@
 from balsamreach.wire.tokens import TokensAsk, TokensGrant, TokensUsed
 
 #: All message classes, in the order of the schema.
-KINDS: tuple[type[Message], ...] = (
+MESSAGE_CLASSES: tuple[type[Message], ...] = (
     Member,
     Hello,
     Heartbeat,
--- a/tests/collector.py
+++ b/tests/collector.py
@@ -53,7 +53,7 @@
         """Return all spans in the order of their arrival."""
         groups = [list(request.resource_spans) for request in self.received]
         return [
-            Received(_texts(group.resource), span)
+            Received(_attributes(group.resource), span)
             for group in chain(*groups)
             for span in chain(*[scope.spans for scope in group.scope_spans])
         ]
@@ -77,5 +77,5 @@
         await self.finish(ExportTraceServiceResponse().SerializeToString())
 
 
-def _texts(resource: Resource) -> dict[str, str]:
+def _attributes(resource: Resource) -> dict[str, str]:
     return {pair.key: pair.value.string_value for pair in resource.attributes}
--- a/tests/test_config_reader.py
+++ b/tests/test_config_reader.py
@@ -11,7 +11,7 @@
 from balsamreach.config.reader import check_ports, read_settings
 
 _ZONE = 'host.zone=zone-a'
-_FREE = ('callers.port=0', 'operators.port=0', 'peers.port=0')
+_FREE_PORTS = ('callers.port=0', 'operators.port=0', 'peers.port=0')
 
 _PROBLEMS = (
     ('unknown_section', '[calers]\nport = 1', '[calers]: unknown section'),
@@ -104,7 +104,7 @@
     """Ports are checked before a daemon listens on them."""
 
     def test_free_ports(self):
-        cfg = read_settings(None, (_ZONE, *_FREE))
+        cfg = read_settings(None, (_ZONE, *_FREE_PORTS))
         self.assertIsNone(check_ports(cfg))
 
     def test_port_in_use(self):
@@ -116,7 +116,9 @@
         with socket.create_server(('127.0.0.1', 0)) as sock:
             port = sock.getsockname()[1]
             used = f'peers.port={port}'
-            fault = check_ports(read_settings(None, (_ZONE, *_FREE, used)))
+            fault = check_ports(
+                read_settings(None, (_ZONE, *_FREE_PORTS, used))
+            )
         self.assertEqual(fault, BAD_LISTENER)
         self.assertEqual(len(fault.problems), 1)
         self.assertIn(f'[peers] port: 127.0.0.1 port {port}', fault.reason)
--- a/tests/test_telemetry_names.py
+++ b/tests/test_telemetry_names.py
@@ -13,9 +13,9 @@
 _NAME = re.compile(r'balsamreach_[a-z_]*[a-z]')
 _ROW = re.compile(r'^\| `([a-z_]+)` \|', re.MULTILINE)
 #: Not a metric: the type in the body of an error answer.
-_OTHERS = frozenset(('balsamreach_error',))
+_NOT_METRICS = frozenset(('balsamreach_error',))
 #: Suffixes of the gauges whose names ``table.follower`` builds.
-_TABLE = ('version', 'age_seconds', 'rows', 'rows_rejected')
+_TABLE_GAUGES = ('version', 'age_seconds', 'rows', 'rows_rejected')
 
 
 def _strings(path):
@@ -32,7 +32,7 @@
             text
             for path in _SOURCE.rglob('*.py')
             for text in _strings(path)
-            if _NAME.fullmatch(text) and text not in _OTHERS
+            if _NAME.fullmatch(text) and text not in _NOT_METRICS
         )
         self.found = found
 
@@ -48,5 +48,5 @@
     def test_documentation_lists_exactly_these_names(self):
         page = (_ROOT / 'docs' / 'operators' / 'metrics.md').read_text()
         listed = Counter(f'balsamreach_{row}' for row in _ROW.findall(page))
-        made = [f'balsamreach_table_{name}' for name in _TABLE]
-        self.assertEqual(listed, Counter([*self.found, *made]))
+        built = [f'balsamreach_table_{name}' for name in _TABLE_GAUGES]
+        self.assertEqual(listed, Counter([*self.found, *built]))
--- a/tests/test_telemetry_otlp.py
+++ b/tests/test_telemetry_otlp.py
@@ -15,10 +15,10 @@
 from tests.collector import Collector
 from tests.deployment import Deployment, exchange, parse_answer, request, until
 
-_TRACE = '4bf92f3577b34da6a3ce929d0e0e4736'
-_PARENT = '00f067aa0ba902b7'
-_CALLER = f'00-{_TRACE}-{_PARENT}-01'
-_MANY = 3 * otlp.MAX_QUEUED_SPANS
+_TRACE_ID = '4bf92f3577b34da6a3ce929d0e0e4736'
+_PARENT_ID = '00f067aa0ba902b7'
+_TRACEPARENT = f'00-{_TRACE_ID}-{_PARENT_ID}-01'
+_SPAN_COUNT = 3 * otlp.MAX_QUEUED_SPANS
 
 
 class CollectorTest(unittest.IsolatedAsyncioTestCase):
@@ -44,7 +44,7 @@
         deployment = Deployment(self.settings(url))
         await deployment.start()
         line = 'POST /services/desk/certificate/1'
-        sent = request(line, b'{}', Traceparent=_CALLER)
+        sent = request(line, b'{}', Traceparent=_TRACEPARENT)
         answer = parse_answer(await exchange(deployment.callers, sent))
         await deployment.stop()
         return answer
@@ -61,12 +61,12 @@
         spans = {
             one.span.name: one
             for one in self.collector.spans()
-            if one.span.trace_id.hex() == _TRACE
+            if one.span.trace_id.hex() == _TRACE_ID
         }
         hops = {'caller', 'allotment', 'queue', 'platform', 'target'}
         self.assertLessEqual(hops, set(spans))
         resource, caller = attrs.astuple(spans['caller'], recurse=False)
-        self.assertEqual(caller.parent_span_id.hex(), _PARENT)
+        self.assertEqual(caller.parent_span_id.hex(), _PARENT_ID)
         self.assertEqual(resource['host.name'], 'router-0')
         self.assertEqual(resource['cloud.availability_zone'], 'zone-a')
         target = spans['target'].span
@@ -109,7 +109,7 @@
         """
         tracing = self.tracing()
         self.collector.gate.clear()
-        for _ in range(_MANY):
+        for _ in range(_SPAN_COUNT):
             tracing.start_span('caller').end()
         self.assertTrue(await until(lambda: self.collector.requests))
         self.collector.gate.set()
@@ -122,5 +122,5 @@
         self.assertLessEqual(len(arrived), limit)
 
     def tracing(self):
-        place = ('host.zone=zone-a', *self.settings(self.collector.url))
-        return Tracing(read_settings(None, place))
+        overrides = ('host.zone=zone-a', *self.settings(self.collector.url))
+        return Tracing(read_settings(None, overrides))
--- a/tests/test_ui_audit.py
+++ b/tests/test_ui_audit.py
@@ -21,7 +21,7 @@
 from tests.platform_server import PlatformServer
 
 _ACCOUNT = Account(prepaid=1000, taken=500, folded=100)
-_OWN = Allotment(granted=400, settled=60)
+_ALLOTMENT = Allotment(granted=400, settled=60)
 
 
 def _bill(tokens, *flags, key='k'):
@@ -35,7 +35,7 @@
         (
             ('router/127.0.0.1:1', {'incarnation': 'a', 'started': 1}),
             (account_key('team'), encode(_ACCOUNT)),
-            (allotment_key('a', 'team'), encode(_OWN)),
+            (allotment_key('a', 'team'), encode(_ALLOTMENT)),
             _bill(100),
             _bill(60, 'claimed', key='m'),
             ('claim/team/m', {'holder': 'a'}),
--- a/tests/test_ui_explain.py
+++ b/tests/test_ui_explain.py
@@ -58,8 +58,8 @@
         # Log collectors may add a prefix to each line.
         self.path.write_text('\n'.join(f' 1.5 host {one}' for one in _LINES))
 
-    def explain(self, *arguments, **given):
-        return CliRunner().invoke(main, ['explain', *arguments], **given)
+    def explain(self, *arguments, **options):
+        return CliRunner().invoke(main, ['explain', *arguments], **options)
 
     @parameterized.expand(
         (
--- a/tests/test_ui_https.py
+++ b/tests/test_ui_https.py
@@ -27,8 +27,8 @@
         cls.files = Files(directory.name)
         cls.others = Files(Path(directory.name, 'others'))
         ca = f'operators.tls_ca={cls.files.ca}'
-        given = (*cls.files.settings('operators'), ca)
-        cfg = read_settings(None, ('host.zone=zone-a', *given))
+        overrides = (*cls.files.settings('operators'), ca)
+        cfg = read_settings(None, ('host.zone=zone-a', *overrides))
         cls.server = OperatorsServer(server_context(cfg.operators))
         cls.server.start()
         cls.addClassCleanup(cls.server.stop)
--- a/tests/test_ui_table.py
+++ b/tests/test_ui_table.py
@@ -18,7 +18,7 @@
 from balsamreach.ui.main import main
 from tests.operators_server import KEY, OperatorsServer
 
-_ODD = '=HYPERLINK("x")'
+_FORMULA_NAME = '=HYPERLINK("x")'
 
 
 class CommandTest(unittest.TestCase):
@@ -193,7 +193,9 @@
 
     def test_round_trip_changes_nothing(self):
         models = json.dumps({'a,b': 0.5, 'ő;"': 1})
-        self.run_ok('team', 'add', _ODD + self.team, f'models={models}')
+        self.run_ok(
+            'team', 'add', _FORMULA_NAME + self.team, f'models={models}'
+        )
         place = ('address=127.0.0.1:9', 'zone=-naxos', 'service=llm')
         paths = 'non_idempotent=["a b"]'
         self.run_ok('table', 'set', f'target/{self.team}', *place, paths)
--- a/tests/test_ui_trial.py
+++ b/tests/test_ui_trial.py
@@ -38,8 +38,8 @@
 
 def _read_curl(words):
     options = {'-H': [], '-d': [], '-X': []}
-    *given, url = [word for word in words if word != '-N']
-    for name, text in zip(given[::2], given[1::2], strict=True):
+    *option_words, url = [word for word in words if word != '-N']
+    for name, text in zip(option_words[::2], option_words[1::2], strict=True):
         options[name].append(text)
     return options, url
 
--- a/tests/test_wire_codec.py
+++ b/tests/test_wire_codec.py
@@ -16,7 +16,13 @@
 
 from balsamreach import wire
 from balsamreach.wire.answers import AnswerPart
-from balsamreach.wire.codec import MOST_BYTES, Envelope, decode, encode, kinds
+from balsamreach.wire.codec import (
+    MOST_BYTES,
+    Envelope,
+    decode,
+    encode,
+    message_classes,
+)
 from balsamreach.wire.faults import (
     MALFORMED,
     TOO_LARGE,
@@ -62,14 +68,14 @@
     return {field.name: _strategy(field.type) for field in fields}
 
 
-_MESSAGES = st.one_of([_strategy(kind) for kind in kinds().values()])
+_MESSAGES = st.one_of([_strategy(kind) for kind in message_classes().values()])
 _ENVELOPES = st.builds(Envelope, _MESSAGES, _NUMBERS, _NUMBERS, _TEXTS)
 _TRACEPARENT = f'00-{"4b" * 16}-{"0a" * 8}-01'
-_FIELD = 'traceparent @31 :Text;'
+_TRACEPARENT_FIELD = 'traceparent @31 :Text;'
 #: Matches that field of the envelope and all that were added after it.
-_NEWER = re.compile(r'^ +\w+ @(3[1-9]|[4-9]\d) :\w+;$', re.MULTILINE)
+_NEWER_FIELDS = re.compile(r'^ +\w+ @(3[1-9]|[4-9]\d) :\w+;$', re.MULTILINE)
 #: A question encoded by a release whose envelope had no trace context.
-_OLD_ASK = (
+_OLD_RELEASE_ASK = (
     b'\x10\x07P\x02\x01\x01\x07\x01\x18@\x01\x11\x01J\xffengine-0\x00\x00\x00'
 )
 
@@ -118,16 +124,18 @@
 
     def test_ask_of_an_older_release(self):
         ask = InFlightAsk('engine-0')
-        self.assertEqual(decode(_OLD_ASK), Envelope(ask, 7))
+        self.assertEqual(decode(_OLD_RELEASE_ASK), Envelope(ask, 7))
         # Without a trace the message has no fields the older release lacks.
-        self.assertEqual(decode(encode(Envelope(ask, 7))), decode(_OLD_ASK))
+        self.assertEqual(
+            decode(encode(Envelope(ask, 7))), decode(_OLD_RELEASE_ASK)
+        )
 
     def test_older_release_reads_an_ask_with_a_trace(self):
         schema = files(wire).joinpath('messages.capnp').read_text('utf-8')
-        self.assertIn(_FIELD, schema)
+        self.assertIn(_TRACEPARENT_FIELD, schema)
         with tempfile.TemporaryDirectory() as directory:
             path = Path(directory) / 'messages.capnp'
-            path.write_text(_NEWER.sub('', schema), 'utf-8')
+            path.write_text(_NEWER_FIELDS.sub('', schema), 'utf-8')
             older = capnp.SchemaParser().load(str(path))
         ask = Envelope(InFlightAsk('engine-0'), 7, 0, _TRACEPARENT)
         reader = older.Envelope.from_bytes_packed(encode(ask))
