--- a/src/balsamreach/wire/kinds.py
+++ b/src/balsamreach/wire/kinds.py
@@ -1,4 +1,4 @@
-"""Lists the kinds of messages that the codec reads."""
+"""The list of all message classes that the codec knows."""
 
 from balsamreach.wire.answers import AnswerAsk, AnswerPart
 from balsamreach.wire.base import Message
@@ -40,8 +40,8 @@
 )
 from balsamreach.wire.tokens import TokensAsk, TokensGrant, TokensUsed
 
-#: In the order of the schema.
-KINDS: tuple[type[Message], ...] = (
+#: All message classes, in the order of the schema.
+MESSAGE_CLASSES: tuple[type[Message], ...] = (
     Member,
     Hello,
     Heartbeat,
