--- a/src/balsamreach/standins/__init__.py
+++ b/src/balsamreach/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and the targets, for tests and trials."""
+"""Simulated platform services and targets for tests and trials."""
--- a/src/balsamreach/standins/weather.py
+++ b/src/balsamreach/standins/conditions.py
@@ -1,4 +1,4 @@
-"""Conditions that a stand-in platform runs under, and its rate limits."""
+"""Delays, outages and rate limits of a simulated platform."""
 
 import attrs
 
@@ -8,66 +8,66 @@
 
 @attrs.define
 class TokenBucket:
-    """Rate limit that allows a burst of one second's worth.
+    """Rate limit that allows a burst of one second's tokens.
 
     Parameters
     ----------
     clock : Clock
-        Source of the time by which tokens come back.
+        Clock for refilling tokens.
     """
 
     clock: Clock
     _rate: float = 0
     _tokens: float = 0
-    _filled_at: float = 0
+    _refilled_at: float = 0
 
     def take(self, rate: float | None) -> bool:
-        """Take one token at a rate per second; None limits nothing."""
+        """Take one token at a rate per second; None for no limit."""
         if rate is None:
             return True
-        self._fill(rate)
+        self._refill(rate)
         if self._tokens < 1:
             return False
         self._tokens -= 1
         return True
 
-    def _fill(self, rate: float) -> None:
+    def _refill(self, rate: float) -> None:
         now = self.clock.now()
         burst = max(rate, 1) if rate > 0 else 0
         if rate == self._rate:
-            gained = (now - self._filled_at) * rate
-            self._tokens = min(burst, self._tokens + gained)
+            new_tokens = (now - self._refilled_at) * rate
+            self._tokens = min(burst, self._tokens + new_tokens)
         else:
-            # A changed limit starts with a full bucket, as a new one does.
+            # A changed rate starts with a full bucket, as a new bucket does.
             self._rate = rate
             self._tokens = burst
-        self._filled_at = now
+        self._refilled_at = now
 
 
 @attrs.define
-class Weather:
-    """Settings and counters shared by all services of one stand-in.
+class PlatformConditions:
+    """Settings and counters shared by all services of a platform.
 
     Parameters
     ----------
     clock : Clock
-        Time for delays, rate limits and the host list's lag.
+        Clock for delays, rate limits and the lag of the host list.
     down : bool
-        Whether every call is refused as unavailable.
+        Whether every call is refused with UNAVAILABLE.
     delay_s : float
-        Seconds that every call is held before it is looked at.
+        Seconds by which every call is delayed before it is handled.
     writes_per_s, reads_per_s : float or None
-        Calls allowed a second; None limits nothing.
+        Calls allowed per second; None for no limit.
     hosts_lag_s : float
-        Seconds by which the visible list of hosts trails the real one.
+        Seconds by which the visible list of hosts lags.
     lose_answers : int
-        How many of the next applied commits get no answer.
+        How many of the next commits are applied and not answered.
     refuse_old_fences : bool
         Whether power orders with an older fencing number are refused.
     reads, writes, rows_written : int
-        Calls admitted and rows written by commits so far.
+        Admitted calls and rows written by commits so far.
     bytes_moved : int
-        Bytes of all calls and answers so far, about: heads and bodies.
+        Approximate bytes of all calls and responses: headers and bodies.
     """
 
     clock: Clock
@@ -86,26 +86,26 @@
     _write_tokens: TokenBucket = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Set up the rate limits on the same clock."""
+        """Create the rate limits."""
         self._read_tokens = TokenBucket(self.clock)
         self._write_tokens = TokenBucket(self.clock)
 
     async def admit_read(self) -> PlatformFault | None:
-        """Hold one read as long as set, then let it through or refuse it."""
-        refusal = await self._admit(self._read_tokens, self.reads_per_s)
-        if refusal is None:
+        """Delay a read as set; return a fault if it is refused."""
+        fault = await self._admit(self._read_tokens, self.reads_per_s)
+        if fault is None:
             self.reads += 1
-        return refusal
+        return fault
 
     async def admit_write(self) -> PlatformFault | None:
-        """Hold one write as long as set, then let it through or refuse it."""
-        refusal = await self._admit(self._write_tokens, self.writes_per_s)
-        if refusal is None:
+        """Delay a write as set; return a fault if it is refused."""
+        fault = await self._admit(self._write_tokens, self.writes_per_s)
+        if fault is None:
             self.writes += 1
-        return refusal
+        return fault
 
-    def loses_answer(self) -> bool:
-        """Say whether the answer now due is lost, and count it."""
+    def consume_lost_answer(self) -> bool:
+        """Return whether this answer is lost; decrement ``lose_answers``."""
         if self.lose_answers <= 0:
             return False
         self.lose_answers -= 1
@@ -119,7 +119,9 @@
         if self.delay_s > 0:
             await self.clock.sleep(self.delay_s)
         if self.down:
-            return UNAVAILABLE.because('the stand-in is set down')
+            return UNAVAILABLE.because(
+                'the stand-in platform is set to be down'
+            )
         if not bucket.take(rate):
             return UNAVAILABLE.because('the rate limit is used up')
         return None
--- a/src/balsamreach/standins/engine.py
+++ b/src/balsamreach/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in model engine: batches, cache, orders and ways of failing."""
+"""Simulated model engine with slots, prefix cache, orders and faults."""
 
 import asyncio
 import collections
@@ -22,14 +22,14 @@
 
 @attrs.define(eq=False)
 class Engine:
-    """State of a running stand-in engine, whoever speaks HTTP for it.
+    """State of a simulated engine, independent of its HTTP interface.
 
     Parameters
     ----------
     cfg : EngineSettings
-        Settings; may be changed while it runs.
+        Settings; may be changed while the engine runs.
     clock : Clock
-        Source of all its delays.
+        Clock for all delays.
     """
 
     cfg: EngineSettings
@@ -41,19 +41,19 @@
     slots: Slots = attrs.field(init=False)
     orders: OrderBook = attrs.field(init=False)
     generations: Generations = attrs.field(init=False)
-    #: What has to be dropped when it crashes.
+    #: Open requests, whose connections a crash drops.
     connections: set[Any] = attrs.Factory(set)
-    audible: asyncio.Event = attrs.Factory(asyncio.Event)
+    responsive: asyncio.Event = attrs.Factory(asyncio.Event)
     _rng: random.Random = attrs.field(init=False)
     _load_at: float = float('-inf')
     _load: dict[str, Any] = attrs.Factory(dict)
 
     def __attrs_post_init__(self) -> None:
-        """Size the parts after the settings."""
+        """Create the components from the settings."""
         self.cache = PrefixCache(
             self.cfg.cache_blocks,
             self.clock.now,
-            self._loses_event,
+            self._draw_event_loss,
         )
         self.slots = Slots(self.cfg.slots, self.cfg.queue_limit)
         self.orders = OrderBook(self.cfg)
@@ -61,29 +61,29 @@
         self._rng = random.Random(self.cfg.seed)
         self.set_silent(silent=self.cfg.silent)
 
-    def fails(self) -> bool:
-        """Draw whether this request is one of those answered 500."""
+    def draw_failure(self) -> bool:
+        """Return at random whether this request is answered with 500."""
         return self._rng.random() < self.cfg.fail_share
 
     def cache_events(self, since: int) -> dict[str, Any]:
-        """Return the cache events that are old enough to be told."""
+        """Return the cache events that are at least ``events_lag_s`` old."""
         until = self.clock.now() - self.cfg.events_lag_s
         return self.cache.events(since, until)
 
     def start(self, generation: Generation) -> None:
-        """Run a generation in a task of its own."""
+        """Run a generation in its own task."""
         self.generations.add(generation)
         generation.task = asyncio.create_task(self._run(generation))
 
     def crash(self) -> None:
-        """Drop all connections and work; refuse everything from now on."""
+        """Drop all connections and generations; refuse further requests."""
         if self.cfg.exit_on_crash:
-            # A crash runs no clean-up, so neither does this.
+            # A real crash runs no clean-up code either.
             os._exit(CRASH_EXIT_CODE)
         self.drop_all()
 
     def drop_all(self) -> None:
-        """Drop all connections and work, and hold what was cached no more."""
+        """Drop all connections and generations and clear the cache."""
         self.crashed = True
         self.generations.clear()
         for connection in tuple(self.connections):
@@ -91,23 +91,23 @@
         self.cache.clear()
 
     def set_silent(self, *, silent: bool) -> None:
-        """Stop or go on sending on every connection."""
+        """Stop or resume sending on every connection."""
         self.cfg.silent = silent
         if silent:
-            self.audible.clear()
+            self.responsive.clear()
         else:
-            self.audible.set()
+            self.responsive.set()
 
     def load(self) -> dict[str, Any]:
-        """Return the load report, as old as the lag allows."""
+        """Return the load report, which is up to ``load_lag_s`` old."""
         now = self.clock.now()
         if now - self._load_at >= self.cfg.load_lag_s:
-            self._load = self._measured()
+            self._load = self._current_load()
             self._load_at = now
         return self._load | {'age_s': now - self._load_at}
 
     async def _run(self, generation: Generation) -> None:
-        async with self.slots.held(generation.priority):
+        async with self.slots.occupy(generation.priority):
             await self._generate(generation)
 
     async def _generate(self, generation: Generation) -> None:
@@ -118,19 +118,19 @@
         first_ms = self.cfg.first_ms + fresh * self.cfg.block_ms
         await self.clock.sleep(first_ms / 1000)
         words, reason = reply_to(generation.body, generation.prompt)
-        generation.begin()
+        generation.add_first_event()
         for index, word in enumerate(words):
             if index:
                 await self.clock.sleep(self.cfg.pace_ms / 1000)
-            generation.say(word)
+            generation.add_word(word)
         generation.finish(reason)
         self.counters['finished'] += 1
 
-    def _loses_event(self) -> bool:
+    def _draw_event_loss(self) -> bool:
         share = self.cfg.events_lost
         return share > 0 and self._rng.random() < share
 
-    def _measured(self) -> dict[str, Any]:
+    def _current_load(self) -> dict[str, Any]:
         return {
             'running': self.slots.running,
             'queued': self.slots.queued,
--- a/src/balsamreach/standins/engine_cache.py
+++ b/src/balsamreach/standins/engine_cache.py
@@ -1,4 +1,4 @@
-"""Bounded prefix cache of the stand-in engine, and its event log."""
+"""Bounded prefix cache of the simulated engine, and its event log."""
 
 import collections
 import math
@@ -8,13 +8,16 @@
 import attrs
 import xxhash
 
-#: Bytes of prompt text that one cache block holds.
+#: Bytes of prompt text in a cache block.
 BLOCK_BYTES = 64
 _LOG_LENGTH = 4096
 
 
 def blocks_of(prompt: str) -> tuple[str, ...]:
-    """Return the names of a prompt's full blocks, each over its prefix."""
+    """Return the names of a prompt's full blocks.
+
+    The name of a block is a hash of the prompt up to the block's end.
+    """
     text = prompt.encode()
     full = len(text) // BLOCK_BYTES
     digest = xxhash.xxh3_64()
@@ -27,26 +30,26 @@
 
 
 @attrs.frozen
-class _Logged:
-    """An event with its time, and whether it is told at all."""
+class _LogEntry:
+    """A cache event, its time, and whether it is never reported."""
 
     at: float
     event: dict[str, Any]
-    lost: bool
+    is_lost: bool
 
 
 @attrs.define
 class PrefixCache:
-    """Least-recently-used blocks, and what was stored and evicted.
+    """LRU cache of blocks with a log of stored and evicted blocks.
 
     Parameters
     ----------
     limit : int
-        Blocks that fit.
+        Maximum number of blocks.
     now : callable
-        Time that events are stamped with.
+        Returns the time of an event, in seconds.
     loses : callable
-        Draws whether an event is never told.
+        Returns whether the next event is never reported.
     """
 
     limit: int
@@ -55,17 +58,17 @@
     _blocks: collections.OrderedDict[str, None] = attrs.Factory(
         collections.OrderedDict
     )
-    _log: collections.deque[_Logged] = attrs.Factory(
+    _log: collections.deque[_LogEntry] = attrs.Factory(
         lambda: collections.deque(maxlen=_LOG_LENGTH)
     )
     _next_seq: int = 1
 
     def __len__(self) -> int:
-        """Return how many blocks are held."""
+        """Return the number of cached blocks."""
         return len(self._blocks)
 
     def use(self, blocks: tuple[str, ...]) -> int:
-        """Return how many leading blocks were held; hold all of them now."""
+        """Store blocks; return how many leading ones were cached before."""
         held = 0
         for block in blocks:
             if block not in self._blocks:
@@ -76,7 +79,7 @@
         return held
 
     def clear(self) -> None:
-        """Forget every block and event, as a restart does."""
+        """Remove all blocks and events, as a restart does."""
         self._blocks.clear()
         self._log.clear()
 
@@ -86,26 +89,26 @@
         until: float = math.inf,
     ) -> dict[str, Any]:
         """Return the events from a sequence number on, up to a time."""
-        seen = [logged for logged in self._log if logged.at <= until]
+        visible = [entry for entry in self._log if entry.at <= until]
         newer = [
-            logged.event
-            for logged in seen
-            if logged.event['seq'] >= since and not logged.lost
+            entry.event
+            for entry in visible
+            if entry.event['seq'] >= since and not entry.is_lost
         ]
-        late = len(self._log) - len(seen)
-        return {'next': self._next_seq - late, 'events': newer}
+        hidden_count = len(self._log) - len(visible)
+        return {'next': self._next_seq - hidden_count, 'events': newer}
 
     def _store(self, block: str) -> None:
         if block in self._blocks:
             self._blocks.move_to_end(block)
             return
         self._blocks[block] = None
-        self._note('stored', block)
+        self._log_event('stored', block)
         if len(self._blocks) > self.limit:
             evicted, _ = self._blocks.popitem(last=False)
-            self._note('evicted', evicted)
+            self._log_event('evicted', evicted)
 
-    def _note(self, kind: str, block: str) -> None:
+    def _log_event(self, kind: str, block: str) -> None:
         event = {'seq': self._next_seq, 'kind': kind, 'block': block}
-        self._log.append(_Logged(self.now(), event, self.loses()))
+        self._log.append(_LogEntry(self.now(), event, self.loses()))
         self._next_seq += 1
--- a/src/balsamreach/standins/engine_chat.py
+++ b/src/balsamreach/standins/engine_chat.py
@@ -1,4 +1,4 @@
-"""Chat completions of the stand-in engine, begun, resumed and cancelled."""
+"""Chat completions of the simulated engine: start, resume, cancel."""
 
 from balsamreach.standins.engine_handler import EngineHandler
 from balsamreach.standins.engine_streams import Generation
@@ -9,12 +9,12 @@
     """``POST /v1/chat/completions``."""
 
     async def post(self) -> None:
-        """Generate a reply, streamed or whole."""
+        """Generate a reply, as a stream or as one JSON object."""
         body = self.json_body()
-        if self._is_refused(body.get('model', '')):
+        if self._refuse(body.get('model', '')):
             return
-        mark = self.engine.cfg.crash_mark
-        if mark and mark in prompt_of(body):
+        crash_mark = self.engine.cfg.crash_mark
+        if crash_mark and crash_mark in prompt_of(body):
             self.engine.crash()
             return
         generation = self._generation(body)
@@ -23,18 +23,18 @@
         if body.get('stream'):
             await self.stream(generation, 0)
         else:
-            await self._whole(generation)
+            await self._send_completion(generation)
 
-    async def _whole(self, generation: Generation) -> None:
+    async def _send_completion(self, generation: Generation) -> None:
         while not generation.ended:
-            await generation.news()
-        await self.engine.audible.wait()
-        if generation.cancelled or self.is_over:
-            self.close(generation)
+            await generation.wait_for_change()
+        await self.engine.responsive.wait()
+        if generation.cancelled or self.is_finished:
+            self.end_response(generation)
         else:
-            self.reply(200, generation.whole())
+            self.reply(200, generation.completion())
 
-    def _is_refused(self, model: str) -> bool:
+    def _refuse(self, model: str) -> bool:
         cfg = self.engine.cfg
         if cfg.leaving or self.engine.slots.full:
             self.engine.counters['not_run'] += 1
@@ -42,7 +42,7 @@
             self._error(503, 'engine takes no more requests')
         elif model not in cfg.models:
             self._error(404, 'no such model here')
-        elif self.engine.fails():
+        elif self.engine.draw_failure():
             self.engine.counters['failed'] += 1
             self._error(500, 'engine failure')
         else:
@@ -77,10 +77,10 @@
 
 
 class GenerationHandler(EngineHandler):
-    """``/generations/<id>``: resume or cancel."""
+    """``/generations/<id>``: resume or cancel a generation."""
 
     async def get(self, ident: str) -> None:
-        """Resume the stream from its n-th event."""
+        """Resume the stream at the event with index ``from``."""
         generation = self.engine.generations.find(ident)
         if generation is None:
             self.reply(404, {'error': 'no such generation'})
--- a/src/balsamreach/standins/engine_http.py
+++ b/src/balsamreach/standins/engine_http.py
@@ -1,4 +1,4 @@
-"""HTTP interface of the stand-in engine."""
+"""HTTP interface of the simulated engine."""
 
 import asyncio
 
@@ -12,14 +12,14 @@
 from balsamreach.standins.handlers import StandinHandler, log_nothing
 
 _SETTINGS = frozenset(field.name for field in attrs.fields(EngineSettings))
-_FIXED = frozenset(('ip', 'port', 'slots', 'cache_blocks', 'seed'))
+_READ_ONLY = frozenset(('ip', 'port', 'slots', 'cache_blocks', 'seed'))
 
 
 class LoadHandler(EngineHandler):
     """``GET /load``."""
 
     def get(self) -> None:
-        """Return the lagging load report."""
+        """Return the load report, which may lag."""
         self.reply(200, self.engine.load())
 
 
@@ -27,7 +27,7 @@
     """``GET /cache-events``."""
 
     def get(self) -> None:
-        """Return what was stored and evicted."""
+        """Return the events from sequence number ``since`` on."""
         since = int(self.get_query_argument('since', '0'))
         self.reply(200, self.engine.cache_events(since))
 
@@ -36,12 +36,14 @@
     """``POST /orders``."""
 
     def post(self) -> None:
-        """Take an order, or refuse an old fencing number."""
+        """Apply an order, or answer 409 if it is outdated."""
         order = self.json_body()
-        taken = self.engine.orders.take(order)
-        self.reply(200 if taken else 409, {'fence': self.engine.orders.fence})
-        if taken and order.get('order') == 'power_off':
-            # The answer leaves first; whoever ordered it waits for that.
+        accepted = self.engine.orders.apply(order)
+        self.reply(
+            200 if accepted else 409, {'fence': self.engine.orders.fence}
+        )
+        if accepted and order.get('order') == 'power_off':
+            # The response is sent first: the sender of the order waits for it.
             asyncio.get_running_loop().call_soon(self.engine.crash)
 
 
@@ -49,7 +51,7 @@
     """``GET /v1/models``."""
 
     def get(self) -> None:
-        """List the models served."""
+        """List the served models."""
         models = [
             {'id': name, 'object': 'model', 'created': 0, 'owned_by': ''}
             for name in self.engine.cfg.models
@@ -58,28 +60,28 @@
 
 
 class EngineControlHandler(StandinHandler):
-    """``/control``: settings and counters, also of a crashed engine."""
+    """``/control``: settings and counters; a crashed engine answers too."""
 
     def initialize(self, engine: Engine) -> None:
-        """Take the engine in."""
+        """Set the engine."""
         self.engine = engine
 
     def get(self) -> None:
-        """Show settings, state and counters."""
+        """Return settings, state and counters."""
         engine = self.engine
         state = {
             'crashed': engine.crashed,
             'fence': engine.orders.fence,
             'runs': engine.runs,
-            'orders': engine.orders.taken,
+            'orders': engine.orders.accepted,
             'counters': engine.counters,
         }
         self.reply(200, attrs.asdict(engine.cfg) | state)
 
     def post(self) -> None:
-        """Change the settings named; the others stay as they are."""
+        """Change the given settings and leave the others unchanged."""
         body = self.json_body()
-        if not body.keys() <= (_SETTINGS - _FIXED) | {'crashed'}:
+        if not body.keys() <= (_SETTINGS - _READ_ONLY) | {'crashed'}:
             self.reply(400, {'error': 'unknown or fixed setting'})
             return
         crashed = body.pop('crashed', self.engine.crashed)
@@ -100,7 +102,7 @@
     engine : Engine
         The engine to serve.
     """
-    given = {'engine': engine}
+    handler_args = {'engine': engine}
     routes = (
         ('/v1/chat/completions', ChatHandler),
         ('/v1/models', ModelsHandler),
@@ -111,6 +113,6 @@
         ('/control', EngineControlHandler),
     )
     return Application(
-        [(path, handler, given) for path, handler in routes],
+        [(path, handler, handler_args) for path, handler in routes],
         log_function=log_nothing,
     )
--- a/src/balsamreach/standins/engine_orders.py
+++ b/src/balsamreach/standins/engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders that a stand-in engine takes, and their fencing numbers."""
+"""Orders to a simulated engine, checked by fencing number."""
 
 from typing import Any
 
@@ -9,33 +9,33 @@
 
 @attrs.define
 class OrderBook:
-    """Orders taken so far and the newest fencing number among them.
+    """Accepted orders and the highest fencing number among them.
 
     Parameters
     ----------
     cfg : EngineSettings
-        Settings, which the orders change.
+        Settings that the orders change.
     """
 
     cfg: EngineSettings
     fence: int = 0
-    taken: list[dict[str, Any]] = attrs.Factory(list)
+    accepted: list[dict[str, Any]] = attrs.Factory(list)
 
-    def take(self, order: dict[str, Any]) -> bool:
-        """Carry an order out; False where it is old or for another start."""
+    def apply(self, order: dict[str, Any]) -> bool:
+        """Apply an order; False if outdated or for another incarnation."""
         fence = order.get('fence', 0)
         if self.cfg.honour_fences and fence < self.fence:
             return False
-        # An order that names no start is meant for whoever gets it.
-        start = order.get('incarnation') or self.cfg.incarnation
-        if self.cfg.honour_incarnations and start != self.cfg.incarnation:
+        # An order without an incarnation applies to any.
+        incarnation = order.get('incarnation') or self.cfg.incarnation
+        if self.cfg.honour_incarnations and incarnation != self.cfg.incarnation:
             return False
         self.fence = max(self.fence, fence)
-        self.taken.append(order)
-        self._carry_out(order)
+        self.accepted.append(order)
+        self._apply_kind(order)
         return True
 
-    def _carry_out(self, order: dict[str, Any]) -> None:
+    def _apply_kind(self, order: dict[str, Any]) -> None:
         kind = order.get('order')
         if kind in {'load_model', 'load_adapter'}:
             self._load(order.get('adapter') or order.get('model'))
--- a/src/balsamreach/standins/engine_settings.py
+++ b/src/balsamreach/standins/engine_settings.py
@@ -1,41 +1,44 @@
-"""Settings of a stand-in model engine."""
+"""Settings of a simulated model engine."""
 
 import attrs
 
 
 @attrs.define
 class EngineSettings:
-    """How one stand-in engine is set up and how it misbehaves.
+    """Settings of a simulated engine, including its faults.
 
     Parameters
     ----------
     models : list of str
-        Models and adapters it serves.
+        Served models and adapters.
     ip, port : str, int
-        Where it listens; port 0 takes a free one.
+        Listen address; port 0 selects a free one.
     first_ms, block_ms, pace_ms : float
-        Time to the first word, more of it per block of the prompt that
-        isn't cached, and time between words.
+        Milliseconds until the first word, additional ones per uncached
+        block of the prompt, and between words.
     slots, queue_limit, cache_blocks : int
-        Bounds of the running batch, the queue and the prefix cache.
+        Maximum number of running and queued generations and of cached
+        blocks.
     honour_fences : bool
         Whether orders with an older fencing number are refused.
     honour_incarnations : bool
-        Whether orders that name another start are refused.
+        Whether orders for another incarnation are refused.
     events_lag_s : float
-        Age from which cache events are told.
+        Seconds after which cache events are reported.
     events_lost : float
-        Share of cache events that are never told.
+        Share of cache events that are never reported.
     load_lag_s : float
-        How old the load report may be.
+        Maximum age of the load report in seconds.
     leaving_header : str
-        What each answer's header ``X-Leaving`` says; none if empty.
+        Value of the response header ``X-Leaving``; no header if empty.
     retry_after_s : float
-        Seconds that a rejection for want of room names; 0 for none.
+        Value of ``Retry-After`` when the engine is full or leaving; 0 for
+        no header.
     usage : str
-        ``right``, ``missing``, ``negative`` or ``huge``.
+        Reported token usage: ``right``, ``missing``, ``negative`` or
+        ``huge``.
     cut_after : int
-        Events after which a stream is cut off; 0 never cuts.
+        Number of events after which a stream is cut off; 0 for never.
     """
 
     models: list[str] = attrs.Factory(lambda: ['model-a'])
--- a/src/balsamreach/standins/engine_slots.py
+++ b/src/balsamreach/standins/engine_slots.py
@@ -1,4 +1,4 @@
-"""Bounded slots of the stand-in engine with a queue by priority."""
+"""Slots of the simulated engine with a priority queue."""
 
 import asyncio
 import contextlib
@@ -10,45 +10,45 @@
 
 
 @attrs.frozen(order=True)
-class _Waiting:
-    """One generation's place in the queue."""
+class _Waiter:
+    """A queued generation."""
 
     priority: int
     ticket: int
-    turn: asyncio.Future[None] = attrs.field(order=False)
+    granted: asyncio.Future[None] = attrs.field(order=False)
 
 
 @attrs.define
 class Slots:
-    """Slots of the running batch; the lowest priority number goes first.
+    """Slots of the running batch; the lowest priority number is first.
 
     Parameters
     ----------
     limit : int
-        Generations that run at a time.
+        Maximum number of running generations.
     queue_limit : int
-        Generations that may wait.
+        Maximum number of queued generations.
     """
 
     limit: int
     queue_limit: int
     running: int = 0
-    _waiting: list[_Waiting] = attrs.Factory(list)
+    _waiters: list[_Waiter] = attrs.Factory(list)
     _tickets: itertools.count = attrs.Factory(itertools.count)
 
     @property
     def queued(self) -> int:
-        """Generations that wait for a slot."""
-        return sum(1 for entry in self._waiting if not entry.turn.done())
+        """Number of generations that wait for a slot."""
+        return sum(1 for entry in self._waiters if not entry.granted.done())
 
     @property
     def full(self) -> bool:
-        """Whether one more generation would be refused."""
+        """Whether the next generation would be refused."""
         return self.running >= self.limit and self.queued >= self.queue_limit
 
     @contextlib.asynccontextmanager
-    async def held(self, priority: int) -> AsyncGenerator[None, None]:
-        """Hold a slot for as long as the block runs."""
+    async def occupy(self, priority: int) -> AsyncGenerator[None, None]:
+        """Occupy a slot while the ``with`` block runs."""
         await self._acquire(priority)
         try:
             yield
@@ -60,23 +60,25 @@
         if self.running < self.limit:
             self.running += 1
             return
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        entry = _Waiting(priority, next(self._tickets), turn)
-        heapq.heappush(self._waiting, entry)
+        granted: asyncio.Future[None] = (
+            asyncio.get_running_loop().create_future()
+        )
+        entry = _Waiter(priority, next(self._tickets), granted)
+        heapq.heappush(self._waiters, entry)
         try:
-            await turn
+            await granted
         except asyncio.CancelledError:
-            # The slot may have been handed over in the same turn of the
-            # loop; kept, it would be lost to the batch for good.
-            if turn.done() and not turn.cancelled():
+            # The slot may have been granted in the same iteration of the event
+            # loop; without a release here it would stay occupied forever.
+            if granted.done() and not granted.cancelled():
                 self._release()
             raise
 
     def _release(self) -> None:
-        """Give a slot to the next that waits, or back."""
-        while self._waiting:
-            turn = heapq.heappop(self._waiting).turn
-            if not turn.done():
-                turn.set_result(None)
+        """Pass the slot to the next waiter, or free it."""
+        while self._waiters:
+            granted = heapq.heappop(self._waiters).granted
+            if not granted.done():
+                granted.set_result(None)
                 return
         self.running -= 1
--- a/src/balsamreach/standins/engine_streams.py
+++ b/src/balsamreach/standins/engine_streams.py
@@ -1,4 +1,4 @@
-"""One generation of the stand-in engine and the events it consists of."""
+"""A generation of the simulated engine and its events."""
 
 import asyncio
 import json
@@ -13,18 +13,19 @@
 
 @attrs.define(eq=False)
 class Generation:
-    """A reply in the making: its events so far and who reads them.
+    """A reply that is being generated: its events and readers.
 
     Parameters
     ----------
     ident : str
-        Name under which it can be resumed and cancelled.
+        Id for resuming and cancelling.
     body : dict
-        The chat request.
+        Body of the chat request.
     usage_mode : str
-        ``right``, ``missing``, ``negative`` or ``huge``.
+        Reported token usage: ``right``, ``missing``, ``negative`` or
+        ``huge``.
     keep_s : float
-        Seconds it lives on after its last reader went away.
+        Seconds for which it runs on without readers.
     """
 
     ident: str
@@ -43,26 +44,26 @@
     task: asyncio.Task[None] | None = None
     prompt: str = attrs.field(init=False)
     _wants_usage: bool = attrs.field(init=False)
-    _news: asyncio.Event = attrs.Factory(asyncio.Event)
+    _changed: asyncio.Event = attrs.Factory(asyncio.Event)
 
     def __attrs_post_init__(self) -> None:
-        """Read the request once."""
+        """Extract the prompt and the usage option from the request."""
         self.prompt = prompt_of(self.body)
         options = self.body.get('stream_options') or {}
         self._wants_usage = bool(options.get('include_usage'))
 
-    def begin(self) -> None:
-        """Add the event that opens an answer."""
+    def add_first_event(self) -> None:
+        """Add the first event, which has the role and no content."""
         self._add_choice({'role': 'assistant', 'content': ''}, None)
 
-    def say(self, word: str) -> None:
+    def add_word(self, word: str) -> None:
         """Add one word."""
         content = f' {word}' if self.text else word
         self.text += content
         self._add_choice({'content': content}, None)
 
     def finish(self, reason: str) -> None:
-        """Add the closing events."""
+        """Add the final events."""
         self.finish_reason = reason
         self._add_choice({}, reason)
         usage = usage_of(self.usage_mode, self.prompt, self.text)
@@ -72,12 +73,12 @@
         self.end()
 
     def end(self) -> None:
-        """Mark that no event will follow."""
+        """Mark the generation as ended."""
         self.ended = True
-        self._wake()
+        self._notify()
 
     def cancel(self) -> None:
-        """Stop generating; readers see the stream end without its mark."""
+        """Stop generating; the stream ends without ``[DONE]``."""
         if self.ended:
             return
         self.cancelled = True
@@ -85,12 +86,12 @@
             self.task.cancel()
         self.end()
 
-    async def news(self) -> None:
-        """Wait until there is a further event, or the end."""
-        await self._news.wait()
+    async def wait_for_change(self) -> None:
+        """Wait for the next event or the end."""
+        await self._changed.wait()
 
-    def whole(self) -> dict[str, Any]:
-        """Return the answer in its plain JSON form."""
+    def completion(self) -> dict[str, Any]:
+        """Return the reply as one chat completion object."""
         message = {'role': 'assistant', 'content': self.text}
         choice = {
             'index': 0,
@@ -109,14 +110,14 @@
             'finish_reason': reason,
             'logprobs': None,
         }
-        # With usage asked for, every other chunk carries it as null.
+        # If usage is requested, all chunks but the last have it as null.
         tail = {'usage': None} if self._wants_usage else {}
         self._add({'choices': [choice]} | tail)
 
     def _add(self, part: dict[str, Any]) -> None:
         chunk = self._envelope('chat.completion.chunk') | part
         self.events.append(json.dumps(chunk, separators=(',', ':')))
-        self._wake()
+        self._notify()
 
     def _envelope(self, kind: str) -> dict[str, Any]:
         return {
@@ -126,7 +127,7 @@
             'model': self.body.get('model', ''),
         }
 
-    def _wake(self) -> None:
-        # Each waiter holds the old event, so a fresh one can take its place.
-        self._news.set()
-        self._news = asyncio.Event()
+    def _notify(self) -> None:
+        # Waiters keep a reference to the old event, so it can be replaced.
+        self._changed.set()
+        self._changed = asyncio.Event()
--- a/src/balsamreach/standins/engine_text.py
+++ b/src/balsamreach/standins/engine_text.py
@@ -1,4 +1,4 @@
-"""Prompts, replies and token counts of the stand-in engine."""
+"""Prompts, replies and token counts of the simulated engine."""
 
 import hashlib
 import re
@@ -8,17 +8,17 @@
 
 _DEFAULT_WORDS = 16
 _HUGE_TOKENS = 10**15
-_WORDS_WANTED = re.compile(r'words=(\d+)')
+_WORD_COUNT = re.compile(r'words=(\d+)')
 
 
 def prompt_of(body: dict[str, Any]) -> str:
-    """Return the text of all messages of a chat request, joined."""
+    """Return the text of all messages, joined by newlines."""
     messages = body.get('messages') or ()
     return '\n'.join(_text_of(message) for message in messages)
 
 
 def cached_text_of(body: ChatBody) -> str:
-    """Return the text whose blocks the cache is named by."""
+    """Return the text from which the cache blocks are computed."""
     messages = body.get('messages') or ()
     return ''.join(_text_of(message) for message in messages)
 
@@ -32,15 +32,15 @@
 
 
 def words_of(prompt: str) -> list[str]:
-    """Return the reply to a prompt, which names the prompt in each word."""
-    wanted = _WORDS_WANTED.search(prompt)
-    count = int(wanted.group(1)) if wanted else _DEFAULT_WORDS
-    mark = hashlib.sha256(prompt.encode()).hexdigest()[:8]
-    return [f'{mark}-{index}' for index in range(count)]
+    """Return the words of the reply; each contains a hash of the prompt."""
+    match = _WORD_COUNT.search(prompt)
+    count = int(match.group(1)) if match else _DEFAULT_WORDS
+    prompt_hash = hashlib.sha256(prompt.encode()).hexdigest()[:8]
+    return [f'{prompt_hash}-{index}' for index in range(count)]
 
 
 def reply_to(body: ChatBody, prompt: str) -> tuple[list[str], str]:
-    """Return the words to send to a request and why they end there."""
+    """Return the words of the reply and the finish reason."""
     words = words_of(prompt)
     limit = body.get('max_completion_tokens') or body.get('max_tokens')
     if limit is None or limit >= len(words):
@@ -49,17 +49,17 @@
 
 
 def usage_of(mode: str, prompt: str, text: str) -> dict[str, int] | None:
-    """Return the token counts as the usage mode has them."""
+    """Return the token counts for a usage mode, None if missing."""
     if mode == 'missing':
         return None
-    asked = max(1, len(prompt.split()))
-    said = len(text.split())
+    prompt_tokens = max(1, len(prompt.split()))
+    completion_tokens = len(text.split())
     if mode == 'negative':
-        asked, said = -asked, -said
+        prompt_tokens, completion_tokens = -prompt_tokens, -completion_tokens
     elif mode == 'huge':
-        asked, said = _HUGE_TOKENS, _HUGE_TOKENS
+        prompt_tokens, completion_tokens = _HUGE_TOKENS, _HUGE_TOKENS
     return {
-        'prompt_tokens': asked,
-        'completion_tokens': said,
-        'total_tokens': asked + said,
+        'prompt_tokens': prompt_tokens,
+        'completion_tokens': completion_tokens,
+        'total_tokens': prompt_tokens + completion_tokens,
     }
--- a/src/balsamreach/standins/handlers.py
+++ b/src/balsamreach/standins/handlers.py
@@ -1,4 +1,4 @@
-"""What the HTTP handlers of all stand-ins share."""
+"""Base class of the HTTP handlers of all simulated services."""
 
 import json
 from typing import Any
@@ -10,12 +10,12 @@
     """Handler that reads and writes JSON and can drop its connection."""
 
     @property
-    def is_over(self) -> bool:
-        """Whether the answer has ended or its connection was dropped."""
+    def is_finished(self) -> bool:
+        """Whether the response is complete or the connection was dropped."""
         return self._finished
 
     def json_body(self) -> dict[str, Any]:
-        """Return the request's JSON object, or answer 400."""
+        """Return the request's JSON object; raise HTTPError 400 if invalid."""
         try:
             body = json.loads(self.request.body or b'{}')
         except ValueError:
@@ -25,7 +25,7 @@
         return body
 
     def reply(self, status: int, body: Any = None) -> None:
-        """Finish with a status and a JSON body."""
+        """Finish the response with a status and an optional JSON body."""
         self.set_status(status)
         if body is None:
             self.finish()
@@ -34,30 +34,30 @@
         self.finish(json.dumps(body))
 
     def announce(self, leaving: str) -> None:
-        """Let the answer's head say which start is leaving, if any."""
+        """Set ``X-Leaving`` to the incarnation that is leaving, if any."""
         if leaving:
             self.set_header('X-Leaving', leaving)
 
     def reject(self, retry_after_s: float) -> None:
-        """Let the answer's head say that the request did not run.
+        """Set the headers that say that the request did not run.
 
         Parameters
         ----------
         retry_after_s : float
-            Seconds for which no more requests are wanted; 0 names none.
+            Seconds to send no further requests; 0 for no ``Retry-After``.
         """
         self.set_header('X-Not-Run', 'true')
         if retry_after_s:
             self.set_header('Retry-After', str(retry_after_s))
 
     def drop(self) -> None:
-        """Close the caller's connection without any further byte."""
+        """Close the caller's connection without sending anything."""
         stream = self.request.connection.stream
-        # Detaching keeps the framework from writing an answer afterwards.
+        # Detaching prevents Tornado from writing a response afterwards.
         if stream is not None and not stream.closed():
             self.detach()
             stream.close()
 
 
 def log_nothing(handler: RequestHandler) -> None:
-    """Keep a stand-in's expected refusals out of the logs."""
+    """Log nothing, so that expected refusals stay out of the logs."""
--- a/src/balsamreach/standins/listed_target.py
+++ b/src/balsamreach/standins/listed_target.py
@@ -1,7 +1,8 @@
-"""Stand-in for a target that the users' platform lists, over HTTP.
+"""Simulated HTTP target from the target list of the users' platform.
 
-It answers any request: with a stream of events where the request names a
-prompt, else with one body. What its heads say of it can be set at any time.
+It answers every request: with an event stream if the request has the header
+``Token-Counts``, otherwise with a single body. Its settings can be changed at
+any time.
 """
 
 import asyncio
@@ -13,26 +14,26 @@
 from balsamreach.clock import Clock
 from balsamreach.standins.handlers import log_nothing
 
-#: Names the router that a caller chose; routers pass it on.
+#: Header with the router that a caller chose; routers forward it.
 SENDER = 'X-Sender'
 
 
 @attrs.frozen(kw_only=True)
 class Arrival:
-    """A request that reached the target.
+    """A request that the target received.
 
     Parameters
     ----------
     sender : str
-        Router that it came from.
+        Router that sent the request.
     request_id : str
-        Identity that its caller gave it.
+        Value of the header ``Attempt-Id``.
     at : float
-        Monotonic seconds.
+        Time of arrival in monotonic seconds.
     ran : bool
-        Whether the target ran it.
+        Whether the target ran the request.
     retry_after : float
-        Seconds that its rejection asked the sender to wait; 0 for none.
+        ``Retry-After`` of the rejection in seconds; 0 for none.
     """
 
     sender: str
@@ -44,26 +45,26 @@
 
 @attrs.define(eq=False, kw_only=True)
 class ListedTarget:
-    """One target and its record of what reached it.
+    """A target and the requests that it received.
 
     Parameters
     ----------
     target_id : str
-        Identity of this start.
+        Identity of this incarnation of the target.
     clock : Clock
-        Time.
+        Clock for arrival times.
     slots : int
-        Requests that it runs at once; it rejects the others.
+        Maximum number of concurrent requests; others are rejected.
     work : float
-        Seconds that each request, and each event of a stream, takes.
+        Seconds per plain request, or per event of a stream.
     events : int
-        Events of a stream.
+        Number of events of a stream.
     leaving : bool
-        Whether its answers say that it leaves.
+        Whether the responses say that the target is leaving.
     rejects : bool
-        Whether it rejects every request.
+        Whether every request is rejected.
     retry_after : float
-        Seconds that a rejection names; 0 where it names none.
+        ``Retry-After`` of a rejection in seconds; 0 for none.
     """
 
     target_id: str
@@ -85,11 +86,11 @@
 
 class _Handler(RequestHandler):
     def initialize(self, target: ListedTarget) -> None:
-        """Take the target."""
+        """Set the target."""
         self.target = target
 
     async def prepare(self) -> None:
-        """Answer every method and path alike."""
+        """Handle any method and path."""
         if self.target.leaving:
             self.set_header('Server-Leaving', '1')
         if self.request.headers['Expect-Instance'] != self.target.target_id:
@@ -100,14 +101,14 @@
         if self.target.full:
             self._reject()
             return
-        self._note(ran=True)
+        self._record_arrival(ran=True)
         self.target.running += 1
         try:
             await self._run()
         finally:
             self.target.running -= 1
 
-    def _note(self, *, ran: bool, retry_after: float = 0) -> None:
+    def _record_arrival(self, *, ran: bool, retry_after: float = 0) -> None:
         arrival = Arrival(
             sender=self.request.headers.get(SENDER, ''),
             request_id=self.request.headers['Attempt-Id'],
@@ -118,7 +119,7 @@
         self.target.arrivals.append(arrival)
 
     def _reject(self) -> None:
-        self._note(ran=False, retry_after=self.target.retry_after)
+        self._record_arrival(ran=False, retry_after=self.target.retry_after)
         self.set_status(HTTPStatus.SERVICE_UNAVAILABLE)
         self.set_header('Not-Executed', '1')
         if self.target.retry_after:
@@ -141,8 +142,8 @@
 
 def make_listed_target(target: ListedTarget) -> Application:
     """Return the application that serves a target."""
-    arguments = {'target': target}
+    handler_args = {'target': target}
     return Application(
-        [('/.*', _Handler, arguments)],
+        [('/.*', _Handler, handler_args)],
         log_function=log_nothing,
     )
--- a/src/balsamreach/standins/memory.py
+++ b/src/balsamreach/standins/memory.py
@@ -1,28 +1,28 @@
-"""The four platform services kept in one process's memory."""
+"""In-memory implementation of the four platform services."""
 
 import attrs
 
 from balsamreach.clock import Clock
+from balsamreach.standins.conditions import PlatformConditions
 from balsamreach.standins.memory_stores import (
     MemoryHostList,
     MemoryObjectStore,
     MemoryWeightStore,
 )
 from balsamreach.standins.memory_table import MemoryTableService
-from balsamreach.standins.weather import Weather
 
 
 @attrs.frozen
 class MemoryPlatform:
-    """All four services under one weather.
+    """The four platform services under the same simulated conditions.
 
     Parameters
     ----------
-    weather : Weather
-        Conditions shared by the four services.
+    weather : PlatformConditions
+        Delays, outages and rate limits of the four services.
     """
 
-    weather: Weather
+    weather: PlatformConditions
     table: MemoryTableService
     objects: MemoryObjectStore
     hosts: MemoryHostList
@@ -30,8 +30,8 @@
 
     @classmethod
     def start(cls, clock: Clock) -> 'MemoryPlatform':
-        """Return empty services on the given clock."""
-        weather = Weather(clock)
+        """Return empty services that use a clock."""
+        weather = PlatformConditions(clock)
         return cls(
             weather=weather,
             table=MemoryTableService(weather),
--- a/src/balsamreach/standins/memory_table.py
+++ b/src/balsamreach/standins/memory_table.py
@@ -1,4 +1,4 @@
-"""Table service kept in one process's memory."""
+"""In-memory table service."""
 
 import json
 from collections.abc import Iterator
@@ -23,61 +23,61 @@
     UNKNOWN,
     PlatformFault,
 )
-from balsamreach.standins.weather import Weather
+from balsamreach.standins.conditions import PlatformConditions
 
 
 @attrs.define
 class MemoryTableService(TableService):
-    """Table with exact semantics: one commit counter, checks, tombstones.
+    """Table with a commit counter, checked commits and tombstones.
 
     Parameters
     ----------
-    weather : Weather
-        Conditions the service runs under.
+    weather : PlatformConditions
+        Simulated conditions.
     """
 
-    weather: Weather
+    weather: PlatformConditions
     _version: int = 0
     _rows: SortedDict = attrs.Factory(SortedDict)
     _changes: SortedSet = attrs.Factory(SortedSet)
 
     async def commit(self, change: Commit) -> int | PlatformFault:
         """Apply a conditional commit."""
-        refusal = await self.weather.admit_write()
-        if refusal is not None:
-            return refusal
-        flaw = _flaw(change)
-        if flaw:
-            return INVALID.because(flaw)
+        fault = await self.weather.admit_write()
+        if fault is not None:
+            return fault
+        error = _validation_error(change)
+        if error:
+            return INVALID.because(error)
         if self.conflicts(change.checks):
             return CONFLICT.because('a checked row has another version')
         self._apply(change.writes)
-        if self.weather.loses_answer():
+        if self.weather.consume_lost_answer():
             return UNKNOWN.because('the stand-in lost the answer')
         return self._version
 
     async def read(
         self, keys: tuple[str, ...]
     ) -> tuple[Row, ...] | PlatformFault:
-        """Read rows by key at one instant."""
-        refusal = await self.weather.admit_read()
-        if refusal is not None:
-            return refusal
+        """Read rows by key in one consistent view."""
+        fault = await self.weather.admit_read()
+        if fault is not None:
+            return fault
         return tuple(self._row(key) for key in keys)
 
     async def scan(self, scan: Scan) -> Page | PlatformFault:
-        """Read one page of the rows under a prefix."""
-        refusal = await self.weather.admit_read()
-        if refusal is not None:
-            return refusal
+        """Read one page of the rows whose keys start with a prefix."""
+        fault = await self.weather.admit_read()
+        if fault is not None:
+            return fault
         if scan.limit < 1 or scan.since < 0:
             return INVALID.because('limit or since is out of range')
         if scan.since:
-            return self._changed(scan)
-        return self._listed(scan)
+            return self._scan_changes(scan)
+        return self._scan_rows(scan)
 
     def conflicts(self, checks: tuple[Check, ...]) -> tuple[Row, ...]:
-        """Return the rows, as they are, whose checks don't hold."""
+        """Return the current rows of the checks that fail."""
         return tuple(
             self._row(check.key)
             for check in checks
@@ -92,19 +92,19 @@
         self.weather.rows_written += len(writes)
         for write in writes:
             self._changes.discard((self._row(write.key).version, write.key))
-            row = Row(write.key, self._version, _copied(write.value))
+            row = Row(write.key, self._version, _json_copy(write.value))
             self._rows[write.key] = row
             self._changes.add((self._version, write.key))
 
-    def _listed(self, scan: Scan) -> Page:
+    def _scan_rows(self, scan: Scan) -> Page:
         rows: list[Row] = []
-        for row in self._live(scan):
+        for row in self._live_rows(scan):
             if len(rows) == scan.limit:
                 return Page(tuple(rows), self._version, more=True)
             rows.append(row)
         return Page(tuple(rows), self._version)
 
-    def _live(self, scan: Scan) -> Iterator[Row]:
+    def _live_rows(self, scan: Scan) -> Iterator[Row]:
         start = max(scan.prefix, scan.after)
         for key in self._rows.irange(start):
             if not key.startswith(scan.prefix):
@@ -115,13 +115,13 @@
             if row.value is not None:
                 yield row
 
-    def _changed(self, scan: Scan) -> Page:
+    def _scan_changes(self, scan: Scan) -> Page:
         rows: list[Row] = []
         for version, key in self._changes.irange((scan.since + 1, '')):
             if not key.startswith(scan.prefix):
                 continue
-            # The next page is asked for by version, so the rows of one
-            # commit must stay together: the rest would never be read.
+            # The next page starts after a version, so the rows of one commit
+            # must be on one page: the rest of them would never be read.
             full = len(rows) >= scan.limit
             if full and rows[-1].version != version:
                 return Page(tuple(rows), rows[-1].version, more=True)
@@ -135,7 +135,7 @@
     return row.version == check.version
 
 
-def _flaw(change: Commit) -> str:
+def _validation_error(change: Commit) -> str:
     keys = [write.key for write in change.writes]
     if not keys or not all(keys):
         return 'a commit writes at least one row, each with a key'
@@ -146,7 +146,7 @@
     return ''
 
 
-def _copied(row_value: Any) -> Any:
-    # Callers may go on changing the mapping they handed in, which a real
-    # service would never see; the copy also refuses what JSON can't hold.
+def _json_copy(row_value: Any) -> Any:
+    # A caller may change its mapping later, which a real service would never
+    # see; the copy also rejects values that JSON can't represent.
     return json.loads(json.dumps(row_value))
--- a/src/balsamreach/standins/platform.py
+++ b/src/balsamreach/standins/platform.py
@@ -1,4 +1,4 @@
-"""The stand-in platform's HTTP interface over the services in memory."""
+"""HTTP interface of the simulated platform."""
 
 from typing import Any
 
@@ -32,11 +32,11 @@
     """``GET /objects``."""
 
     async def get(self) -> None:
-        """List names under a prefix."""
+        """List the names that start with a prefix."""
         prefix = self.get_query_argument('prefix', '', strip=False)
         names = await self.platform.objects.names(prefix)
         if isinstance(names, PlatformFault):
-            self.refuse(names)
+            self.reply_fault(names)
         else:
             self.reply(200, {'names': names})
 
@@ -45,45 +45,47 @@
     """``/objects/<name>``."""
 
     async def get(self, name: str) -> None:
-        """Return an object's bytes."""
+        """Return the content of an object."""
         body = await self.platform.objects.get(name)
         if isinstance(body, PlatformFault):
-            self.refuse(body)
+            self.reply_fault(body)
             return
         self.set_header('Content-Type', 'application/octet-stream')
         self.finish(body)
 
     async def put(self, name: str) -> None:
         """Store an object."""
-        self._done(await self.platform.objects.put(name, self.request.body))
+        self._reply_result(
+            await self.platform.objects.put(name, self.request.body)
+        )
 
     async def delete(self, name: str) -> None:
-        """Remove an object."""
-        self._done(await self.platform.objects.delete(name))
+        """Delete an object."""
+        self._reply_result(await self.platform.objects.delete(name))
 
-    def _done(self, fault: PlatformFault | None) -> None:
+    def _reply_result(self, fault: PlatformFault | None) -> None:
         if fault is None:
             self.reply(204)
         else:
-            self.refuse(fault)
+            self.reply_fault(fault)
 
 
 class HostsHandler(PlatformHandler):
-    """``GET /hosts``, and ``POST /hosts`` which replaces the list."""
+    """``GET /hosts``, and ``POST /hosts`` to replace the list."""
 
     async def get(self) -> None:
-        """Return the lagging list."""
+        """Return the list of hosts, which may lag."""
         hosts = await self.platform.hosts.hosts()
         if isinstance(hosts, PlatformFault):
-            self.refuse(hosts)
+            self.reply_fault(hosts)
         else:
-            listed = [attrs.asdict(host) for host in hosts]
-            self.reply(200, {'hosts': listed})
+            hosts_json = [attrs.asdict(host) for host in hosts]
+            self.reply(200, {'hosts': hosts_json})
 
     async def post(self) -> None:
-        """Replace the true list."""
-        listed = self.json_body().get('hosts', [])
-        entries = _hosts(listed)
+        """Replace the actual list of hosts."""
+        hosts_json = self.json_body().get('hosts', [])
+        entries = _parse_hosts(hosts_json)
         if entries is None:
             self.reply(400, {'error': 'malformed host'})
             return
@@ -95,10 +97,10 @@
     """``POST /hosts/power``."""
 
     async def post(self) -> None:
-        """Take a power order."""
+        """Accept a power order."""
         body = self.json_body()
         if not {'address', 'on', 'fence'} <= body.keys():
-            self.reply(400, {'error': 'address, on and fence are needed'})
+            self.reply(400, {'error': 'address, on and fence are required'})
             return
         fault = await self.platform.hosts.power(
             body['address'],
@@ -108,14 +110,14 @@
         if fault is None:
             self.reply(204)
         else:
-            self.refuse(fault)
+            self.reply_fault(fault)
 
 
 class ReserveHandler(PlatformHandler):
     """``POST /weights/reserve``."""
 
     async def post(self) -> None:
-        """Hand out a load slot."""
+        """Reserve a load and return the wait."""
         model = self.json_body().get('model', '')
         wait_s = await self.platform.weights.reserve(model)
         if isinstance(wait_s, PlatformFault):
@@ -126,16 +128,16 @@
 
 
 class ControlHandler(PlatformHandler):
-    """``/control``: the weather's settings and counters."""
+    """``/control``: settings and counters of the conditions."""
 
     def get(self) -> None:
-        """Show settings and counters."""
+        """Return settings and counters."""
         weather = self.platform.weather
-        shown = _SETTINGS + _COUNTERS
-        self.reply(200, {name: getattr(weather, name) for name in shown})
+        names = _SETTINGS + _COUNTERS
+        self.reply(200, {name: getattr(weather, name) for name in names})
 
     def post(self) -> None:
-        """Change the settings named; the others stay as they are."""
+        """Change the given settings and leave the others unchanged."""
         body = self.json_body()
         if not body.keys() <= set(_SETTINGS):
             self.reply(400, {'error': 'unknown setting'})
@@ -151,9 +153,9 @@
     Parameters
     ----------
     platform : MemoryPlatform
-        The services to serve.
+        Services to serve.
     """
-    given = {'platform': platform}
+    handler_args = {'platform': platform}
     routes = (
         ('/table/commit', CommitHandler),
         ('/table/read', ReadHandler),
@@ -166,14 +168,14 @@
         ('/control', ControlHandler),
     )
     return Application(
-        [(path, handler, given) for path, handler in routes],
+        [(path, handler, handler_args) for path, handler in routes],
         log_function=log_nothing,
     )
 
 
-def _hosts(listed: Any) -> tuple[HostEntry, ...] | None:
+def _parse_hosts(hosts_json: Any) -> tuple[HostEntry, ...] | None:
     try:
-        entries = [HostEntry(**host) for host in listed]
+        entries = [HostEntry(**host) for host in hosts_json]
     except TypeError:
         return None
     return tuple(entries)
--- a/src/balsamreach/standins/platform_handler.py
+++ b/src/balsamreach/standins/platform_handler.py
@@ -1,4 +1,4 @@
-"""What the handlers of the stand-in platform share."""
+"""Base class of the simulated platform's HTTP handlers."""
 
 from tornado.httputil import HTTPHeaders
 
@@ -22,26 +22,30 @@
 
 
 class PlatformHandler(StandinHandler):
-    """Handler with the platform's services at hand."""
+    """Handler with access to the platform's services."""
 
     def initialize(self, platform: MemoryPlatform) -> None:
-        """Take the services in."""
+        """Set the services."""
         self.platform = platform
 
     def on_finish(self) -> None:
-        """Count the bytes of a call that was answered."""
-        called = _size(self.request.headers) + len(self.request.body)
-        answered = _size(self._headers)
-        body = int(self._headers.get('Content-Length', 0))
-        self.platform.weather.bytes_moved += called + answered + body
-
-    def refuse(self, fault: PlatformFault) -> None:
-        """Answer a fault, or drop the connection where none may come."""
+        """Count the bytes of a call and its response."""
+        request_bytes = _headers_size(self.request.headers) + len(
+            self.request.body
+        )
+        header_bytes = _headers_size(self._headers)
+        body_bytes = int(self._headers.get('Content-Length', 0))
+        self.platform.weather.bytes_moved += (
+            request_bytes + header_bytes + body_bytes
+        )
+
+    def reply_fault(self, fault: PlatformFault) -> None:
+        """Respond with a fault; drop the connection for UNKNOWN."""
         if fault == UNKNOWN:
             self.drop()
             return
         self.reply(_STATUSES[fault], {'error': fault.reason})
 
 
-def _size(headers: HTTPHeaders) -> int:
+def _headers_size(headers: HTTPHeaders) -> int:
     return sum(len(name) + len(text) for name, text in headers.get_all())
--- a/src/balsamreach/standins/platform_table.py
+++ b/src/balsamreach/standins/platform_table.py
@@ -1,4 +1,4 @@
-"""The stand-in table service's HTTP interface."""
+"""HTTP interface of the simulated table service."""
 
 from typing import Any
 
@@ -15,16 +15,18 @@
 
     async def post(self) -> None:
         """Apply a commit."""
-        change = _commit(self.json_body())
+        change = _parse_commit(self.json_body())
         if change is None:
             self.reply(400, {'error': 'malformed commit'})
             return
         outcome = await self.platform.table.commit(change)
         if outcome == CONFLICT:
-            stale = self.platform.table.conflicts(change.checks)
-            self.reply(409, {'conflicts': [_versioned(row) for row in stale]})
+            conflicting = self.platform.table.conflicts(change.checks)
+            self.reply(
+                409, {'conflicts': [_row_version(row) for row in conflicting]}
+            )
         elif isinstance(outcome, PlatformFault):
-            self.refuse(outcome)
+            self.reply_fault(outcome)
         else:
             self.reply(200, {'version': outcome})
 
@@ -40,7 +42,7 @@
             return
         rows = await self.platform.table.read(tuple(keys))
         if isinstance(rows, PlatformFault):
-            self.refuse(rows)
+            self.reply_fault(rows)
         else:
             self.reply(200, {'rows': [attrs.asdict(row) for row in rows]})
 
@@ -49,14 +51,14 @@
     """``GET /table/scan``."""
 
     async def get(self) -> None:
-        """Read one page."""
-        page = await self.platform.table.scan(self._scan())
+        """Read one page of rows."""
+        page = await self.platform.table.scan(self._parse_scan())
         if isinstance(page, PlatformFault):
-            self.refuse(page)
+            self.reply_fault(page)
         else:
             self.reply(200, attrs.asdict(page))
 
-    def _scan(self) -> Scan:
+    def _parse_scan(self) -> Scan:
         try:
             return Scan(
                 prefix=self.get_query_argument('prefix', '', strip=False),
@@ -68,11 +70,11 @@
             raise HTTPError(400) from None
 
 
-def _versioned(row: Row) -> dict[str, Any]:
+def _row_version(row: Row) -> dict[str, Any]:
     return {'key': row.key, 'version': row.version}
 
 
-def _commit(body: dict[str, Any]) -> Commit | None:
+def _parse_commit(body: dict[str, Any]) -> Commit | None:
     try:
         return Commit(
             writes=tuple(Write(**write) for write in body['writes']),
--- a/src/balsamreach/standins/row_store.py
+++ b/src/balsamreach/standins/row_store.py
@@ -1,7 +1,7 @@
-"""Stand-in for the users' store of rows, over HTTP.
+"""Simulated HTTP row store of the users' platform.
 
-It speaks as much of the store's protocol as routers use: reading a part,
-following a table, and changing rows under conditions.
+It implements the calls that routers use: reading the rows of a part, following
+the changes of a table, and conditional commits.
 """
 
 import asyncio
@@ -21,28 +21,28 @@
 
 @attrs.define(eq=False)
 class RowStoreState:
-    """The rows, and the weather.
+    """Rows and simulated faults of the store.
 
     Parameters
     ----------
     rows : dict
-        Value and version by table, part and key.
+        Encoded value and version by table, part and key.
     changes : list
-        Every change: key, value or None, version.
+        All changes: key, encoded value or None, version.
     version : int
-        Newest version.
+        Version of the newest change.
     history_from : int
-        Versions up to this one can't be followed any more.
+        A call that follows changes after an older version gets status 410.
     status : int
-        Status that every call gets; 0 while the store works.
+        HTTP status of every response; 0 while the store works.
     lose_answers : int
-        Changes that are made and not answered.
+        How many of the next commits are applied and not answered.
     waits : list of int
-        Milliseconds that each call which followed a table would wait.
+        The ``wait_ms`` of each call that followed a table.
     page_rows : int
-        Most rows of one page.
+        Maximum number of rows of a page.
     on_page : callable
-        Called after each page that was read.
+        Called after each page has been sent.
     """
 
     rows: dict[_Key, tuple[str, int]] = attrs.field(factory=dict)
@@ -58,19 +58,19 @@
     audible: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def __attrs_post_init__(self) -> None:
-        """Begin to answer."""
+        """Start with answering enabled."""
         self.audible.set()
 
     def fall_silent(self) -> None:
-        """Take calls and answer none until ``answer``."""
+        """Accept calls but answer none until ``answer`` is called."""
         self.audible.clear()
 
     def answer(self) -> None:
-        """Answer all calls that came meanwhile, and later ones."""
+        """Answer all pending and later calls."""
         self.audible.set()
 
     def write(self, table: str, key: str, fields: Any, part: str = '') -> int:
-        """Write a row as its owner would; None removes it."""
+        """Write a row and return the version; None deletes the row."""
         encoded = None
         if fields is not None:
             encoded = base64.b64encode(json.dumps(fields).encode()).decode()
@@ -90,111 +90,111 @@
         return self.version
 
     def version_of(self, key: _Key) -> int:
-        """Return a row's version, 0 if there is none."""
+        """Return a row's version, 0 if it does not exist."""
         return self.rows[key][1] if key in self.rows else 0
 
 
-class _Handler(RequestHandler):
+class _StoreHandler(RequestHandler):
     def initialize(self, state: RowStoreState) -> None:
-        """Take the store's state."""
+        """Set the state of the store."""
         self.state = state
 
     async def prepare(self) -> None:
-        """Let the weather answer."""
+        """Wait while the store is silent; send the set status, if any."""
         await self.state.audible.wait()
         if self.state.status:
             self.set_status(self.state.status)
             self.finish()
 
-    def tell(self, **fields: Any) -> None:
-        """Answer with fields and the newest version."""
+    def reply(self, **fields: Any) -> None:
+        """Respond with fields and the newest version."""
         self.finish(json.dumps(fields | {'ver': self.state.version}))
 
 
-class _Read(_Handler):
+class _ReadHandler(_StoreHandler):
     def get(self) -> None:
-        """Answer with the rows of one part."""
-        place = (self.get_argument('table'), self.get_argument('part'))
+        """Return the rows of one part."""
+        table_part = (self.get_argument('table'), self.get_argument('part'))
         first = self.get_argument('from', '', strip=False)
         end = self.get_argument('to', '', strip=False)
         rows = [
-            _shown(key, encoded, version)
+            _row_json(key, encoded, version)
             for key, (encoded, version) in sorted(self.state.rows.items())
-            if key[:2] == place
+            if key[:2] == table_part
             and key[2] >= first
             and (not end or key[2] < end)
         ]
-        most = self.state.page_rows
-        self.tell(rows=rows[:most], more_pages=len(rows) > most)
+        limit = self.state.page_rows
+        self.reply(rows=rows[:limit], more_pages=len(rows) > limit)
         self.state.on_page()
 
 
-class _Follow(_Handler):
+class _FeedHandler(_StoreHandler):
     async def get(self) -> None:
-        """Answer with what changed, waiting a while for the first."""
+        """Return the changes after a version, waiting for the first."""
         since = int(self.get_argument('after_rev'))
         self.state.waits.append(int(self.get_argument('wait_ms')))
         if since < self.state.history_from:
             self.set_status(HTTPStatus.GONE)
             return
-        rows = self._changed(since)
+        rows = self._changed_rows(since)
         if not rows:
-            await self._wait()
-            rows = self._changed(since)
-        self.tell(rows=rows)
+            await self._wait_for_change()
+            rows = self._changed_rows(since)
+        self.reply(rows=rows)
 
-    def _changed(self, since: int) -> list[dict[str, Any]]:
+    def _changed_rows(self, since: int) -> list[dict[str, Any]]:
         table = self.get_argument('table')
         return [
-            _shown(*change)
+            _row_json(*change)
             for change in self.state.changes
             if change[2] > since and change[0][0] == table
         ]
 
-    async def _wait(self) -> None:
+    async def _wait_for_change(self) -> None:
         seconds = int(self.get_argument('wait_ms')) / 1000
-        waiting = asyncio.ensure_future(self.state.changed.wait())
-        await asyncio.wait({waiting}, timeout=seconds)
-        waiting.cancel()
+        change_task = asyncio.ensure_future(self.state.changed.wait())
+        await asyncio.wait({change_task}, timeout=seconds)
+        change_task.cancel()
 
 
-class _Change(_Handler):
+class _CommitHandler(_StoreHandler):
     def post(self) -> None:
-        """Apply a change if its conditions hold."""
+        """Apply a commit if all expected versions match."""
         body = json.loads(self.request.body)
         for check in body['expected_rev']:
-            if self.state.version_of(_key(check)) != check['ver']:
+            if self.state.version_of(_parse_key(check)) != check['ver']:
                 self.set_status(HTTPStatus.PRECONDITION_FAILED)
-                self.tell(rows=[])
+                self.reply(rows=[])
                 return
-        writes = [(_key(row), row['value']) for row in body['writes']]
-        removed = [(_key(row), None) for row in body['remove']]
+        writes = [(_parse_key(row), row['value']) for row in body['writes']]
+        removed = [(_parse_key(row), None) for row in body['remove']]
         self.state.apply([*writes, *removed])
         if self.state.lose_answers:
             self.state.lose_answers -= 1
             self.request.connection.stream.close()
             return
-        self.tell()
+        self.reply()
 
 
 def make_row_store(state: RowStoreState) -> Application:
-    """Return the store's application."""
-    arguments = {'state': state}
+    """Return the application that serves a row store."""
+    handler_args = {'state': state}
     return Application(
         [
-            ('/v1/rows-get', _Read, arguments),
-            ('/v1/rows-feed', _Follow, arguments),
-            ('/v1/rows-tx', _Change, arguments),
+            ('/v1/rows-get', _ReadHandler, handler_args),
+            ('/v1/rows-feed', _FeedHandler, handler_args),
+            ('/v1/rows-tx', _CommitHandler, handler_args),
         ],
         log_function=log_nothing,
     )
 
 
-def _key(fields: dict[str, Any]) -> _Key:
+def _parse_key(fields: dict[str, Any]) -> _Key:
     return fields['table'], fields['part'], fields['key']
 
 
-def _shown(key: _Key, encoded: str | None, version: int) -> dict[str, Any]:
+def _row_json(key: _Key, encoded: str | None, version: int) -> dict[str, Any]:
     table, part, name = key
     row = {'table': table, 'part': part, 'key': name, 'ver': version}
     if encoded is None:
--- a/src/balsamreach/standins/serve.py
+++ b/src/balsamreach/standins/serve.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins on a socket inside the running event loop."""
+"""Serves simulated platforms and targets in the running event loop."""
 
 import asyncio
 import socket
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """Where the stand-in platform listens; port 0 takes a free one."""
+    """Listen address and clock of a platform; port 0 selects a free one."""
 
     ip: str = '127.0.0.1'
     port: int = 0
@@ -32,14 +32,14 @@
 
 @attrs.define
 class Running:
-    """A stand-in that is being served.
+    """A simulated platform or target that is being served.
 
     Parameters
     ----------
     address : str
-        ``ip:port`` it listens on.
+        Listen address as ``ip:port``.
     core : MemoryPlatform, Engine or PlainService
-        What it serves, for tests that look inside.
+        The served object, for tests that inspect it.
     """
 
     address: str
@@ -48,7 +48,7 @@
 
     @property
     def url(self) -> str:
-        """Base URL without a slash at its end."""
+        """Base URL without a trailing slash."""
         return f'http://{self.address}'
 
     async def stop(self) -> None:
@@ -57,10 +57,10 @@
         if isinstance(self.core, Engine):
             self.core.drop_all()
         if not isinstance(self.core, MemoryPlatform):
-            # Handlers held by a silent stand-in would otherwise never end.
+            # Handlers that wait in a silent target would otherwise never end.
             self.core.set_silent(silent=False)
         await self._server.close_all_connections()
-        # Handlers whose connection just closed get a turn to end.
+        # Let handlers whose connection was just closed finish.
         await asyncio.sleep(0)
 
 
@@ -76,7 +76,7 @@
     settings: EngineSettings,
     clock: Clock | None = None,
 ) -> Running:
-    """Serve a stand-in engine; its settings get the port taken."""
+    """Serve a simulated engine; the port is written to its settings."""
     core = Engine(settings, clock or SystemClock())
     return _serve_target(core, make_engine_app(core), settings)
 
@@ -85,7 +85,7 @@
     settings: ServiceSettings,
     clock: Clock | None = None,
 ) -> Running:
-    """Serve a plain service; its settings get the port taken."""
+    """Serve a plain service; the port is written to its settings."""
     core = PlainService(settings, clock or SystemClock())
     return _serve_target(core, make_service_app(core), settings)
 
--- a/src/balsamreach/standins/service.py
+++ b/src/balsamreach/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in plain service that echoes whatever it is sent."""
+"""Simulated plain service that echoes its requests."""
 
 import asyncio
 import collections
@@ -25,22 +25,22 @@
 
 @attrs.define
 class ServiceSettings:
-    """How one plain service is set up and how it misbehaves.
+    """Settings of a plain service, including its faults.
 
     Parameters
     ----------
     ip, port : str, int
-        Where it listens; port 0 takes a free one.
+        Listen address; port 0 selects a free one.
     delay_ms : float
-        Time each answer takes.
+        Milliseconds that each response takes.
     fail : bool
-        Whether every request is answered 500.
+        Whether every request is answered with 500.
     leaving_header : str
-        What each answer's header ``X-Leaving`` says; none if empty.
+        Value of the response header ``X-Leaving``; no header if empty.
     rejects : bool
-        Whether every request is answered 503 without being run.
+        Whether every request is answered with 503 without being run.
     retry_after_s : float
-        Seconds that such an answer names; 0 for none.
+        ``Retry-After`` of a 503 in seconds; 0 for no header.
     """
 
     ip: str = '127.0.0.1'
@@ -59,26 +59,26 @@
 
 @attrs.define(eq=False)
 class PlainService:
-    """State of a running plain service."""
+    """State of a plain service, independent of its HTTP interface."""
 
     cfg: ServiceSettings
     clock: Clock
     running: int = 0
     rejected: int = 0
     runs: collections.Counter[str] = attrs.Factory(collections.Counter)
-    audible: asyncio.Event = attrs.Factory(asyncio.Event)
+    responsive: asyncio.Event = attrs.Factory(asyncio.Event)
 
     def __attrs_post_init__(self) -> None:
-        """Start silent where set so."""
+        """Apply the setting ``silent``."""
         self.set_silent(silent=self.cfg.silent)
 
     def set_silent(self, *, silent: bool) -> None:
-        """Stop or go on answering."""
+        """Stop or resume answering."""
         self.cfg.silent = silent
         if silent:
-            self.audible.clear()
+            self.responsive.clear()
         else:
-            self.audible.set()
+            self.responsive.set()
 
     def load(self) -> dict[str, Any]:
         """Return the load report."""
@@ -95,37 +95,37 @@
 
 
 class ServiceHandler(StandinHandler):
-    """Handler with the service at hand."""
+    """Handler with access to the service."""
 
     def initialize(self, service: PlainService) -> None:
-        """Take the service in."""
+        """Set the service."""
         self.service = service
         self.announce(service.cfg.leaving_header)
 
 
 class EchoHandler(ServiceHandler):
-    """Any method and body under any other path."""
+    """Any method on any other path."""
 
     async def prepare(self) -> None:
-        """Answer every method alike."""
-        await self.service.audible.wait()
+        """Handle any method."""
+        await self.service.responsive.wait()
         cfg = self.service.cfg
         if cfg.leaving or cfg.rejects:
             self.service.rejected += 1
             self.reject(cfg.retry_after_s)
             self.reply(503, {'error': 'takes no more requests'})
             return
-        self._count()
+        self._count_run()
         self.service.running += 1
         await self.service.clock.sleep(self.service.cfg.delay_ms / 1000)
         self.service.running -= 1
-        await self.service.audible.wait()
+        await self.service.responsive.wait()
         if self.service.cfg.fail:
             self.reply(500, {'error': 'set to fail'})
         else:
             self.reply(200, self._echo())
 
-    def _count(self) -> None:
+    def _count_run(self) -> None:
         self.service.runs[self.request.path] += 1
         for name in ('Idempotency-Key', 'X-Attempt-Id'):
             ident = self.request.headers.get(name)
@@ -149,7 +149,7 @@
 
     async def get(self) -> None:
         """Return the load report."""
-        await self.service.audible.wait()
+        await self.service.responsive.wait()
         self.reply(200, self.service.load())
 
 
@@ -157,12 +157,12 @@
     """``/control``: settings and run counters."""
 
     def get(self) -> None:
-        """Show settings and counters."""
+        """Return settings and counters."""
         runs = {'runs': self.service.runs}
         self.reply(200, attrs.asdict(self.service.cfg) | runs)
 
     def post(self) -> None:
-        """Change the settings named; the others stay as they are."""
+        """Change the given settings and leave the others unchanged."""
         body = self.json_body()
         if not body.keys() <= _CHANGEABLE:
             self.reply(400, {'error': 'unknown or fixed setting'})
@@ -179,15 +179,15 @@
     Parameters
     ----------
     service : PlainService
-        The service to serve.
+        Service to serve.
     """
-    given = {'service': service}
+    handler_args = {'service': service}
     routes = (
         ('/load', ServiceLoadHandler),
         ('/control', ServiceControlHandler),
         ('/.*', EchoHandler),
     )
     return Application(
-        [(path, handler, given) for path, handler in routes],
+        [(path, handler, handler_args) for path, handler in routes],
         log_function=log_nothing,
     )
--- a/tests/fake_upstream.py
+++ b/tests/fake_upstream.py
@@ -1,4 +1,4 @@
-"""A transport to targets, whose every fault is set by the test."""
+"""Fake transport to targets; tests set the faults."""
 
 import asyncio
 import json
@@ -8,7 +8,7 @@
 
 from balsamreach.dispatch.upstream import BROKEN, NOT_SENT, Upstream
 
-#: What a target may do with a request, in place of answering it.
+#: Faults: what a target does instead of answering normally.
 REFUSE = 'refuse'
 DECLINE = 'decline'
 FAIL = 'fail'
@@ -19,7 +19,7 @@
 OTHER_WORDS = 'other words'
 _CUT = 'cut'
 _PAUSE = 'pause'
-_WORDS = 5
+_WORD_COUNT = 5
 
 
 def cut(events):
@@ -28,20 +28,20 @@
 
 
 def pause(events):
-    """Return the fault of a stream that waits after some events."""
+    """Return the fault of a stream that pauses after some events."""
     return f'{_PAUSE} {events}'
 
 
 @attrs.define
 class FakeUpstream(Upstream):
-    """Engines and services that answer by plan.
+    """Fake engines and services that answer or fail as planned.
 
-    ``plans`` holds what each target does with its next requests; without a
-    plan it answers. ``runs`` counts by request key how often one was begun.
+    ``plans`` holds the faults of each target's next requests; without one the
+    target answers. ``runs`` counts by request key how often a request was run.
     """
 
     plans: dict = attrs.field(factory=dict)
-    coming: deque = attrs.field(factory=deque)
+    next_faults: deque = attrs.field(factory=deque)
     runs: Counter = attrs.field(factory=Counter)
     sent: list = attrs.field(factory=list)
     dead: set = attrs.field(factory=set)
@@ -52,21 +52,21 @@
     go_on: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def plan(self, target, *faults):
-        """Add to what a target does next."""
+        """Add faults for the next requests to a target."""
         self.plans.setdefault(target, deque()).extend(faults)
 
     def plan_next(self, fault):
-        """Add to what the targets that are asked next do, in turn."""
-        self.coming.append(fault)
+        """Add a fault for the next request, whatever its target."""
+        self.next_faults.append(fault)
 
     async def send(self, attempt, intake):
-        """Carry an attempt to its target, or a resume or cancel."""
+        """Send an attempt, a resume or a cancellation to its target."""
         name = attempt.target.name
         await asyncio.sleep(0)
         planned = self.plans.get(name)
         is_run = not attempt.call.path.startswith('/generations/')
-        if is_run and self.coming:
-            planned = self.coming
+        if is_run and self.next_faults:
+            planned = self.next_faults
         fault = planned.popleft() if planned and is_run else ''
         if name in self.dead or fault == REFUSE or not intake.before_send():
             return NOT_SENT
@@ -99,18 +99,20 @@
         _status, headers = _head(attempt, fault)
         headers['content-type'] = 'text/event-stream'
         intake.start(200, headers | {'x-engine-request': name})
-        shown = len(events)
+        event_count = len(events)
         if fault.startswith(_CUT):
-            shown = int(fault.split()[1])
+            event_count = int(fault.split()[1])
         if fault.startswith(_PAUSE):
             first = int(fault.split()[1])
-            await self._show(intake, events[:first], whole=events)
+            await self._write_events(intake, events[:first], complete=events)
             await self.go_on.wait()
             events = events[first:]
-        return await self._show(intake, events[:shown], whole=events)
+        return await self._write_events(
+            intake, events[:event_count], complete=events
+        )
 
     async def _resume(self, attempt, intake):
-        path, _mark, query = attempt.call.path.partition('?from=')
+        path, _separator, query = attempt.call.path.partition('?from=')
         name = path.rpartition('/')[2]
         if attempt.call.method == 'DELETE':
             self.cancelled.append(name)
@@ -121,19 +123,22 @@
             intake.start(404, {'content-type': 'application/json'})
             intake.write(b'{"error": "no such generation"}')
             return None
-        kind = {'content-type': 'text/event-stream', 'x-engine-request': name}
-        intake.start(200, kind)
-        rest = events[int(query) :]
+        headers = {
+            'content-type': 'text/event-stream',
+            'x-engine-request': name,
+        }
+        intake.start(200, headers)
+        remaining = events[int(query) :]
         if self.cut_resumes > 0:
             self.cut_resumes -= 1
-            rest = rest[:1]
-        return await self._show(intake, rest, whole=events)
+            remaining = remaining[:1]
+        return await self._write_events(intake, remaining, complete=events)
 
-    async def _show(self, intake, shown, *, whole):
-        for event in shown:
+    async def _write_events(self, intake, events, *, complete):
+        for event in events:
             intake.write(event)
             await asyncio.sleep(0)
-        return None if shown and shown[-1] == whole[-1] else BROKEN
+        return None if events and events[-1] == complete[-1] else BROKEN
 
 
 def _head(attempt, fault):
@@ -151,12 +156,12 @@
 def _completion(attempt, fault):
     if fault in {DECLINE, FAIL, FOREIGN}:
         return {'error': fault}
-    usage = {'prompt_tokens': 2, 'completion_tokens': _WORDS}
+    usage = {'prompt_tokens': 2, 'completion_tokens': _WORD_COUNT}
     return {'of': attempt.call.req.key, 'usage': usage}
 
 
 def _events(name, fault):
-    words = ['role', *(f'word-{number}' for number in range(_WORDS))]
+    words = ['role', *(f'word-{number}' for number in range(_WORD_COUNT))]
     if fault == OTHER_WORDS:
         words = ['role', 'something', 'else']
     if fault == ENDLESS:
--- a/tests/tcp_fakes.py
+++ b/tests/tcp_fakes.py
@@ -1,4 +1,4 @@
-"""Small TCP fakes that stand between two ends of a connection."""
+"""Fake TCP proxy that discards the bytes of open connections."""
 
 import asyncio
 
@@ -9,40 +9,40 @@
 
 @attrs.define(eq=False)
 class SwallowingProxy:
-    """Passes bytes on until told to swallow them.
+    """TCP proxy that can discard the bytes of its open connections.
 
-    A swallowed connection stays open at both ends, as when a firewall or a
-    balancer between them has lost track of it; new connections work.
+    Such a connection stays open at both ends, as when a firewall or load
+    balancer between them has lost its state; new connections work.
 
     Parameters
     ----------
     host, port : str, int
-        Where connections are passed on to.
+        Address that connections are forwarded to.
     """
 
     host: str
     port: int
     address: str = ''
     accepted: int = 0
-    swallowed: int = 0
+    dropped_bytes: int = 0
     refusing: bool = False
     _server: asyncio.Server | None = None
-    _swallowing: set[int] = attrs.field(factory=set)
+    _dropped_connections: set[int] = attrs.field(factory=set)
     _writers: list[asyncio.StreamWriter] = attrs.field(factory=list)
     _tasks: set[asyncio.Task] = attrs.field(factory=set)
 
     async def start(self) -> None:
         """Listen on a free port of 127.0.0.1."""
-        self._server = await asyncio.start_server(self._pass_on, '127.0.0.1')
+        self._server = await asyncio.start_server(self._accept, '127.0.0.1')
         host, port = self._server.sockets[0].getsockname()
         self.address = f'{host}:{port}'
 
     def swallow(self) -> None:
-        """Swallow all bytes of the connections that are open now."""
-        self._swallowing.update(range(1, self.accepted + 1))
+        """Discard all further bytes of the connections that are open now."""
+        self._dropped_connections.update(range(1, self.accepted + 1))
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the server and all connections."""
         if self._server is not None:
             self._server.close()
         for task in tuple(self._tasks):
@@ -51,7 +51,7 @@
         for writer in self._writers:
             writer.close()
 
-    async def _pass_on(
+    async def _accept(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -62,13 +62,15 @@
             return
         self.accepted += 1
         number = self.accepted
-        far_reader, far = await asyncio.open_connection(self.host, self.port)
-        self._writers.append(far)
-        self._start(self._pump(number, reader, far))
-        self._start(self._pump(number, far_reader, writer))
+        upstream_reader, upstream_writer = await asyncio.open_connection(
+            self.host, self.port
+        )
+        self._writers.append(upstream_writer)
+        self._start(self._pump(number, reader, upstream_writer))
+        self._start(self._pump(number, upstream_reader, writer))
 
-    def _start(self, work) -> None:
-        task = asyncio.create_task(work)
+    def _start(self, coroutine) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -78,10 +80,10 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        while octets := await reader.read(_CHUNK):
-            if number in self._swallowing:
-                self.swallowed += len(octets)
+        while chunk := await reader.read(_CHUNK):
+            if number in self._dropped_connections:
+                self.dropped_bytes += len(chunk)
             else:
-                writer.write(octets)
-        if number not in self._swallowing:
+                writer.write(chunk)
+        if number not in self._dropped_connections:
             writer.close()
--- a/tests/test_standins_engine.py
+++ b/tests/test_standins_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in engine over real connections."""
+"""Tests of the simulated engine over real connections."""
 
 import asyncio
 import json
@@ -16,12 +16,12 @@
 _CHAT = '/v1/chat/completions'
 
 
-def _chat(prompt: str = _PROMPT, **more) -> dict:
+def _chat_body(prompt: str = _PROMPT, **fields) -> dict:
     message = {'role': 'user', 'content': prompt}
-    return {'model': 'model-a', 'messages': [message]} | more
+    return {'model': 'model-a', 'messages': [message]} | fields
 
 
-def _raw(body: dict) -> bytes:
+def _raw_request(body: dict) -> bytes:
     encoded = json.dumps(body).encode()
     length = len(encoded)
     lines = (
@@ -33,19 +33,19 @@
     return '\r\n'.join(lines).encode() + encoded
 
 
-def _events(body: bytes) -> list[str]:
+def _parse_events(body: bytes) -> list[str]:
     parts = body.decode().split('\n\n')
     return [part.removeprefix('data: ') for part in parts if part]
 
 
-def _content(events: list[str]) -> str:
+def _joined_content(events: list[str]) -> str:
     chunks = [json.loads(event) for event in events if event != '[DONE]']
     choices = [chunk['choices'][0] for chunk in chunks if chunk['choices']]
     return ''.join(choice['delta'].get('content', '') for choice in choices)
 
 
 class EngineTest(unittest.IsolatedAsyncioTestCase):
-    """A fast engine on a free port."""
+    """Base class with an engine without delays on a free port."""
 
     async def asyncSetUp(self) -> None:
         cfg = EngineSettings(first_ms=0, pace_ms=0, block_ms=0)
@@ -58,11 +58,11 @@
         await self.running.stop()
 
     async def _send(
-        self, path: str, body: dict | None = None, **more
+        self, path: str, body: dict | None = None, **kwargs
     ) -> HTTPResponse:
         if body is not None:
-            more = {'method': 'POST', 'body': json.dumps(body)} | more
-        request = HTTPRequest(self.running.url + path, **more)
+            kwargs = {'method': 'POST', 'body': json.dumps(body)} | kwargs
+        request = HTTPRequest(self.running.url + path, **kwargs)
         return await self.http.fetch(request, raise_error=False)
 
     async def _control(self, **settings) -> dict:
@@ -71,20 +71,20 @@
 
 
 class AnswerTest(EngineTest):
-    """Form and content of answers."""
+    """Form and content of responses."""
 
     async def test_stream(self) -> None:
         response = await self._send(
             _CHAT,
-            _chat(stream=True, stream_options={'include_usage': True}),
+            _chat_body(stream=True, stream_options={'include_usage': True}),
             headers={'X-Attempt-Id': 'attempt-1'},
         )
-        events = _events(response.body)
+        events = _parse_events(response.body)
         self.assertEqual(events.pop(), '[DONE]')
         chunks = [json.loads(event) for event in events]
         kinds = {chunk['object'] for chunk in chunks}
         self.assertEqual(kinds, {'chat.completion.chunk'})
-        self.assertEqual(_content(events), ' '.join(words_of(_PROMPT)))
+        self.assertEqual(_joined_content(events), ' '.join(words_of(_PROMPT)))
         self.assertEqual(chunks[-2]['choices'][0]['finish_reason'], 'stop')
         self.assertEqual(chunks[-1]['choices'], [])
         self.assertEqual(
@@ -102,9 +102,9 @@
             ('missing', None),
         ]
     )
-    async def test_whole(self, usage_mode, usage) -> None:
+    async def test_plain_json(self, usage_mode, usage) -> None:
         await self._control(usage=usage_mode)
-        response = await self._send(_CHAT, _chat(max_tokens=2))
+        response = await self._send(_CHAT, _chat_body(max_tokens=2))
         answer = json.loads(response.body)
         choice = answer['choices'][0]
         words = ' '.join(words_of(_PROMPT)[:2])
@@ -117,8 +117,8 @@
 
     async def test_cache(self) -> None:
         prompt = 'x' * 200
-        await self._send(_CHAT, _chat(prompt))
-        await self._send(_CHAT, _chat(f'{prompt} and more'))
+        await self._send(_CHAT, _chat_body(prompt))
+        await self._send(_CHAT, _chat_body(f'{prompt} and more'))
         self.assertEqual(self.engine.counters['blocks_computed'], 3)
         self.assertEqual(self.engine.counters['blocks_cached'], 3)
         response = await self._send('/cache-events?since=2')
@@ -133,39 +133,40 @@
         self.assertEqual((load['running'], load['queued']), (0, 0))
 
     async def test_unknown_model(self) -> None:
-        response = await self._send(_CHAT, _chat() | {'model': 'none'})
+        response = await self._send(_CHAT, _chat_body() | {'model': 'none'})
         self.assertEqual(response.code, 404)
 
 
 class ResumeTest(EngineTest):
     """Streams that are cut, resumed and cancelled."""
 
-    async def test_cut_and_resumed(self) -> None:
-        """A stream breaks off and is resumed without a gap.
+    async def test_resume_after_cut(self) -> None:
+        """A broken stream is resumed without a gap.
 
-        Symptom: the stream ends without its end mark. Events: the engine
-        cuts it after two events, the caller asks for the rest. Cause: the
-        connection broke, the generation went on.
+        The engine cuts the connection after two events while the generation
+        goes on; the caller then requests the remaining events.
         """
         await self._control(cut_after=2)
         chunks: list[bytes] = []
-        idents: list[str] = []
+        header_lines: list[str] = []
         with self.assertRaises(CurlError):
             await self._send(
                 _CHAT,
-                _chat(stream=True),
+                _chat_body(stream=True),
                 headers={'X-Keep-Seconds': '60'},
                 streaming_callback=chunks.append,
-                header_callback=idents.append,
+                header_callback=header_lines.append,
             )
-        head = [line for line in idents if line.startswith('X-Engine-R')]
-        ident = head[0].partition(': ')[2].strip()
-        seen = _events(b''.join(chunks))
-        self.assertEqual(len(seen), 2)
+        matching = [
+            line for line in header_lines if line.startswith('X-Engine-R')
+        ]
+        ident = matching[0].partition(': ')[2].strip()
+        received = _parse_events(b''.join(chunks))
+        self.assertEqual(len(received), 2)
         await self._control(cut_after=0)
         rest = await self._send(f'/generations/{ident}?from=2')
-        events = seen + _events(rest.body)
-        self.assertEqual(_content(events), ' '.join(words_of(_PROMPT)))
+        events = received + _parse_events(rest.body)
+        self.assertEqual(_joined_content(events), ' '.join(words_of(_PROMPT)))
         self.assertEqual(events[-1], '[DONE]')
 
     async def test_unknown_generation(self) -> None:
@@ -174,7 +175,7 @@
 
     async def test_cancelled(self) -> None:
         await self._control(pace_ms=60000)
-        stream, ident = await self._opened(_chat(stream=True))
+        stream, ident = await self._open_stream(_chat_body(stream=True))
         gone = await self._send(f'/generations/{ident}', method='DELETE')
         self.assertEqual(gone.code, 204)
         with self.assertRaises(CurlError):
@@ -182,44 +183,42 @@
         self.assertEqual(self.engine.counters['cancelled'], 1)
         self.assertEqual(self.engine.slots.running, 0)
 
-    async def test_caller_gone(self) -> None:
-        """A caller that closes its connection stops its generation.
+    async def test_caller_disconnects(self) -> None:
+        """A generation is cancelled when its caller closes the connection.
 
-        Symptom: the slot is free again long before the reply's end.
-        Events: the caller gives up after the first words. Cause: nobody
-        reads the stream and no grace was asked for.
+        Otherwise it would occupy its slot until the end of a reply that
+        nobody reads. The caller set no ``X-Keep-Seconds``.
         """
         await self._control(pace_ms=60000)
         host, port = self.running.address.split(':')
         reader, writer = await asyncio.open_connection(host, int(port))
-        writer.write(_raw(_chat(stream=True)))
+        writer.write(_raw_request(_chat_body(stream=True)))
         head = await reader.readuntil(b'\r\n\r\n')
         ident = head.partition(b'Engine-Request: ')[2].split()[0].decode()
         generation = self.engine.generations.find(ident)
         writer.close()
         while not generation.ended:
-            await generation.news()
+            await generation.wait_for_change()
         self.assertTrue(generation.cancelled)
 
-    async def test_queue(self) -> None:
-        """A request beyond the slots and the queue is refused unrun.
+    async def test_full_queue(self) -> None:
+        """A request gets 503 and is not run if slots and queue are full.
 
-        Symptom: 503 marked as not run. Events: one runs, one waits, one
-        more comes. Cause: the engine is full.
+        One request runs and one is queued when the third one arrives.
         """
         await self._control(pace_ms=60000)
         self.engine.slots.limit = 1
         self.engine.slots.queue_limit = 1
-        first, _ = await self._opened(_chat(stream=True))
-        second, _ = await self._opened(_chat(stream=True))
-        refused = await self._send(_CHAT, _chat())
+        first, _ = await self._open_stream(_chat_body(stream=True))
+        second, _ = await self._open_stream(_chat_body(stream=True))
+        refused = await self._send(_CHAT, _chat_body())
         self.assertEqual(refused.headers['X-Not-Run'], 'true')
         self.engine.drop_all()
         outcomes = await asyncio.gather(first, second, return_exceptions=True)
         kinds = [type(outcome) for outcome in outcomes]
         self.assertEqual(kinds, [CurlError, CurlError])
 
-    async def _opened(self, body: dict) -> tuple[asyncio.Task, str]:
+    async def _open_stream(self, body: dict) -> tuple[asyncio.Task, str]:
         lines: asyncio.Queue[str] = asyncio.Queue()
         sending = self._send(
             _CHAT,
@@ -235,7 +234,7 @@
 
 
 class FailureTest(EngineTest):
-    """Ways in which the engine refuses or dies."""
+    """Refusals, crashes and silence of the engine."""
 
     @parameterized.expand([('checks', True, 409), ('ignores', False, 200)])
     async def test_old_fence(self, _, honour, code) -> None:
@@ -248,39 +247,38 @@
     async def test_loads_model(self) -> None:
         order = {'order': 'load_model', 'fence': 1, 'model': 'model-b'}
         await self._send('/orders', order)
-        response = await self._send(_CHAT, _chat() | {'model': 'model-b'})
+        response = await self._send(_CHAT, _chat_body() | {'model': 'model-b'})
         self.assertEqual(response.code, 200)
 
     async def test_leaving(self) -> None:
         await self._control(leaving=True)
-        response = await self._send(_CHAT, _chat())
+        response = await self._send(_CHAT, _chat_body())
         self.assertEqual(response.code, 503)
         self.assertEqual(response.headers['X-Not-Run'], 'true')
 
-    async def test_fails(self) -> None:
+    async def test_failure(self) -> None:
         await self._control(fail_share=1)
-        self.assertEqual((await self._send(_CHAT, _chat())).code, 500)
+        self.assertEqual((await self._send(_CHAT, _chat_body())).code, 500)
 
     async def test_crash(self) -> None:
-        """A request kills the engine under it.
+        """A prompt with the crash mark crashes the engine.
 
-        Symptom: every connection drops, then everything is refused.
-        Events: a prompt holds the mark. Cause: a fault in the engine that
-        this prompt brings out.
+        All connections are dropped, and further requests fail until the
+        engine is restarted.
         """
         await self._control(crash_mark='poison')
         with self.assertRaises(CurlError):
-            await self._send(_CHAT, _chat('some poison'))
+            await self._send(_CHAT, _chat_body('some poison'))
         with self.assertRaises(CurlError):
             await self._send('/load')
         await self._control(crashed=False)
-        self.assertEqual((await self._send(_CHAT, _chat())).code, 200)
+        self.assertEqual((await self._send(_CHAT, _chat_body())).code, 200)
 
     async def test_silent(self) -> None:
-        """The engine accepts requests and says nothing more.
+        """A silent engine accepts requests and does not answer.
 
-        Symptom: the call times out. Events: a request is sent while the
-        engine is silent. Cause: the process hangs with its socket open.
+        This simulates a process that hangs with its socket open; calls time
+        out.
         """
         await self._control(silent=True)
         with self.assertRaises(CurlError):
--- a/tests/test_standins_memory.py
+++ b/tests/test_standins_memory.py
@@ -1,4 +1,4 @@
-"""Tests of the platform services kept in memory."""
+"""Tests of the in-memory platform services."""
 
 import unittest
 
@@ -34,7 +34,7 @@
 
 
 class MemoryTest(unittest.IsolatedAsyncioTestCase):
-    """An empty platform on a clock of its own."""
+    """Base class with an empty platform and a manual clock."""
 
     def setUp(self) -> None:
         self.clock = ManualClock()
@@ -84,10 +84,10 @@
         self.assertEqual(await self.table.commit(change), INVALID)
 
     async def test_lost_answer(self) -> None:
-        """A commit whose answer is lost has taken effect.
+        """A commit whose answer is lost is applied.
 
-        Symptom: the caller sees UNKNOWN. Events: the rows are written, then
-        the answer is dropped. Cause: the connection broke in between.
+        The connection breaks after the rows are written, so the caller gets
+        UNKNOWN.
         """
         self.weather.lose_answers = 1
         self.assertEqual(await self.table.commit(_commit('a')), UNKNOWN)
@@ -143,15 +143,11 @@
         self.assertEqual(await self.table.scan(Scan('', limit=0)), INVALID)
 
 
-class WeatherTest(MemoryTest):
+class ConditionsTest(MemoryTest):
     """Outages, delays, rate limits and lag."""
 
     async def test_down(self) -> None:
-        """Everything is refused while the platform is down.
-
-        Symptom: UNAVAILABLE. Events: the service is down, calls come.
-        Cause: an outage; nothing is applied.
-        """
+        """All calls get UNAVAILABLE during an outage; nothing is applied."""
         self.weather.down = True
         self.assertEqual(await self.table.commit(_commit('a')), UNAVAILABLE)
         page = await self.table.scan(Scan(''))
@@ -174,11 +170,10 @@
         await self.table.read(('a',))
         self.assertEqual(self.clock.seconds, 3)
 
-    async def test_host_list_trails(self) -> None:
-        """A change of the host list shows only after the lag.
+    async def test_host_list_lags(self) -> None:
+        """A change of the host list is visible only after the lag.
 
-        Symptom: a host that has gone is still listed. Events: the list is
-        replaced, then read. Cause: the platform's list trails.
+        Until then a host that is gone is still listed.
         """
         hosts = self.platform.hosts
         old = HostEntry('127.0.0.1:1', 'router', 'zone-a')
@@ -201,7 +196,7 @@
 
 
 class StoresTest(MemoryTest):
-    """Objects and weights."""
+    """Object store and weight store."""
 
     async def test_objects(self) -> None:
         objects = self.platform.objects
--- a/tests/test_standins_service.py
+++ b/tests/test_standins_service.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in plain service over real connections."""
+"""Tests of the simulated plain service over real connections."""
 
 import json
 import unittest
@@ -11,7 +11,7 @@
 
 
 class ServiceTest(unittest.IsolatedAsyncioTestCase):
-    """A plain service on a free port."""
+    """Behaviour of a plain service on a free port."""
 
     async def asyncSetUp(self) -> None:
         self.running = await start_service(ServiceSettings())
@@ -41,16 +41,16 @@
         self.assertEqual(response.headers['X-Not-Run'], 'true')
         self.assertEqual(self.running.core.runs, {})
 
-    async def test_fails(self) -> None:
+    async def test_failure(self) -> None:
         await self._control(fail=True)
         response = await self._send('/x')
         self.assertEqual(response.code, 500)
 
     async def test_silent(self) -> None:
-        """The service accepts requests and says nothing more.
+        """A silent service accepts requests and does not answer.
 
-        Symptom: the call times out. Events: a request is sent while the
-        service is silent. Cause: the process hangs with its socket open.
+        This simulates a process that hangs with its socket open; calls time
+        out.
         """
         await self._control(silent=True)
         with self.assertRaises(CurlError):
@@ -59,8 +59,8 @@
         response = await self._send('/load')
         self.assertEqual(response.code, 200)
 
-    async def _send(self, path: str, **more) -> HTTPResponse:
-        request = HTTPRequest(self.running.url + path, **more)
+    async def _send(self, path: str, **kwargs) -> HTTPResponse:
+        request = HTTPRequest(self.running.url + path, **kwargs)
         return await self.http.fetch(request, raise_error=False)
 
     async def _control(self, **settings) -> None:
