--- a/src/balsamreach/services/__init__.py
+++ b/src/balsamreach/services/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's services as abstract bases, and HTTP clients for them."""
+"""Interfaces of the platform's services and HTTP clients for them."""
--- a/src/balsamreach/services/base.py
+++ b/src/balsamreach/services/base.py
@@ -1,4 +1,4 @@
-"""Abstract bases and typed messages of the four platform services."""
+"""Interfaces and data types of the four platform services."""
 
 import abc
 from collections.abc import Mapping
@@ -8,7 +8,7 @@
 
 from balsamreach.services.faults import PlatformFault
 
-#: Version that stands for a key that has no row.
+#: Version of a key without a row.
 ABSENT = 0
 
 RowValue = Mapping[str, Any]
@@ -16,16 +16,16 @@
 
 @attrs.frozen
 class Row:
-    """One row as the table service returns it.
+    """A row as the table service returns it.
 
     Parameters
     ----------
     key : str
-        Full key, its parts separated by slashes.
+        Full key, with parts separated by slashes.
     version : int
         Number of the commit that last wrote the row; 0 if it never existed.
     value : Mapping or None
-        JSON object; None for a row that is absent or deleted.
+        JSON object; None if the row is absent or deleted.
     """
 
     key: str
@@ -35,9 +35,9 @@
 
 @attrs.frozen
 class Check:
-    """Condition of a commit: the row must still have this version.
+    """Condition of a commit: the row must have this version.
 
-    A version of ``ABSENT`` demands that the row is absent or deleted.
+    With version ``ABSENT`` the row must be absent or deleted.
     """
 
     key: str
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class Write:
-    """One row to write; a value of None deletes it."""
+    """A row to write; a value of None deletes it."""
 
     key: str
     value: RowValue | None
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class Commit:
-    """Writes that are applied together if and only if all checks hold."""
+    """Writes that are applied atomically if and only if all checks hold."""
 
     writes: tuple[Write, ...]
     checks: tuple[Check, ...] = ()
@@ -67,12 +67,12 @@
     Parameters
     ----------
     rows : tuple of Row
-        In key order where ``since`` was 0, else in version order, with
-        deleted rows included.
+        In key order if ``since`` was 0; otherwise in version order and
+        including deleted rows.
     version : int
-        Number of the newest commit that the page takes into account.
+        Number of the newest commit that the page includes.
     more : bool
-        Whether the scan has to go on after the last row.
+        Whether more rows follow on another page.
     """
 
     rows: tuple[Row, ...]
@@ -82,18 +82,18 @@
 
 @attrs.frozen
 class Scan:
-    """What to read: a prefix, optionally only what changed since a version.
+    """Parameters of a scan by prefix, optionally only of later changes.
 
     Parameters
     ----------
     prefix : str
-        Leading part of the keys wanted.
+        Prefix of the keys.
     since : int
-        0 for a full read; else only rows written by later commits.
+        0 for all rows; otherwise only those written by later commits.
     after : str
-        In a full read, the last key of the page before.
+        With ``since`` 0, the last key of the previous page.
     limit : int
-        Rows a page holds at most.
+        Maximum number of rows of a page.
     """
 
     prefix: str
@@ -103,7 +103,7 @@
 
 
 class TableService(abc.ABC):
-    """Transactional rows that outlive every process of ours."""
+    """Transactional table that persists when all routers stop."""
 
     @abc.abstractmethod
     async def commit(self, change: Commit) -> int | PlatformFault:
@@ -112,27 +112,30 @@
         Returns
         -------
         int or PlatformFault
-            The number of the commit, or UNREACHABLE, UNAVAILABLE, CONFLICT
-            or INVALID (nothing was applied), or UNKNOWN (no answer came).
+            The number of the commit; UNREACHABLE, UNAVAILABLE, CONFLICT or
+            INVALID if nothing was applied; UNKNOWN if no answer came.
         """
 
     @abc.abstractmethod
     async def read(
         self, keys: tuple[str, ...]
     ) -> tuple[Row, ...] | PlatformFault:
-        """Read rows by key at one instant, absent ones with version 0."""
+        """Read rows by key in one consistent view.
+
+        A row that never existed has version 0.
+        """
 
     @abc.abstractmethod
     async def scan(self, scan: Scan) -> Page | PlatformFault:
-        """Read one page of the rows under a prefix."""
+        """Read one page of the rows whose keys start with a prefix."""
 
 
 class ObjectStore(abc.ABC):
-    """Named byte strings, replaced as a whole."""
+    """Store of named byte strings, which are replaced as a whole."""
 
     @abc.abstractmethod
     async def put(self, name: str, body: bytes) -> PlatformFault | None:
-        """Store an object, replacing the one of the same name."""
+        """Store an object, replacing one of the same name."""
 
     @abc.abstractmethod
     async def get(self, name: str) -> bytes | PlatformFault:
@@ -140,29 +143,29 @@
 
     @abc.abstractmethod
     async def names(self, prefix: str) -> tuple[str, ...] | PlatformFault:
-        """Return the names under a prefix in order."""
+        """Return the sorted names that start with a prefix."""
 
     @abc.abstractmethod
     async def delete(self, name: str) -> PlatformFault | None:
-        """Remove an object; one that is gone already counts as removed."""
+        """Delete an object; no fault if it does not exist."""
 
 
 @attrs.frozen
 class HostEntry:
-    """A host as the platform's lagging list shows it.
+    """A host in the platform's host list, which may lag.
 
     Parameters
     ----------
     address : str
-        ``ip:port`` on which the host's service listens.
+        Listen address of the host's service as ``ip:port``.
     service : str
-        ``router``, or the name of the target service it runs.
+        ``router``, or the name of its target service.
     zone : str
         Availability zone.
     state : str
         ``live`` or ``leaving``.
     incarnation : str
-        Identity of this start of the host, empty where not known.
+        Identity of this start of the host; empty if unknown.
     """
 
     address: str
@@ -173,11 +176,11 @@
 
 
 class HostList(abc.ABC):
-    """The platform's lagging list of live and leaving hosts."""
+    """The platform's list of live and leaving hosts, which may lag."""
 
     @abc.abstractmethod
     async def hosts(self) -> tuple[HostEntry, ...] | PlatformFault:
-        """Return all hosts as far as the list has caught up."""
+        """Return the hosts in the list, which may lag."""
 
     @abc.abstractmethod
     async def power(
@@ -187,7 +190,7 @@
         on: bool,
         fence: int,
     ) -> PlatformFault | None:
-        """Order a host switched on or off under a fencing number."""
+        """Order a host to be switched on or off, with a fencing number."""
 
 
 class WeightStore(abc.ABC):
@@ -195,4 +198,4 @@
 
     @abc.abstractmethod
     async def reserve(self, model: str) -> float | PlatformFault:
-        """Ask for a load slot; return seconds to wait before loading."""
+        """Reserve a load; return the seconds to wait before it."""
--- a/src/balsamreach/services/faults.py
+++ b/src/balsamreach/services/faults.py
@@ -1,23 +1,23 @@
-"""Sentinel errors of the platform layer."""
+"""Faults of the platform's services."""
 
 from balsamreach.faults import Fault
 
 
 class PlatformFault(Fault):
-    """An error met while speaking to a service of the platform."""
+    """Fault of a call to a platform service."""
 
 
 #: The request never reached the service: nothing was applied.
 UNREACHABLE = PlatformFault('platform_unreachable')
-#: The service refused for now (rate limit, outage): nothing was applied.
+#: Temporary refusal (rate limit, outage): nothing was applied.
 UNAVAILABLE = PlatformFault('platform_unavailable')
-#: No answer came back: the change may or may not have been applied.
+#: No answer came: the change may or may not have been applied.
 UNKNOWN = PlatformFault('platform_unknown')
 #: A check of a conditional commit did not hold: nothing was applied.
 CONFLICT = PlatformFault('platform_conflict')
-#: The service calls the request malformed: nothing was applied.
+#: The service rejected the request as malformed: nothing was applied.
 INVALID = PlatformFault('platform_invalid')
-#: There is no such object or weight file.
+#: The object or weight file does not exist.
 MISSING = PlatformFault('platform_missing')
-#: The answer is larger than the call allows.
+#: The answer exceeds the maximum size set for the call.
 TOO_LARGE = PlatformFault('platform_too_large')
--- a/src/balsamreach/services/hosts_http.py
+++ b/src/balsamreach/services/hosts_http.py
@@ -1,4 +1,4 @@
-"""Host list and weight store spoken to over HTTP."""
+"""HTTP clients of the host list and the weight store."""
 
 import attrs
 
@@ -9,12 +9,12 @@
 
 @attrs.frozen
 class HttpHostList(HostList):
-    """Host list at a base address."""
+    """HTTP client of the host list."""
 
     client: PlatformClient
 
     async def hosts(self) -> tuple[HostEntry, ...] | PlatformFault:
-        """Return all hosts as far as the list has caught up."""
+        """Return the hosts in the list, which may lag."""
         answer = await self.client.send_json(Call('GET', '/hosts'))
         if isinstance(answer, PlatformFault):
             return answer
@@ -30,7 +30,7 @@
         on: bool,
         fence: int,
     ) -> PlatformFault | None:
-        """Order a host switched on or off under a fencing number."""
+        """Order a host to be switched on or off, with a fencing number."""
         body = {'address': address, 'on': on, 'fence': fence}
         call = json_call('/hosts/power', body, writes=True)
         outcome = await self.client.send(call)
@@ -39,12 +39,12 @@
 
 @attrs.frozen
 class HttpWeightStore(WeightStore):
-    """Weight store at a base address."""
+    """HTTP client of the weight store."""
 
     client: PlatformClient
 
     async def reserve(self, model: str) -> float | PlatformFault:
-        """Ask for a load slot; return seconds to wait before loading."""
+        """Reserve a load; return the seconds to wait before it."""
         body = {'model': model}
         call = json_call('/weights/reserve', body, writes=True)
         answer = await self.client.send_json(call)
@@ -53,4 +53,4 @@
         try:
             return float(answer['wait_s'])
         except (KeyError, TypeError, ValueError):
-            return UNKNOWN.because('the answer has no wait')
+            return UNKNOWN.because('the answer has no valid wait_s')
--- a/src/balsamreach/services/http.py
+++ b/src/balsamreach/services/http.py
@@ -1,4 +1,4 @@
-"""Sends requests to the platform's services and sorts out what failed."""
+"""HTTP client of the platform's services that classifies failures."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
     PlatformFault,
 )
 
-#: A pooled connection older than this isn't used again.
+#: Maximum age in seconds at which a pooled connection is reused.
 _CONNECTION_AGE_S = 30
 _FAULTS = {
     400: INVALID,
@@ -30,13 +30,13 @@
     429: UNAVAILABLE,
     503: UNAVAILABLE,
 }
-_FIRST_ERROR = 400
-#: Looks at a call in the time in which something must come.
-_LOOKS = 4
-#: Looks that the first one stands for.
-_FIRST_LOOKS = 3
-#: Times that time which a whole call may take while something comes.
-_MOST_TIMES = 16
+_FIRST_ERROR_STATUS = 400
+#: Progress checks per request timeout.
+_CHECKS = 4
+#: Check intervals until the first check.
+_FIRST_CHECKS = 3
+#: Maximum duration of an active call, in request timeouts.
+_MAX_TIMEOUTS = 16
 _NO_CONNECTION = frozenset(
     (
         pycurl.E_COULDNT_CONNECT,
@@ -47,20 +47,20 @@
 
 @attrs.frozen
 class Call:
-    """One request to a service.
+    """A request to a service.
 
     Parameters
     ----------
     method : str
         HTTP method.
     path : str
-        Path with query, from its first slash on.
+        Path with query, beginning with a slash.
     body : bytes or None
-        Body, for methods that have one.
+        Request body, if any.
     writes : bool
-        Whether it changes something, so that it may not be sent twice.
+        Whether the call changes data, so that it must not be sent twice.
     most_bytes : int
-        Size of an answer that is wanted; 0 for any.
+        Maximum size of the answer; 0 for no limit.
     """
 
     method: str
@@ -71,24 +71,24 @@
 
 
 @attrs.define
-class _Sending:
-    """What curl tells about one call while it is under way."""
+class _Transfer:
+    """State of a call in progress, updated by curl callbacks."""
 
     call: Call
     tls: CurlTls
-    fresh: bool = False
-    tries: int = 0
-    moved: int = 0
-    is_given_up: bool = False
+    new_connection: bool = False
+    attempts: int = 0
+    transferred: int = 0
+    is_abandoned: bool = False
 
     def prepare(self, curl: pycurl.Curl) -> None:
-        # Without a bound, a connection kept since before an outage may be
-        # dead without either side having said so: calls on it would hang
-        # until their timeout, once per pooled connection.
+        # A pooled connection from before an outage may be dead without having
+        # been closed. Without a maximum age, calls would hang on it until
+        # their timeout, once per pooled connection.
         curl.setopt(pycurl.MAXAGE_CONN, _CONNECTION_AGE_S)
-        curl.setopt(pycurl.FRESH_CONNECT, int(self.fresh))
-        # Services are given by address: a proxy named in the environment
-        # must not come between.
+        curl.setopt(pycurl.FRESH_CONNECT, int(self.new_connection))
+        # Services are configured by address: ignore proxies from the
+        # environment.
         curl.setopt(pycurl.NOPROXY, '*')
         curl.setopt(pycurl.PREREQFUNCTION, self.before_send)
         curl.setopt(pycurl.XFERINFOFUNCTION, self.note_progress)
@@ -97,87 +97,93 @@
         self.tls.prepare(curl)
 
     def before_send(self, *_addresses: Any) -> int:
-        self.tries += 1
-        # Curl sends a request again by itself where a reused connection
-        # closes without an answer. A commit that took effect would then
-        # meet its own rows and be reported as a conflict, so the second
-        # try is stopped and the caller learns that the outcome is unknown.
-        is_repeated = self.tries > 1 and self.call.writes
-        # Who gave it up may have been told that nothing was sent.
-        if is_repeated or self.is_given_up:
+        self.attempts += 1
+        # Curl resends a request by itself if a reused connection closes
+        # without an answer. A commit that was applied would then conflict
+        # with its own rows, so the second attempt is aborted and the outcome
+        # is reported as unknown.
+        is_repeat = self.attempts > 1 and self.call.writes
+        # The caller may have been told that nothing was sent.
+        if is_repeat or self.is_abandoned:
             return pycurl.PREREQFUNC_ABORT
         return pycurl.PREREQFUNC_OK
 
     def note_progress(self, _down: int, down: int, _up: int, up: int) -> bool:
-        """Count the bytes moved; True makes curl end the call."""
-        self.moved = down + up
-        return self.is_given_up
+        """Count the transferred bytes; return True to abort the transfer."""
+        self.transferred = down + up
+        return self.is_abandoned
 
-    async def outcome(
+    async def wait(
         self,
         fetch: asyncio.Future,
-        patience: float,
+        silence_timeout: float,
     ) -> HTTPResponse | PlatformFault:
-        """Wait for the answer until nothing has moved for a while."""
+        """Wait for the answer or until nothing is transferred for a timeout."""
         try:
-            answered = await self._wait(fetch, patience)
+            answered = await self._wait_while_active(fetch, silence_timeout)
         finally:
-            # Also where nobody waits any more: what is left of the call would
-            # go on to fill the link.
-            self.is_given_up = True
+            # Also if the waiting task was cancelled: the rest of the transfer
+            # would otherwise go on using the link.
+            self.is_abandoned = True
         if not answered:
-            kind = UNKNOWN if self.tries else UNREACHABLE
-            return kind.because(f'silent after {self.moved} bytes')
+            kind = UNKNOWN if self.attempts else UNREACHABLE
+            return kind.because(f'silent after {self.transferred} bytes')
         try:
             return fetch.result()
         except CurlError as exc:
             return self._fault(exc)
 
-    async def _wait(self, fetch: asyncio.Future, patience: float) -> bool:
-        # Looks are counted rather than time: a process that stood still would
-        # otherwise wake up to a silence of its own making.
-        silent_looks = 0
-        # Most calls are answered by then, and cost no other turn of the loop.
-        looks = _FIRST_LOOKS
-        while silent_looks < _LOOKS:
-            moved = self.moved
-            await asyncio.wait({fetch}, timeout=patience * looks / _LOOKS)
+    async def _wait_while_active(
+        self, fetch: asyncio.Future, silence_timeout: float
+    ) -> bool:
+        # Count checks instead of time: otherwise a process that was suspended
+        # would take its own pause for silence of the service.
+        silent_checks = 0
+        # Most calls are answered before the first check, so they need no
+        # further iteration of the event loop.
+        checks = _FIRST_CHECKS
+        while silent_checks < _CHECKS:
+            transferred = self.transferred
+            await asyncio.wait(
+                {fetch}, timeout=silence_timeout * checks / _CHECKS
+            )
             if fetch.done():
                 return True
-            # A change is small: its caller waits no longer for one in pieces.
-            is_coming = self.moved > moved and not self.call.writes
-            silent_looks = 0 if is_coming else silent_looks + looks
-            looks = 1
+            # The answer to a write is small, so a part of it does not extend
+            # the timeout.
+            is_active = self.transferred > transferred and not self.call.writes
+            silent_checks = 0 if is_active else silent_checks + checks
+            checks = 1
         return False
 
     def _fault(self, exc: CurlError) -> PlatformFault:
         if exc.errno == pycurl.E_FILESIZE_EXCEEDED:
             return TOO_LARGE.because(str(exc))
         refused = exc.errno in _NO_CONNECTION and not self.call.writes
-        if self.tries == 0 or refused:
+        if self.attempts == 0 or refused:
             return UNREACHABLE.because(str(exc))
         return UNKNOWN.because(str(exc))
 
 
 @attrs.define(eq=False)
 class PlatformClient:
-    """Shared sender for one base address.
+    """HTTP client for one base URL.
 
     Parameters
     ----------
     base_url : str
-        Scheme, address and port, without a slash at the end.
+        Scheme, address and port, without a trailing slash.
     connect_timeout : float
-        Seconds a connection may take.
+        Maximum seconds for connecting.
     request_timeout : float
-        Seconds in which something of a call must move. An answer that takes
-        longer as a whole is waited for as long as it comes: on a small link
-        a large one would be broken off and begun anew each time otherwise,
-        never be whole, and fill the link.
+        Seconds without any transferred byte after which a call fails. A read
+        may take up to 16 times as long while bytes arrive: otherwise a large
+        answer on a slow link would be aborted and restarted each time, never
+        complete and use up the link.
     tls : CurlTls
-        Certificates, where the address is https.
+        Certificates for https.
     max_clients : int
-        Calls under way at a time.
+        Maximum number of concurrent calls.
     """
 
     base_url: str
@@ -186,44 +192,46 @@
     tls: CurlTls = attrs.Factory(CurlTls)
     max_clients: int = 32
     _client: CurlAsyncHTTPClient | None = None
-    _doubtful: bool = False
+    _needs_new_connection: bool = False
 
     async def send(self, call: Call) -> bytes | PlatformFault:
-        """Send one call and return the body of its answer.
+        """Send a call and return the body of its answer.
 
         Returns
         -------
         bytes or PlatformFault
-            UNREACHABLE means that nothing was sent, UNKNOWN that no answer
-            came to what was sent.
+            UNREACHABLE if nothing was sent, UNKNOWN if the request was sent
+            and not answered, otherwise by the HTTP status.
         """
         response = await self.exchange(call)
         if isinstance(response, PlatformFault):
             return response
-        return _outcome(response)
+        return _body_or_fault(response)
 
     async def exchange(self, call: Call) -> HTTPResponse | PlatformFault:
-        """Send one call and return its answer, whatever its status.
+        """Send a call and return its answer, whatever its status.
 
         Returns
         -------
         HTTPResponse or PlatformFault
-            UNREACHABLE or UNKNOWN as from ``send``; TOO_LARGE where the
-            answer has more bytes than wanted.
+            UNREACHABLE or UNKNOWN as from ``send``; TOO_LARGE if the answer
+            exceeds ``most_bytes``.
         """
-        sending = _Sending(call, self.tls, fresh=self._doubtful)
-        request = self._request(call, sending)
-        fetch = self._fetcher().fetch(request, raise_error=False)
-        fetch.add_done_callback(_take_outcome)
-        outcome = await sending.outcome(fetch, self.request_timeout)
-        # What silenced one kept connection most likely silenced the others;
+        transfer = _Transfer(
+            call, self.tls, new_connection=self._needs_new_connection
+        )
+        request = self._request(call, transfer)
+        fetch = self._http_client().fetch(request, raise_error=False)
+        fetch.add_done_callback(_consume_exception)
+        outcome = await transfer.wait(fetch, self.request_timeout)
+        # If one pooled connection is dead, the others probably are too, and
         # each would cost a call its whole timeout.
         failed = isinstance(outcome, PlatformFault)
-        self._doubtful = failed and outcome != TOO_LARGE
+        self._needs_new_connection = failed and outcome != TOO_LARGE
         return outcome
 
     async def send_json(self, call: Call) -> Any | PlatformFault:
-        """Send one call and return the JSON of its answer."""
+        """Send a call and return its decoded JSON answer."""
         body = await self.send(call)
         if isinstance(body, PlatformFault):
             return body
@@ -238,8 +246,8 @@
             self._client.close()
             self._client = None
 
-    def _fetcher(self) -> CurlAsyncHTTPClient:
-        # Made with the first call, since it belongs to the running loop.
+    def _http_client(self) -> CurlAsyncHTTPClient:
+        # Created with the first call, because it is bound to the running loop.
         if self._client is None:
             self._client = CurlAsyncHTTPClient(
                 force_instance=True,
@@ -247,36 +255,37 @@
             )
         return self._client
 
-    def _request(self, call: Call, sending: _Sending) -> HTTPRequest:
+    def _request(self, call: Call, transfer: _Transfer) -> HTTPRequest:
         return HTTPRequest(
             self.base_url + call.path,
             method=call.method,
             body=call.body,
             connect_timeout=self.connect_timeout,
-            request_timeout=self.request_timeout * _MOST_TIMES,
+            request_timeout=self.request_timeout * _MAX_TIMEOUTS,
             follow_redirects=False,
             user_agent='balsamreach',
-            prepare_curl_callback=sending.prepare,
+            prepare_curl_callback=transfer.prepare,
         )
 
 
-def _take_outcome(fetch: asyncio.Future) -> None:
-    # Nobody waits any more for a call that was given up.
+def _consume_exception(fetch: asyncio.Future) -> None:
+    # Nobody awaits an abandoned call: without this, asyncio would log its
+    # exception as never retrieved.
     if not fetch.cancelled():
         fetch.exception()
 
 
-def _outcome(
+def _body_or_fault(
     response: HTTPResponse,
 ) -> bytes | PlatformFault:
-    if response.code < _FIRST_ERROR:
+    if response.code < _FIRST_ERROR_STATUS:
         return response.body
-    # Any other status says nothing about whether the call took effect.
+    # Other statuses do not tell whether the call was applied.
     fault = _FAULTS.get(response.code, UNKNOWN)
     return fault.because(f'the service answered {response.code}')
 
 
 def json_call(path: str, body: Any, *, writes: bool) -> Call:
-    """Return a call that posts a JSON body."""
+    """Return a POST call with a JSON body."""
     encoded = json.dumps(body, separators=(',', ':')).encode()
     return Call('POST', path, encoded, writes=writes)
--- a/src/balsamreach/services/objects_http.py
+++ b/src/balsamreach/services/objects_http.py
@@ -1,4 +1,4 @@
-"""Object store spoken to over HTTP."""
+"""HTTP client of the object store."""
 
 from urllib.parse import quote, urlencode
 
@@ -11,23 +11,23 @@
 
 @attrs.frozen
 class HttpObjectStore(ObjectStore):
-    """Object store at a base address."""
+    """HTTP client of the object store."""
 
     client: PlatformClient
 
     async def put(self, name: str, body: bytes) -> PlatformFault | None:
-        """Store an object, replacing the one of the same name."""
+        """Store an object, replacing one of the same name."""
         outcome = await self.client.send(
             Call('PUT', _path(name), body, writes=True)
         )
-        return _done(outcome)
+        return _fault_or_none(outcome)
 
     async def get(self, name: str) -> bytes | PlatformFault:
         """Return an object, or MISSING."""
         return await self.client.send(Call('GET', _path(name)))
 
     async def names(self, prefix: str) -> tuple[str, ...] | PlatformFault:
-        """Return the names under a prefix in order."""
+        """Return the sorted names that start with a prefix."""
         query = urlencode({'prefix': prefix})
         answer = await self.client.send_json(Call('GET', f'/objects?{query}'))
         if isinstance(answer, PlatformFault):
@@ -38,11 +38,11 @@
             return UNKNOWN.because('the answer has no names')
 
     async def delete(self, name: str) -> PlatformFault | None:
-        """Remove an object; one that is gone already counts as removed."""
+        """Delete an object; no fault if it does not exist."""
         outcome = await self.client.send(
             Call('DELETE', _path(name), writes=True)
         )
-        fault = _done(outcome)
+        fault = _fault_or_none(outcome)
         return None if fault == MISSING else fault
 
 
@@ -51,5 +51,5 @@
     return f'/objects/{quoted}'
 
 
-def _done(outcome: bytes | PlatformFault) -> PlatformFault | None:
+def _fault_or_none(outcome: bytes | PlatformFault) -> PlatformFault | None:
     return outcome if isinstance(outcome, PlatformFault) else None
--- a/src/balsamreach/services/outside.py
+++ b/src/balsamreach/services/outside.py
@@ -1,4 +1,4 @@
-"""What a router that passes requests through has of the platform."""
+"""Platform services used by a relay router."""
 
 import attrs
 
@@ -8,16 +8,16 @@
 
 @attrs.frozen
 class Outside:
-    """The platform's services.
+    """Platform services used by a relay router.
 
     Parameters
     ----------
     table : TableService
-        Where accounts are kept.
+        Table service with the accounts.
     hosts : HostList
-        Where routers find each other.
+        Host list, by which routers find each other.
     times : ServiceClock
-        Time of the table service.
+        Bounds on the clock of the table service.
     """
 
     table: TableService
--- a/src/balsamreach/services/scanning.py
+++ b/src/balsamreach/services/scanning.py
@@ -1,4 +1,4 @@
-"""Reads of the table service that take more than one page."""
+"""Scan of the table service over all pages."""
 
 from balsamreach.services.base import Row, Scan, TableService
 from balsamreach.services.faults import PlatformFault
@@ -8,20 +8,20 @@
     service: TableService,
     prefix: str,
 ) -> tuple[Row, ...] | PlatformFault:
-    """Return all rows under a prefix.
+    """Return all rows whose keys start with a prefix.
 
     Parameters
     ----------
     service : TableService
-        Where they are.
+        Table service to read.
     prefix : str
-        Start of their keys.
+        Prefix of the keys.
 
     Returns
     -------
     tuple of Row or PlatformFault
-        The rows in the order of their keys; the fault of the first page
-        that could not be read.
+        The rows in key order, or the fault of the first page that could not
+        be read.
     """
     found: list[Row] = []
     scan = Scan(prefix)
--- a/src/balsamreach/services/table_http.py
+++ b/src/balsamreach/services/table_http.py
@@ -1,4 +1,4 @@
-"""Table service spoken to over HTTP."""
+"""HTTP client of the table service."""
 
 from typing import Any
 from urllib.parse import urlencode
@@ -12,12 +12,12 @@
 
 @attrs.frozen
 class HttpTableService(TableService):
-    """Table service at a base address.
+    """HTTP client of the table service.
 
     Parameters
     ----------
     client : PlatformClient
-        Sender for the service's base address.
+        Client for the service's base URL.
     """
 
     client: PlatformClient
@@ -37,7 +37,7 @@
     async def read(
         self, keys: tuple[str, ...]
     ) -> tuple[Row, ...] | PlatformFault:
-        """Read rows by key at one instant."""
+        """Read rows by key in one consistent view."""
         body = {'keys': keys}
         call = json_call('/table/read', body, writes=False)
         answer = await self.client.send_json(call)
@@ -49,7 +49,7 @@
             return UNKNOWN.because('the answer has no rows')
 
     async def scan(self, scan: Scan) -> Page | PlatformFault:
-        """Read one page of the rows under a prefix."""
+        """Read one page of the rows whose keys start with a prefix."""
         query = urlencode(attrs.asdict(scan))
         call = Call('GET', f'/table/scan?{query}')
         answer = await self.client.send_json(call)
--- a/src/balsamreach/services/times.py
+++ b/src/balsamreach/services/times.py
@@ -1,4 +1,4 @@
-"""What is known of the clock of a platform service."""
+"""Bounds on the clock of a platform service."""
 
 import attrs
 
@@ -7,55 +7,62 @@
 
 @attrs.define
 class ServiceClock:
-    """A service's own steady clock, as far as its answers tell.
+    """Bounds on the clock of a service, from the times in its answers.
 
-    Hosts' clocks jump and differ, and a host that was suspended has counted
-    less time than has passed. An answer tells the service's time at some
-    moment between the sending of the call and the hearing of the answer. So
-    both bounds below hold whatever the delay, and however long this host was
-    suspended.
+    Clocks of hosts jump and differ, and a suspended host counts less time than
+    passes. An answer has the service's time at some moment between the sending
+    of the call and the arrival of the answer, so both bounds hold for any
+    delay and any suspension of this host.
 
     Parameters
     ----------
     clock : Clock
-        Time of this host.
+        Clock of this host.
     """
 
     clock: Clock
-    _least_lead: float | None = None
-    _most_lead: float | None = None
+    _min_offset: float | None = None
+    _max_offset: float | None = None
 
-    def note(self, told: float, sent: float, heard: float) -> None:
-        """Take note of an answer.
+    def note(
+        self, service_seconds: float, sent: float, received: float
+    ) -> None:
+        """Update the bounds with the time in an answer.
 
         Parameters
         ----------
-        told : float
-            Seconds that the service's clock showed.
-        sent, heard : float
-            Monotonic seconds here at the sending and at the answer.
+        service_seconds : float
+            Time of the service in seconds, as the answer has it.
+        sent, received : float
+            Monotonic seconds of this host when the call was sent and when
+            the answer was received.
         """
-        least = told - heard
-        most = told - sent
-        if self._least_lead is None or least > self._least_lead:
-            self._least_lead = least
-        if self._most_lead is None or most < self._most_lead:
-            self._most_lead = most
+        min_offset = service_seconds - received
+        max_offset = service_seconds - sent
+        if self._min_offset is None or min_offset > self._min_offset:
+            self._min_offset = min_offset
+        if self._max_offset is None or max_offset < self._max_offset:
+            self._max_offset = max_offset
 
     def at_least(self) -> float | None:
-        """Return seconds that the service's clock has passed by now."""
-        if self._least_lead is None:
+        """Return a lower bound of the service's time now, in seconds.
+
+        None before the first answer.
+        """
+        if self._min_offset is None:
             return None
-        return self.clock.now() + self._least_lead
+        return self.clock.now() + self._min_offset
 
     def at_most(self, moment: float) -> float | None:
-        """Return the most that the service's clock showed at a moment.
+        """Return an upper bound of the service's time at a moment.
+
+        None before the first answer.
 
         Parameters
         ----------
         moment : float
-            Monotonic seconds here, before the first answer.
+            Monotonic seconds of this host, before the first answer.
         """
-        if self._most_lead is None:
+        if self._max_offset is None:
             return None
-        return moment + self._most_lead
+        return moment + self._max_offset
--- a/src/balsamreach/services/traced.py
+++ b/src/balsamreach/services/traced.py
@@ -1,4 +1,4 @@
-"""Gives each call of the table service a span and a latency."""
+"""Table service wrapper that records spans and metrics of its calls."""
 
 from collections.abc import Generator
 from contextlib import contextmanager
@@ -11,18 +11,18 @@
 from balsamreach.telemetry import hops
 from balsamreach.telemetry.metrics import Metrics
 
-CALLS = 'balsamreach_platform_calls_total'
-CALL_SECONDS = 'balsamreach_platform_seconds'
+CALLS_METRIC = 'balsamreach_platform_calls_total'
+SECONDS_METRIC = 'balsamreach_platform_seconds'
 
 
 @attrs.define
 class _Call:
-    """One call under way; its outcome is known at the end."""
+    """A call in progress and its outcome for traces and metrics."""
 
     outcome: str = 'cancelled'
 
-    def note(self, answer: object) -> None:
-        """Take the outcome from what the service answered."""
+    def record(self, answer: object) -> None:
+        """Set the outcome from the answer of the service."""
         self.outcome = 'ok'
         if isinstance(answer, PlatformFault):
             self.outcome = answer.code
@@ -30,16 +30,16 @@
 
 @attrs.frozen
 class TracedTableService(TableService):
-    """Table service whose calls are seen in traces and metrics.
+    """Table service that records spans and metrics of its calls.
 
     Parameters
     ----------
     service : TableService
-        The service itself.
+        Wrapped table service.
     metrics : Metrics
-        Takes what the calls lasted and how they ended.
+        Receives the duration and outcome of each call.
     clock : Clock
-        Measures them.
+        Clock for durations.
     """
 
     service: TableService
@@ -50,37 +50,37 @@
         """Apply a conditional commit."""
         with self._call('commit') as call:
             outcome = await self.service.commit(change)
-            call.note(outcome)
+            call.record(outcome)
         return outcome
 
     async def read(
         self, keys: tuple[str, ...]
     ) -> tuple[Row, ...] | PlatformFault:
-        """Read rows by key at one instant."""
+        """Read rows by key in one consistent view."""
         with self._call('read') as call:
             rows = await self.service.read(keys)
-            call.note(rows)
+            call.record(rows)
         return rows
 
     async def scan(self, scan: Scan) -> Page | PlatformFault:
-        """Read one page of the rows under a prefix."""
+        """Read one page of the rows whose keys start with a prefix."""
         with self._call('scan') as call:
             page = await self.service.scan(scan)
-            call.note(page)
+            call.record(page)
         return page
 
     @contextmanager
     def _call(self, name: str) -> Generator[_Call, None, None]:
         call = _Call()
-        began = self.clock.now()
+        started = self.clock.now()
         try:
             with hops.hop('platform', call=name) as span:
                 yield call
                 span.set_attribute('outcome', call.outcome)
         finally:
-            self._measure(name, call.outcome, began)
+            self._record_metrics(name, call.outcome, started)
 
-    def _measure(self, name: str, outcome: str, began: float) -> None:
-        seconds = self.clock.now() - began
-        self.metrics.count(CALLS, call=name, outcome=outcome)
-        self.metrics.observe(CALL_SECONDS, seconds, call=name)
+    def _record_metrics(self, name: str, outcome: str, started: float) -> None:
+        seconds = self.clock.now() - started
+        self.metrics.count(CALLS_METRIC, call=name, outcome=outcome)
+        self.metrics.observe(SECONDS_METRIC, seconds, call=name)
--- a/tests/test_services_http.py
+++ b/tests/test_services_http.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's HTTP clients against the stand-in platform."""
+"""Tests of the platform's HTTP clients against a simulated platform."""
 
 import asyncio
 import socket
@@ -30,17 +30,20 @@
     PlatformFault,
 )
 from balsamreach.services.hosts_http import HttpHostList, HttpWeightStore
-from balsamreach.services.http import Call, PlatformClient, _Sending
+from balsamreach.services.http import Call, PlatformClient, _Transfer
 from balsamreach.services.objects_http import HttpObjectStore
 from balsamreach.services.table_http import HttpTableService
 from balsamreach.standins.serve import PlatformSettings, start_platform
 
-_SECONDS = 60
-_CHANGE = Commit((Write('a', {'n': 1}),))
+_TIMEOUT_S = 60
+_COMMIT = Commit((Write('a', {'n': 1}),))
 
 
-class StatusServer(TCPServer):
-    """Answers every connection's first request with one status line."""
+class StatusLineServer(TCPServer):
+    """Answers the first request of a connection with a bare status.
+
+    Without a status it closes the connection.
+    """
 
     status = b''
 
@@ -52,47 +55,47 @@
         stream.close()
 
 
-class SlowServer(TCPServer):
-    """Begins an answer and never ends it, or answers nothing."""
+class StallingServer(TCPServer):
+    """Never completes an answer; ``sends_part`` sends the start of one."""
 
-    begins = True
+    sends_part = True
 
-    def on_begin(self) -> None:
-        """Hear that a request came."""
+    def on_request(self) -> None:
+        """Handle the arrival of a request; tests replace it."""
 
-    def on_end(self) -> None:
-        """Hear that a connection was closed."""
+    def on_close(self) -> None:
+        """Handle the end of a connection; tests replace it."""
 
     async def handle_stream(self, stream, address) -> None:
         await stream.read_until(b'\r\n\r\n')
-        self.on_begin()
-        if self.begins:
+        self.on_request()
+        if self.sends_part:
             await stream.write(b'HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\n')
             await stream.write(b'some')
         await stream.read_until_close()
-        self.on_end()
+        self.on_close()
 
 
-class SteadyServer(TCPServer):
-    """Sends an answer piece by piece, each when it is let."""
+class TrickleServer(TCPServer):
+    """Sends an answer byte by byte with pauses."""
 
-    pieces = 12
+    byte_count = 12
     pause_s = 0.02
 
     async def handle_stream(self, stream, address) -> None:
         await stream.read_until(b'\r\n\r\n')
-        head = f'HTTP/1.1 200 x\r\nContent-Length: {self.pieces}\r\n\r\n'
+        head = f'HTTP/1.1 200 x\r\nContent-Length: {self.byte_count}\r\n\r\n'
         await stream.write(head.encode())
-        for _ in range(self.pieces):
+        for _ in range(self.byte_count):
             await asyncio.sleep(self.pause_s)
             await stream.write(b'x')
 
 
-class LargeAnswerTest(unittest.IsolatedAsyncioTestCase):
-    """How long an answer is waited for that has begun."""
+class SlowAnswerTest(unittest.IsolatedAsyncioTestCase):
+    """Timeouts of slow and incomplete answers."""
 
     async def asyncSetUp(self) -> None:
-        self.server = SlowServer()
+        self.server = StallingServer()
         sockets = bind_sockets(0, '127.0.0.1')
         self.server.add_sockets(sockets)
         self.addCleanup(self.server.stop)
@@ -107,52 +110,61 @@
         outcome = await self.client.send(Call('GET', '/'))
         self.assertEqual(outcome, UNKNOWN)
 
-    async def test_starved_by_an_answer_that_is_read_again(self) -> None:
-        """A large answer was broken off and read anew while it came."""
-        answer = await self.send_steadily(Call('GET', '/'))
-        self.assertEqual(answer, b'x' * SteadyServer.pieces)
+    async def test_slow_answer_is_not_aborted(self) -> None:
+        """A slow answer is read to its end while bytes arrive.
+
+        Otherwise it would be aborted and requested again each time.
+        """
+        answer = await self.send_to_trickle_server(Call('GET', '/'))
+        self.assertEqual(answer, b'x' * TrickleServer.byte_count)
+
+    async def test_slow_answer_to_write_times_out(self) -> None:
+        """A slow answer to a write does not extend its timeout.
 
-    async def test_a_change_whose_answer_trickles(self) -> None:
-        """Requests waited for a draw long after its time was over."""
+        Requests would otherwise wait for a draw long after their deadline.
+        """
         call = Call('POST', '/', b'', writes=True)
-        self.assertEqual(await self.send_steadily(call), UNKNOWN)
+        self.assertEqual(await self.send_to_trickle_server(call), UNKNOWN)
 
-    async def send_steadily(self, call: Call) -> bytes | PlatformFault:
+    async def send_to_trickle_server(self, call: Call) -> bytes | PlatformFault:
         """Send a call whose answer takes longer than the timeout."""
-        server = SteadyServer()
+        server = TrickleServer()
         sockets = bind_sockets(0, '127.0.0.1')
         server.add_sockets(sockets)
         self.addCleanup(server.stop)
         port = sockets[0].getsockname()[1]
         client = PlatformClient(
             f'http://127.0.0.1:{port}',
-            request_timeout=SteadyServer.pause_s * 8,
+            request_timeout=TrickleServer.pause_s * 8,
         )
         self.addCleanup(client.close)
         return await client.send(call)
 
-    async def test_a_silent_connection(self) -> None:
+    async def test_silent_connection(self) -> None:
         await self.read()
-        self.server.begins = False
+        self.server.sends_part = False
         await self.read()
 
     @parameterized.expand([('silent', False), ('cancelled', True)])
-    async def test_a_call_that_is_given_up_ends(self, _, cancelled) -> None:
-        """What nobody waits for went on to fill the link."""
+    async def test_abandoned_call_is_aborted(self, _, cancelled) -> None:
+        """A call is aborted once nobody waits for it.
+
+        Its answer would otherwise go on using the link.
+        """
         begun = asyncio.Event()
         ended = asyncio.Event()
-        self.server.on_begin = begun.set
-        self.server.on_end = ended.set
+        self.server.on_request = begun.set
+        self.server.on_close = ended.set
         reading = asyncio.ensure_future(self.read())
         await begun.wait()
         if cancelled:
             reading.cancel()
         await asyncio.wait({reading})
-        await asyncio.wait_for(ended.wait(), _SECONDS)
+        await asyncio.wait_for(ended.wait(), _TIMEOUT_S)
 
 
 class HttpTest(unittest.IsolatedAsyncioTestCase):
-    """A stand-in platform on a free port and clients for it."""
+    """Base class with a simulated platform on a free port and clients."""
 
     async def asyncSetUp(self) -> None:
         self.running = await start_platform(PlatformSettings())
@@ -169,10 +181,10 @@
 
 
 class ServicesTest(HttpTest):
-    """Each service's calls when all is well."""
+    """Successful calls to each service."""
 
     async def test_table(self) -> None:
-        self.assertEqual(await self.table.commit(_CHANGE), 1)
+        self.assertEqual(await self.table.commit(_COMMIT), 1)
         rows = await self.table.read(('a', 'b'))
         written = Row('a', 1, {'n': 1})
         self.assertEqual(rows, (written, Row('b', 0, None)))
@@ -202,11 +214,11 @@
 
 
 class FaultsTest(HttpTest):
-    """What the clients make of each way of failing."""
+    """Faults that the clients return."""
 
     async def test_conflict(self) -> None:
-        await self.table.commit(_CHANGE)
-        stale = Commit(_CHANGE.writes, (Check('a', 0),))
+        await self.table.commit(_COMMIT)
+        stale = Commit(_COMMIT.writes, (Check('a', 0),))
         self.assertEqual(await self.table.commit(stale), CONFLICT)
 
     async def test_invalid(self) -> None:
@@ -216,13 +228,9 @@
         self.assertEqual(page, INVALID)
 
     async def test_down(self) -> None:
-        """The platform refuses everything.
-
-        Symptom: UNAVAILABLE. Events: the services answer 503 or 429.
-        Cause: an outage or rate limit; nothing was applied.
-        """
+        """Status 503 or 429 gives UNAVAILABLE: nothing was applied."""
         self.weather.down = True
-        self.assertEqual(await self.table.commit(_CHANGE), UNAVAILABLE)
+        self.assertEqual(await self.table.commit(_COMMIT), UNAVAILABLE)
         self.assertEqual(await self.table.read(('a',)), UNAVAILABLE)
         self.assertEqual(await self.objects.put('x', b''), UNAVAILABLE)
         self.assertEqual(await self.weights.reserve('m'), UNAVAILABLE)
@@ -235,15 +243,14 @@
 
     @parameterized.expand([('fresh', 0), ('reused', 1)])
     async def test_lost_answer(self, _, commits_before) -> None:
-        """A commit's answer is lost, on a new or on a pooled connection.
+        """A commit whose answer is lost gives UNKNOWN, not a conflict.
 
-        Symptom: the caller is told of a conflict with its own write.
-        Events: the commit is applied, the connection closes, curl sends the
-        commit again by itself because the connection was a reused one.
-        Cause: curl takes the close for an idle connection that timed out.
+        When a reused connection closes without an answer, curl takes it for
+        an idle one that timed out and resends the request. The resent commit
+        would conflict with its own first write.
         """
         for _ in range(commits_before):
-            await self.table.commit(_CHANGE)
+            await self.table.commit(_COMMIT)
         self.weather.lose_answers = 1
         check = Check('b', 0)
         change = Commit((Write('b', {}),), (check,))
@@ -252,39 +259,33 @@
         self.assertEqual(rows[0].version, commits_before + 1)
         self.assertEqual(self.weather.writes, commits_before + 1)
 
-    async def test_gone(self) -> None:
-        """The service stopped while connections to it were pooled.
+    async def test_stopped_service(self) -> None:
+        """Calls give UNREACHABLE after the service has stopped.
 
-        Symptom: UNREACHABLE. Events: calls succeed, the service stops, the
-        next connect is refused. Cause: nothing listens any more.
+        Pooled connections from earlier calls exist, and a new connection is
+        refused.
         """
         await self.table.read(('a',))
         await self.running.stop()
         self.assertEqual(await self.table.read(('a',)), UNREACHABLE)
-        self.assertEqual(await self.table.commit(_CHANGE), UNREACHABLE)
+        self.assertEqual(await self.table.commit(_COMMIT), UNREACHABLE)
 
     async def test_no_answer_in_time(self) -> None:
-        """The service takes the call and stays quiet.
-
-        Symptom: UNKNOWN after the request timeout. Events: the connection
-        is accepted, the request sent. Cause: the service hangs.
-        """
+        """A service that hangs after accepting a call gives UNKNOWN."""
         silent = socket.create_server(('127.0.0.1', 0))
         self.addCleanup(silent.close)
         port = silent.getsockname()[1]
         client = PlatformClient(
             f'http://127.0.0.1:{port}', request_timeout=0.05
         )
-        outcome = await HttpTableService(client).commit(_CHANGE)
+        outcome = await HttpTableService(client).commit(_COMMIT)
         client.close()
         self.assertEqual(outcome, UNKNOWN)
 
-    async def test_recovers(self) -> None:
-        """A service that comes back on its address is used again.
+    async def test_restarted_service(self) -> None:
+        """Calls succeed after a restart of the service.
 
-        Symptom: calls go on failing after a restart. Events: the service
-        stops and starts while connections are pooled. Cause: a dead
-        connection would be taken for a live one.
+        They would go on failing if a dead pooled connection were reused.
         """
         await self.table.read(('a',))
         port = int(self.running.address.rpartition(':')[2])
@@ -296,7 +297,7 @@
 
 
 class StatusTest(unittest.IsolatedAsyncioTestCase):
-    """How each status of an answer is understood."""
+    """Fault for each HTTP status."""
 
     @parameterized.expand(
         [
@@ -313,25 +314,29 @@
         ]
     )
     async def test_commit(self, status, fault) -> None:
-        server = StatusServer()
+        server = StatusLineServer()
         server.status = status.encode()
         sockets = bind_sockets(0, '127.0.0.1')
         server.add_sockets(sockets)
         port = sockets[0].getsockname()[1]
         client = PlatformClient(f'http://127.0.0.1:{port}')
-        outcome = await HttpTableService(client).commit(_CHANGE)
+        outcome = await HttpTableService(client).commit(_COMMIT)
         client.close()
         server.stop()
         await asyncio.sleep(0)
         self.assertEqual(outcome, fault)
 
 
-class GivenUpTest(unittest.TestCase):
-    """Calls that are under way when nobody waits for them any more."""
+class AbandonedCallTest(unittest.TestCase):
+    """Calls that are abandoned before they are sent."""
 
     @parameterized.expand([('read', False), ('change', True)])
-    def test_nothing_is_sent_after_it_was_said_so(self, _, writes) -> None:
-        """A change took effect that was told never to have been sent."""
-        sending = _Sending(Call('POST', '/', writes=writes), CurlTls())
-        sending.is_given_up = True
-        self.assertEqual(sending.before_send(), pycurl.PREREQFUNC_ABORT)
+    def test_abandoned_call_is_not_sent(self, _, writes) -> None:
+        """An abandoned call is not sent.
+
+        Its caller may have been told that nothing was sent, and a write could
+        be applied nevertheless.
+        """
+        transfer = _Transfer(Call('POST', '/', writes=writes), CurlTls())
+        transfer.is_abandoned = True
+        self.assertEqual(transfer.before_send(), pycurl.PREREQFUNC_ABORT)
--- a/tests/test_services_times.py
+++ b/tests/test_services_times.py
@@ -1,4 +1,4 @@
-"""Tests of what is known of a service's clock."""
+"""Tests of the bounds on a service's clock."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class ServiceClockTest(unittest.TestCase):
-    """Both bounds hold whatever the delays."""
+    """Both bounds hold for any delay of the answers."""
 
     def test_unknown_before_the_first_answer(self):
         times = ServiceClock(FakeClock())
@@ -39,7 +39,7 @@
         clock = FakeClock()
         clock.seconds = 100.0
         times = ServiceClock(clock)
-        for told, sent, heard in answers:
-            times.note(told, sent, heard)
+        for service_seconds, sent, received in answers:
+            times.note(service_seconds, sent, received)
         self.assertEqual(times.at_least(), least)
         self.assertEqual(times.at_most(90.0), most)
