--- a/deploy/start.py
+++ b/deploy/start.py
@@ -1,9 +1,9 @@
 """Starts a router from a bundle of all the modules that it imports.
 
-Hundreds of hosts may start at the same moment. Looking each of some 450
-modules up on disk takes 7,300 system calls, which are most of what a start
-costs there; the bundle is read at once, and takes 1,600. Whatever it lacks,
-or another Python wrote, is imported the usual way.
+Hundreds of hosts may start at the same time. Searching for some 450 modules on
+disk takes 7,300 system calls, most of the cost of a start; with the bundle,
+which is read at once, a start takes 1,600. Modules that it lacks are imported
+as usual, and so are all modules if another Python wrote it.
 """
 
 import gc
@@ -18,11 +18,11 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 BUNDLE = os.path.join(ROOT, 'target', 'router.bundle')
 
-#: Path of a module's file, where a package's modules are (None for a plain
-#: module), and its marshalled code (None for a compiled library).
-Entry = tuple[str, list[str] | None, bytes | None]
-#: Marshalled code by what it was compiled from: source and file name.
-Compiled = dict[tuple[str, str], bytes]
+#: Path of a module's file, search locations of a package (None for a plain
+#: module), and marshalled code (None for an extension library).
+ModuleEntry = tuple[str, list[str] | None, bytes | None]
+#: Marshalled code by source text and file name.
+CodeCache = dict[tuple[str, str], bytes]
 
 
 class BundleFinder:
@@ -31,10 +31,10 @@
     Parameters
     ----------
     entries : dict
-        Entries by full names of modules.
+        Entries by full module name.
     """
 
-    def __init__(self, entries: dict[str, Entry]) -> None:
+    def __init__(self, entries: dict[str, ModuleEntry]) -> None:
         self._entries = entries
 
     def find_spec(
@@ -43,7 +43,7 @@
         _path: object = None,
         _target: object = None,
     ) -> ModuleSpec | None:
-        """Return how to load a module, None if the bundle lacks it."""
+        """Return the spec of a module, None if the bundle lacks it."""
         entry = self._entries.get(name)
         if entry is None:
             return None
@@ -61,91 +61,96 @@
         return spec
 
     def create_module(self, _spec: ModuleSpec) -> None:
-        """Leave it to the import system to make the module."""
+        """Use the default creation of modules."""
 
     def exec_module(self, module: ModuleType) -> None:
-        """Run the module's code, which is of no use after that."""
+        """Run the module's code and remove it: it is needed only once."""
         code = marshal.loads(self._entries.pop(module.__name__)[2])
         exec(code, module.__dict__)
 
 
-def read_bundle(path: str, root: str) -> tuple[dict[str, Entry], Compiled]:
-    """Return what a bundle holds, nothing if it can't be used here.
+def read_bundle(
+    path: str, root: str
+) -> tuple[dict[str, ModuleEntry], CodeCache]:
+    """Read a bundle; return empty dicts if it can't be used here.
 
     Parameters
     ----------
     path : str
-        File that ``tools/make_bundle.py`` wrote.
+        File written by ``tools/make_bundle.py``.
     root : str
-        Folder that relative paths in it start from.
+        Folder to which paths in the bundle are relative.
 
     Returns
     -------
     tuple of dict
-        Entries by full names of modules, and compiled code.
+        Entries by full module name, and compiled code.
     """
     try:
         with open(path, 'rb') as bundle:
-            octets = bundle.read()
+            content = bundle.read()
     except OSError:
         return {}, {}
-    # Code of another version of Python would crash, or do something else.
-    if not octets.startswith(MAGIC_NUMBER):
+    # Code for another version of Python would crash or behave differently.
+    if not content.startswith(MAGIC_NUMBER):
         return {}, {}
-    prefix, entries, compiled = marshal.loads(octets[len(MAGIC_NUMBER) :])
-    # Compiled libraries are where the Python that wrote it has them.
+    prefix, entries, compiled = marshal.loads(content[len(MAGIC_NUMBER) :])
+    # Extension libraries are those of the Python that wrote the bundle.
     if prefix != sys.base_prefix:
         return {}, {}
     return {
         name: (
             os.path.join(root, origin),
-            locations and [os.path.join(root, place) for place in locations],
+            locations
+            and [os.path.join(root, location) for location in locations],
             code,
         )
         for name, (origin, locations, code) in entries.items()
     }, compiled
 
 
-class CompileOnce:
-    """Stands in for ``compile`` where much was compiled before.
+class CompileCache:
+    """Replacement of ``compile`` that uses precompiled code.
 
     Parameters
     ----------
     compiled : dict
-        Code by source and file name.
+        Marshalled code by source and file name.
     """
 
-    def __init__(self, compiled: Compiled) -> None:
+    def __init__(self, compiled: CodeCache) -> None:
         self._compiled = compiled
 
     def __call__(self, source: str, filename: str, mode: str) -> object:
-        """Return the code of a source."""
+        """Return the code of a source; compile it if there is none."""
         code = self._compiled.pop((source, filename), None)
         if code is None:
             return compile(source, filename, mode)
         return marshal.loads(code)
 
 
-def use_compiled(compiled: Compiled) -> None:
-    """Let attrs take the methods of its classes as they were compiled before.
+def use_compiled(compiled: CodeCache) -> None:
+    """Make attrs use precompiled methods for its classes.
 
-    It writes the methods of each class as text and compiles that, which is a
-    fifth of the processor time of a start. The text is the same each time.
+    attrs generates the methods of each class as text and compiles it, which
+    takes a fifth of the processor time of a start. The text is the same each
+    time.
 
     Parameters
     ----------
     compiled : dict
-        Code by source and file name; what it lacks is compiled.
+        Marshalled code by source and file name; missing code is compiled.
     """
     from attr import _make
 
-    _make.compile = CompileOnce(compiled)
+    _make.compile = CompileCache(compiled)
 
 
 def main() -> None:
-    """Run the product's command line."""
-    # What modules make lives as long as the process. Looked through again and
-    # again, while more is made and later on, it costs time for nothing.
+    """Run the command line."""
+    # Objects that modules create live as long as the process. Garbage
+    # collection would scan them repeatedly, during the imports and later, and
+    # free nothing.
     gc.disable()
     entries, compiled = read_bundle(BUNDLE, ROOT)
     sys.path.append(os.path.join(ROOT, 'target', 'deps'))
@@ -154,7 +159,7 @@
         use_compiled(compiled)
     from balsamreach.ui.main import main as run
 
-    # The command line would import it when it is called for.
+    # The command line imports it only when the command is run.
     import_module('balsamreach.ui.relay')
     gc.freeze()
     gc.enable()
--- a/src/balsamreach/trial/__init__.py
+++ b/src/balsamreach/trial/__init__.py
@@ -1,1 +1,1 @@
-"""A small fleet with stand-ins in one process, to try balsamreach out."""
+"""Trial fleet of routers and simulated targets in one process."""
--- a/src/balsamreach/trial/fleet.py
+++ b/src/balsamreach/trial/fleet.py
@@ -1,4 +1,4 @@
-"""Starts and stops the trial's routers and stand-ins."""
+"""Starts and stops the routers and simulated targets of a trial."""
 
 import socket
 
@@ -31,16 +31,16 @@
 
 
 class TrialFault(Fault):
-    """A reason why a trial can't start."""
+    """Fault that prevents the start of a trial."""
 
 
-#: Something listens on a port that the trial needs.
+#: A port that the trial needs is in use.
 PORT_TAKEN = TrialFault('port_taken')
 
 
 @attrs.define
 class Fleet:
-    """The processes' worth of a small fleet inside one process."""
+    """Routers, simulated platform and targets of a trial in one process."""
 
     plan: Plan
     standins: list[Running] = attrs.field(factory=list)
@@ -48,34 +48,34 @@
 
     def check(self) -> TrialFault | None:
         """Return PORT_TAKEN if a port of the plan can't be bound."""
-        for owner, port in self.plan.ports().items():
+        for listener, port in self.plan.ports().items():
             with socket.socket() as sock:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 if not _can_bind(sock, port):
                     return PORT_TAKEN.because(
-                        f'port {port} for the {owner} is in use; end the '
+                        f'port {port} for the {listener} is in use; end the '
                         'other trial or give --shift',
                     )
         return None
 
     async def start(self) -> None:
-        """Start everything, fill the table and wait for it to be in force."""
+        """Start all parts, write the table and wait until routers apply it."""
         plan = self.plan
         platform = await start_platform(PlatformSettings(port=plan.platform))
         self.standins.append(platform)
         await self._fill_table(platform.core.table)
         await self._start_targets()
         for number in range(plan.routers):
-            router = Router(_settings(plan, number))
+            router = Router(_read_router_settings(plan, number))
             await router.start()
             self.routers.append(router)
-        # A command that is pasted, or run by a script, before the table is
-        # in force would be refused as if the trial were broken.
+        # Otherwise a command that is pasted or run by a script before the table
+        # is in force would be refused, as if the trial were broken.
         for router in self.routers:
             await router.ready.wait()
 
     async def stop(self) -> None:
-        """Let the routers leave, then stop the stand-ins."""
+        """Let the routers leave, then stop the platform and the targets."""
         for router in self.routers:
             await router.leave()
         for standin in reversed(self.standins):
@@ -110,7 +110,7 @@
     return True
 
 
-def _settings(plan: Plan, number: int) -> Settings:
-    cfg = read_settings(None, plan.settings_of(number))
+def _read_router_settings(plan: Plan, number: int) -> Settings:
+    cfg = read_settings(None, plan.router_settings(number))
     assert not isinstance(cfg, ConfigFault), cfg.reason
     return cfg
--- a/src/balsamreach/trial/plan.py
+++ b/src/balsamreach/trial/plan.py
@@ -1,4 +1,4 @@
-"""What the trial consists of: addresses, keys and rows of the table."""
+"""Plan of a trial: addresses, keys and rows of the table."""
 
 import attrs
 
@@ -12,23 +12,27 @@
 _PLATFORM_PORT = 18300
 _ENGINE_PORT = 18400
 _SERVICE_PORT = 18500
-_PREPAID = 100_000
+_PREPAID_TOKENS = 100_000
 MODEL = 'model-a'
 TEAM = 'winders'
-#: With a greater shift a port would be beyond the last one.
+#: Maximum shift; a greater one would give ports above 65535.
 MOST_SHIFT = 65535 - _SERVICE_PORT
 
 
 @attrs.frozen
 class Plan:
-    """Ports and keys of a trial.
+    """Ports, keys and size of a trial.
 
     Parameters
     ----------
     shift : int
-        Added to every port, so that two trials can run side by side.
+        Offset of all ports, so that two trials can run at the same time.
     team_key, operator_key : str
-        Secrets to call with.
+        API keys of the team and of operators.
+    zones : tuple of str
+        Availability zones; each has one engine.
+    routers : int
+        Number of routers.
     """
 
     shift: int = 0
@@ -38,39 +42,39 @@
     routers: int = 2
 
     def callers(self, number: int) -> int:
-        """Return the callers' port of a router."""
+        """Return the port for callers of a router."""
         return _CALLERS_PORT + self.shift + number
 
     def operators(self, number: int) -> int:
-        """Return the operators' port of a router."""
+        """Return the port for operators of a router."""
         return _OPERATORS_PORT + self.shift + number
 
     def peers(self, number: int) -> int:
-        """Return the peers' port of a router."""
+        """Return the port for peers of a router."""
         return _PEERS_PORT + self.shift + number
 
     def seeds(self) -> str:
-        """Return the peers' listeners of all routers."""
+        """Return the peer addresses of all routers, separated by spaces."""
         return ' '.join(
             f'{_IP}:{self.peers(number)}' for number in range(self.routers)
         )
 
     @property
     def platform(self) -> int:
-        """Port of the stand-in platform."""
+        """Port of the simulated platform."""
         return _PLATFORM_PORT + self.shift
 
     def engine(self, number: int) -> int:
-        """Return the port of a stand-in engine."""
+        """Return the port of a simulated engine."""
         return _ENGINE_PORT + self.shift + number
 
     @property
     def service(self) -> int:
-        """Port of the stand-in plain service."""
+        """Port of the simulated plain service."""
         return _SERVICE_PORT + self.shift
 
     def ports(self) -> dict[str, int]:
-        """Return every port by what will listen on it."""
+        """Return all ports by a description of their listener."""
         ports = {'stand-in platform': self.platform}
         ports['stand-in service'] = self.service
         for router in range(self.routers):
@@ -81,8 +85,8 @@
             ports[f'stand-in engine {number}'] = self.engine(number)
         return ports
 
-    def settings_of(self, number: int) -> tuple[str, ...]:
-        """Return the settings of a router as overrides of the defaults."""
+    def router_settings(self, number: int) -> tuple[str, ...]:
+        """Return the settings of a router that override the defaults."""
         url = f'http://{_IP}:{self.platform}'
         return (
             f'host.name=router-{number}',
@@ -103,7 +107,7 @@
         )
 
     def rows(self) -> tuple[TeamRow | TargetRow, ...]:
-        """Return the rows that the table starts with."""
+        """Return the initial rows of the table."""
         engines = (
             TargetRow(
                 name=f'engine-{number}',
@@ -129,8 +133,8 @@
         return (
             TeamRow(
                 name=TEAM,
-                prepaid=_PREPAID,
+                prepaid=_PREPAID_TOKENS,
                 key_hashes=(hash_key(self.team_key),),
             ),
-            TeamRow(name='front-desk', prepaid=_PREPAID),
+            TeamRow(name='front-desk', prepaid=_PREPAID_TOKENS),
         )
--- a/tests/test_deploy_start.py
+++ b/tests/test_deploy_start.py
@@ -1,4 +1,4 @@
-"""Tests of a start from a bundle of modules."""
+"""Tests of starting from a bundle of modules."""
 
 import marshal
 import os
@@ -12,7 +12,7 @@
 from parameterized import parameterized
 
 ROOT = Path(__file__).resolve().parent.parent
-_SECONDS = 60
+_TIMEOUT_S = 60
 
 
 def _load(path):
@@ -24,8 +24,8 @@
 
 start = _load(ROOT / 'deploy' / 'start.py')
 
-_ELSEWHERE = marshal.dumps(('/elsewhere', {'a': ('b', None, b'')}, {}))
-_NEVER = marshal.dumps(('', {}, {}))
+_OTHER_PREFIX = marshal.dumps(('/elsewhere', {'a': ('b', None, b'')}, {}))
+_EMPTY_BUNDLE = marshal.dumps(('', {}, {}))
 _MODULES = {
     'sample/__init__.py': 'from sample.inner import NAME\n',
     'sample/inner.py': (
@@ -40,7 +40,7 @@
 
 
 class StartTest(unittest.TestCase):
-    """Modules come from the bundle, and from their files without one."""
+    """Modules are loaded from the bundle, or from files without one."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -60,7 +60,7 @@
             [sys.executable, script, str(self.bundle), *names],
             cwd=self.root,
             env=os.environ | {'PYTHONPATH': str(self.root)},
-            timeout=_SECONDS,
+            timeout=_TIMEOUT_S,
             check=True,
             capture_output=True,
         )
@@ -68,7 +68,7 @@
     def read(self):
         return start.read_bundle(str(self.bundle), str(self.root))
 
-    def test_a_module_comes_whole_without_its_file(self):
+    def test_module_loads_without_its_file(self):
         self.write()
         (self.root / 'sample' / 'inner.py').unlink()
         script = self.root / 'use.py'
@@ -83,11 +83,11 @@
             'print(sample.NAME, sample.inner.__file__)\n',
             encoding='utf-8',
         )
-        told = self.run_python(str(script)).stdout.decode().split(maxsplit=2)
-        self.assertEqual(told[0], 'Pair(one=1,')
-        self.assertTrue(told[2].strip().endswith('sample/inner.py'))
+        output = self.run_python(str(script)).stdout.decode().split(maxsplit=2)
+        self.assertEqual(output[0], 'Pair(one=1,')
+        self.assertTrue(output[2].strip().endswith('sample/inner.py'))
 
-    def test_paths_follow_the_checkout(self):
+    def test_paths_are_relative_to_root(self):
         self.write()
         moved = start.read_bundle(str(self.bundle), '/elsewhere')[0]
         origin, locations, _ = moved['sample']
@@ -98,22 +98,22 @@
         [
             ('none', None),
             ('empty', b''),
-            ('of another version', b''.join((b'none', _NEVER))),
-            ('of another place', b''.join((util.MAGIC_NUMBER, _ELSEWHERE))),
+            ('of another version', b''.join((b'none', _EMPTY_BUNDLE))),
+            ('of another place', b''.join((util.MAGIC_NUMBER, _OTHER_PREFIX))),
         ]
     )
-    def test_a_bundle_that_can_not_be_used(self, _name, octets):
-        """Symptom: a router crashes at its start, or runs other code.
+    def test_unusable_bundle(self, _name, content):
+        """A bundle that is missing or from another Python is not used.
 
-        Sequence: Python is updated, and the bundle is not.
-        Cause: code of another version was run.
+        After an update of Python without a new bundle, code for the old
+        version would crash the router at its start or behave differently.
         """
-        if octets is not None:
-            self.bundle.write_bytes(octets)
+        if content is not None:
+            self.bundle.write_bytes(content)
         self.assertEqual(self.read(), ({}, {}))
 
-    def test_what_was_not_compiled_before_is_compiled(self):
-        once = start.CompileOnce({})
+    def test_missing_code_is_compiled(self):
+        compile_cache = start.CompileCache({})
         names = {}
-        exec(once('value = 3', '<test>', 'exec'), names)
+        exec(compile_cache('value = 3', '<test>', 'exec'), names)
         self.assertEqual(names['value'], 3)
