--- a/src/balsamreach/__init__.py
+++ b/src/balsamreach/__init__.py
@@ -1,3 +1,3 @@
-"""Router fleet for language-model capacity paid for in advance."""
+"""Router fleet for prepaid language-model capacity."""
 
 __version__ = '0.1.0'
--- a/src/balsamreach/__main__.py
+++ b/src/balsamreach/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line by ``python -m balsamreach``."""
+"""Entry point of ``python -m balsamreach``."""
 
 from balsamreach.ui.main import main
 
--- a/src/balsamreach/clock.py
+++ b/src/balsamreach/clock.py
@@ -1,4 +1,4 @@
-"""Time as an argument, so that decisions can be tested without waiting."""
+"""Clocks that are passed as arguments, so that tests need not wait."""
 
 import abc
 import asyncio
@@ -6,15 +6,15 @@
 
 
 class Clock(abc.ABC):
-    """Source of time for all code that decides something."""
+    """Interface of the clock for all code that depends on time."""
 
     @abc.abstractmethod
     def now(self) -> float:
-        """Return monotonic seconds, of use only for differences."""
+        """Return monotonic seconds; only differences are meaningful."""
 
     @abc.abstractmethod
     def wall(self) -> float:
-        """Return seconds since the Unix epoch, for records and people."""
+        """Return seconds since the Unix epoch, for records and display."""
 
     @abc.abstractmethod
     async def sleep(self, seconds: float) -> None:
@@ -22,7 +22,7 @@
 
 
 class SystemClock(Clock):
-    """The machine's own clocks."""
+    """Clocks of the machine."""
 
     def now(self) -> float:
         """Return the machine's monotonic time in seconds."""
--- a/src/balsamreach/curl_tls.py
+++ b/src/balsamreach/curl_tls.py
@@ -1,27 +1,26 @@
-"""TLS of all transfers by curl."""
+"""TLS settings of all curl transfers."""
 
 import attrs
 import pycurl
 
-#: Seconds after which renewed files of CAs are in force. Curl by itself
-#: would go on with what it has read for a day: a router that runs would call
-#: every server strange whose certificate is of the new CA.
+#: Seconds for which curl caches CA files. With curl's default of a day, a
+#: running router would reject every server with a certificate of a new CA.
 CA_CACHE_S = 60
 
-# Libcurl's CURLOPT_CA_CACHE_TIMEOUT, which pycurl has no name for.
+# CURLOPT_CA_CACHE_TIMEOUT of libcurl, which pycurl does not define.
 _CA_CACHE_TIMEOUT = 321
 
 
 @attrs.frozen
 class CurlTls:
-    """PEM files for servers reached over TLS.
+    """Paths of the PEM files for TLS connections to servers.
 
     Parameters
     ----------
     ca : str
-        CA of the servers; empty for the machine's own CAs.
+        CA of the servers; empty for the system's CAs.
     certificate, key : str
-        What is shown to a server that asks for a certificate.
+        Client certificate and its key; empty for none.
     """
 
     ca: str = ''
@@ -29,7 +28,10 @@
     key: str = ''
 
     def prepare(self, curl: pycurl.Curl) -> None:
-        """Set the files on a handle; new ones are read while it lives."""
+        """Set the TLS options of a curl handle.
+
+        Renewed files are read during the life of the handle.
+        """
         curl.setopt(pycurl.SSLVERSION, pycurl.SSLVERSION_TLSv1_2)
         curl.setopt(_CA_CACHE_TIMEOUT, CA_CACHE_S)
         files = {
--- a/src/balsamreach/faults.py
+++ b/src/balsamreach/faults.py
@@ -1,4 +1,4 @@
-"""Sentinel error values that every layer builds its own set from."""
+"""Base class of the faults, errors that are returned as values."""
 
 from typing import Self
 
@@ -7,30 +7,30 @@
 
 @attrs.frozen
 class Fault:
-    """An error as a value: a fixed code and the reason it arose this time.
+    """An error as a value: a fixed code and the reason of this occurrence.
 
-    Each layer subclasses this and keeps its sentinels as module constants.
-    A function that can fail returns its result or one of its own layer's
-    faults; it never hands a fault of a lower layer upwards.
+    Each layer subclasses it and defines its sentinels as module constants. A
+    function that can fail returns its result or a fault of its own layer,
+    never one of a lower layer.
 
     Parameters
     ----------
     code : str
         Machine-readable name of the sentinel, stable across releases.
     reason : str
-        One sentence for a person, without the final full stop.
+        A sentence for people, without a full stop at its end.
     """
 
     code: str
     reason: str = attrs.field(default='', eq=False)
 
     def because(self, reason: str) -> Self:
-        """Return the same sentinel with the reason of this occurrence.
+        """Return a copy with the reason of this occurrence.
 
         Parameters
         ----------
         reason : str
-            What happened, in words an operator can act on.
+            What happened, in terms that an operator can act on.
 
         Returns
         -------
