--- a/src/balsamreach/standins/engine_cache.py
+++ b/src/balsamreach/standins/engine_cache.py
@@ -69,14 +69,14 @@
 
     def use(self, blocks: tuple[str, ...]) -> int:
         """Store blocks; return how many leading ones were cached before."""
-        held = 0
+        cached = 0
         for block in blocks:
             if block not in self._blocks:
                 break
-            held += 1
+            cached += 1
         for block in blocks:
             self._store(block)
-        return held
+        return cached
 
     def clear(self) -> None:
         """Remove all blocks and events, as a restart does."""
