--- a/bench/budget_policies.py
+++ b/bench/budget_policies.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from balsamreach.budget.account import Account, Bill, account_key, encode
+from balsamreach.budget.account import Account, Bill, account_key, encode_record
 from balsamreach.budget.budgets import Budgets
 from balsamreach.budget.faults import EXHAUSTED, NO_ALLOTMENT, BudgetFault
 from balsamreach.config.settings import BudgetSettings
@@ -15,7 +15,7 @@
 from balsamreach.standins.memory import MemoryPlatform
 from bench.budget_trace import Call
 from bench.routing_loop import LoopClock
-from tests.budget_world import Gate
+from tests.budget_world import SwitchedService
 from tests.fake_net import FakeNet
 
 _TRIES = 8
@@ -47,14 +47,14 @@
     ----------
     platform : MemoryPlatform
         Holds the accounts.
-    gates : list of Gate
+    connections : list of SwitchedService
         Each router's way to it.
     seed : int
         Seed of its randomness.
     """
 
     platform: MemoryPlatform
-    gates: list[Gate]
+    connections: list[SwitchedService]
     seed: int
 
     @abc.abstractmethod
@@ -96,11 +96,11 @@
 
     def __attrs_post_init__(self) -> None:
         """Start the routers, half of them in each of two zones."""
-        for number, gate in enumerate(self.gates):
-            zone = 'zone-a' if number < len(self.gates) / 2 else 'zone-b'
+        for number, connection in enumerate(self.connections):
+            zone = 'zone-a' if number < len(self.connections) / 2 else 'zone-b'
             peer = self.net.join(f'r{number}', zone)
             router = Budgets(
-                gate,
+                connection,
                 f'r{number}',
                 self.cfg,
                 LoopClock(),
@@ -122,7 +122,7 @@
     def idle(self) -> int:
         """Return the routers' own tokens that are not set aside."""
         return sum(
-            ledger.own
+            ledger.unspent_granted
             for router in self.routers
             for ledger in router.ledgers.values()
         )
@@ -167,19 +167,19 @@
             fault = await self._take(call, call.used - call.tokens)
 
     async def _take(self, call: Call, tokens: int) -> BudgetFault | None:
-        gate = self.gates[call.router]
+        connection = self.connections[call.router]
         key = account_key(call.team)
         for attempt in range(_TRIES):
-            rows = await gate.read((key,))
+            rows = await connection.read((key,))
             if isinstance(rows, PlatformFault):
                 return NO_ALLOTMENT
             account = Account(**rows[0].value)
             if tokens > account.free:
                 return EXHAUSTED
             taken = attrs.evolve(account, taken=account.taken + tokens)
-            outcome = await gate.commit(
+            outcome = await connection.commit(
                 Commit(
-                    (Write(key, encode(taken)),),
+                    (Write(key, encode_record(taken)),),
                     (Check(key, rows[0].version),),
                 ),
             )
@@ -229,18 +229,18 @@
         while True:
             await asyncio.sleep(self.cfg.flush_interval)
             for number in tuple(self.waiting):
-                if self.gates[number].open:
+                if self.connections[number].open:
                     await self.platform.weather.admit_write()
                     self.waiting.discard(number)
 
     def _all(self) -> range:
-        return range(len(self.gates))
+        return range(len(self.connections))
 
     async def _fund(self, number: int, team: str, tokens: int) -> None:
-        while not self.gates[number].open:  # ruff: ignore[async-busy-wait]
+        while not self.connections[number].open:  # ruff: ignore[async-busy-wait]
             await asyncio.sleep(1)
         part = (number, team)
-        share = tokens // len(self.gates)
+        share = tokens // len(self.connections)
         self.left[part] = self.left.get(part, 0) + share
 
 
--- a/bench/budget_runs.py
+++ b/bench/budget_runs.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from balsamreach.budget.account import Account, account_key, encode
+from balsamreach.budget.account import Account, account_key, encode_record
 from balsamreach.budget.auditor import Auditor
 from balsamreach.budget.faults import BudgetFault
 from balsamreach.config.settings import BudgetSettings
@@ -14,7 +14,7 @@
 from bench.budget_policies import Central, Escrow, Policy, Static
 from bench.budget_trace import Call, Load, demand, draw_calls
 from bench.routing_loop import LoopClock
-from tests.budget_world import Gate
+from tests.budget_world import SwitchedService
 
 POLICIES = ('escrow', 'central', 'static')
 
@@ -81,7 +81,7 @@
     calls: list[Call]
     seed: int
     platform: MemoryPlatform
-    gates: list[Gate]
+    connections: list[SwitchedService]
     policy: Policy
     tally: Tally = attrs.field(factory=Tally)
     prepaid: dict[str, int] = attrs.field(factory=dict)
@@ -147,8 +147,8 @@
         room -= self.reserved.get(call.team, 0)
         if room < call.tokens:
             return
-        gate = self.gates[call.router]
-        if not gate.open or self.platform.weather.down:
+        connection = self.connections[call.router]
+        if not connection.open or self.platform.weather.down:
             self.tally.false_away += 1
             return
         self.tally.false_up += 1
@@ -160,19 +160,19 @@
         if not span:
             return
         await asyncio.sleep(self.scenario.begin * length)
-        half = list(range(len(self.gates) // 2, len(self.gates)))
+        half = list(range(len(self.connections) // 2, len(self.connections)))
         self.platform.weather.down = self.scenario.down
         if self.scenario.cuts:
             self.policy.cut(half)
             for number in half:
-                self.gates[number].open = False
+                self.connections[number].open = False
         await asyncio.sleep(span / 3)
         if self.scenario.top_up:
             await self._pay(self.scenario.top_up)
         await asyncio.sleep(span * 2 / 3)
         self.platform.weather.down = False
-        for gate in self.gates:
-            gate.open = True
+        for connection in self.connections:
+            connection.open = True
         self.policy.heal()
 
     async def _pay(self, times: float) -> None:
@@ -196,7 +196,7 @@
         account = Account(**(rows[0].value or {}))
         topped = attrs.evolve(account, prepaid=account.prepaid + paid)
         await table.commit(
-            Commit((Write(account_key(team), encode(topped)),)),
+            Commit((Write(account_key(team), encode_record(topped)),)),
         )
         self._conditions(
             before.delay_s,
@@ -288,16 +288,18 @@
         Seed of all randomness.
     """
     platform = MemoryPlatform.start(LoopClock())
-    gates = [Gate(platform.table) for _ in range(scenario.load.routers)]
+    connections = [
+        SwitchedService(platform.table) for _ in range(scenario.load.routers)
+    ]
     calls = draw_calls(scenario.load, seed)
-    shared = (platform, gates, seed)
+    shared = (platform, connections, seed)
     if policy == 'central':
         chosen: Policy = Central(*shared)
     elif policy == 'static':
         chosen = Static(*shared, cfg)
     else:
         chosen = Escrow(*shared, cfg)
-    run = Run(scenario, calls, seed, platform, gates, chosen)
+    run = Run(scenario, calls, seed, platform, connections, chosen)
     return await run.measure()
 
 
--- a/bench/scenarios/common.py
+++ b/bench/scenarios/common.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from balsamreach.budget.account import Allotment, allotment_key, encode
+from balsamreach.budget.account import Allotment, allotment_key, encode_record
 from balsamreach.services.base import Commit, Write
 from balsamreach.table.rows import PLAIN_SERVICE, TargetRow
 from bench import probe
@@ -196,7 +196,7 @@
     writes = tuple(
         Write(
             allotment_key('sabotage', name),
-            encode(Allotment(granted=most, settled=most + 1)),
+            encode_record(Allotment(granted=most, settled=most + 1)),
         )
         for name, most in prepaid.items()
     )
--- a/bench/slopes_memory.py
+++ b/bench/slopes_memory.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from balsamreach.budget.account import Account, Bill, account_key, encode
+from balsamreach.budget.account import Account, Bill, account_key, encode_record
 from balsamreach.budget.budgets import Budgets
 from balsamreach.clock import Clock, SystemClock
 from balsamreach.config.reader import read_settings
@@ -54,7 +54,7 @@
 async def fund(teams: list[str], clock: Clock) -> MemoryPlatform:
     """Return a platform that holds a full account for each team."""
     platform = MemoryPlatform.start(clock)
-    account = encode(Account(prepaid=_PREPAID))
+    account = encode_record(Account(prepaid=_PREPAID))
     for name in teams:
         write = Write(account_key(name), account)
         await platform.table.commit(Commit((write,)))
--- a/bench/slopes_takeover.py
+++ b/bench/slopes_takeover.py
@@ -26,7 +26,7 @@
     router = await _hold(platform, 'router', teams)
     began = time.process_time()
     for _ in range(_ROUNDS):
-        await router.upkeep.round()
+        await router.maintenance.run_round()
     return {'round_us_per_ledger': cpu_us_since(began, count * _ROUNDS)}
 
 
@@ -44,7 +44,7 @@
         LoopClock(),
         address=_ADDRESS,
     )
-    await router.upkeep.round()
+    await router.maintenance.run_round()
     for name in teams:
         router.release(await router.reserve(name, _TOKENS))
     return router
@@ -63,7 +63,7 @@
     before = (weather.reads, weather.writes)
     after = await _hold(platform, 'after', [])
     for _ in range(_ROUNDS):
-        await after.upkeep.round()
+        await after.maintenance.run_round()
     return {
         'reads_per_allotment': (weather.reads - before[0]) / count,
         'writes_per_allotment': (weather.writes - before[1]) / count,
--- a/src/balsamreach/budget/account.py
+++ b/src/balsamreach/budget/account.py
@@ -155,7 +155,7 @@
     return f'{BILL_PREFIX}{team}/{key}'
 
 
-def encode(record: Account | Allotment | Bill) -> dict[str, Any]:
+def encode_record(record: Account | Allotment | Bill) -> dict[str, Any]:
     """Return a record as a dict that can be stored as JSON."""
     return attrs.asdict(record)
 
--- a/src/balsamreach/budget/drawing.py
+++ b/src/balsamreach/budget/account_drawer.py
@@ -5,8 +5,12 @@
 
 import attrs
 
-from balsamreach.budget.book import Book
-from balsamreach.budget.faults import NO_ALLOTMENT, BudgetFault, too_little
+from balsamreach.budget.book import LedgerBook
+from balsamreach.budget.faults import (
+    NO_ALLOTMENT,
+    BudgetFault,
+    insufficient_tokens,
+)
 from balsamreach.budget.ledger import Ledger
 from balsamreach.budget.moves import Move
 from balsamreach.budget.reporting import UsageReporter
@@ -20,7 +24,7 @@
 
 
 @attrs.define
-class Drawing:
+class AccountDrawer:
     """Draws for waiting requests and reports the resulting use.
 
     Parameters
@@ -37,7 +41,7 @@
         Reports what requests will use; None where routers don't report.
     """
 
-    book: Book
+    book: LedgerBook
     sizing: Sizing
     backoff: float = FAILURE_BACKOFF_S
     timeout: float = DRAW_TIMEOUT_S
@@ -86,9 +90,9 @@
         if self.is_backing_off():
             return NO_ALLOTMENT.because('the table service is away')
         if self.sizing.is_account_empty(ledger):
-            return too_little(ledger.team)
+            return insufficient_tokens(ledger.team)
         for _ in range(_MAX_TRIES):
-            outcome = await self.book.move(partial(self._moves, ledger))
+            outcome = await self.book.apply_moves(partial(self._moves, ledger))
             if isinstance(outcome, BudgetFault):
                 self._note_fault(outcome)
                 return outcome
--- a/src/balsamreach/budget/audit.py
+++ b/src/balsamreach/budget/audit_report.py
@@ -4,12 +4,12 @@
 
 from balsamreach.budget.account import Account, Allotment
 
-OVERSPENT = 'taken_above_prepaid'
-UNBALANCED = 'taken_differs_from_held'
-ALLOTMENT_OVER = 'allotment_spent_beyond_grant'
-BILLS_OFF = 'bills_differ_from_spend'
-UNCLAIMED = 'bill_without_claim'
-ORPHANED = 'rows_without_account'
+TAKEN_ABOVE_PREPAID = 'taken_above_prepaid'
+TAKEN_DIFFERS_FROM_HELD = 'taken_differs_from_held'
+ALLOTMENT_OVERSPENT = 'allotment_spent_beyond_grant'
+BILLS_DIFFER_FROM_SPEND = 'bills_differ_from_spend'
+BILL_WITHOUT_CLAIM = 'bill_without_claim'
+ROWS_WITHOUT_ACCOUNT = 'rows_without_account'
 
 
 @attrs.frozen
@@ -100,7 +100,7 @@
 
 
 @attrs.define
-class Report:
+class AuditReport:
     """The result of an audit.
 
     Parameters
--- a/src/balsamreach/budget/auditor.py
+++ b/src/balsamreach/budget/auditor.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from balsamreach.budget import audit
+from balsamreach.budget import audit_report
 from balsamreach.budget.account import (
     ACCOUNT_PREFIX,
     ALLOTMENT_PREFIX,
@@ -14,7 +14,12 @@
     decode_account,
     decode_allotment,
 )
-from balsamreach.budget.audit import OpenClaim, Report, StrandedTokens, TeamSums
+from balsamreach.budget.audit_report import (
+    AuditReport,
+    OpenClaim,
+    StrandedTokens,
+    TeamSums,
+)
 from balsamreach.budget.faults import NO_ALLOTMENT, BudgetFault
 from balsamreach.budget.incarnations import ROUTER_PREFIX
 from balsamreach.services.base import Row, Scan, TableService
@@ -37,12 +42,12 @@
     """
 
     service: TableService
-    report: Report = attrs.field(factory=Report)
+    report: AuditReport = attrs.field(factory=AuditReport)
     _serving: set[str] = attrs.field(factory=set)
     _fault: PlatformFault | None = None
     _latest_version: int = 0
 
-    async def audit(self) -> Report | BudgetFault:
+    async def audit(self) -> AuditReport | BudgetFault:
         """Read all records and check them.
 
         Returns
@@ -111,7 +116,9 @@
         sums.billed += bill['tokens']
         sums.bills += 1
         if CLAIMED in bill['flags'] and not claimed:
-            self.report.add_breach(audit.UNCLAIMED, bill['team'], bill['key'])
+            self.report.add_breach(
+                audit_report.BILL_WITHOUT_CLAIM, bill['team'], bill['key']
+            )
 
     def _add_open_claim(self, claim: Row) -> None:
         self.report.claims += 1
@@ -183,21 +190,21 @@
 def _find_breaches(sums: TeamSums, *, changed: bool) -> list[tuple[str, str]]:
     account = sums.account
     if account is None:
-        return [(audit.ORPHANED, f'{sums.bills} bills')]
+        return [(audit_report.ROWS_WITHOUT_ACCOUNT, f'{sums.bills} bills')]
     found = []
     if account.taken > account.prepaid:
         detail = f'taken {account.taken}, prepaid {account.prepaid}'
-        found.append((audit.OVERSPENT, detail))
+        found.append((audit_report.TAKEN_ABOVE_PREPAID, detail))
     for name, allotment in sums.allotments.items():
         if allotment.outstanding < 0:
-            found.append((audit.ALLOTMENT_OVER, name))
+            found.append((audit_report.ALLOTMENT_OVERSPENT, name))
     # The rows of one team are read again in one consistent read, so they
     # balance even under load, unless a router drew for the first time since.
     held = sums.held + account.folded
     if account.taken != held and not changed:
         detail = f'taken {account.taken}, held and folded {held}'
-        found.append((audit.UNBALANCED, detail))
+        found.append((audit_report.TAKEN_DIFFERS_FROM_HELD, detail))
     if sums.billed != sums.recorded and not changed:
         detail = f'bills {sums.billed}, recorded {sums.recorded}'
-        found.append((audit.BILLS_OFF, detail))
+        found.append((audit_report.BILLS_DIFFER_FROM_SPEND, detail))
     return found
--- a/src/balsamreach/budget/book.py
+++ b/src/balsamreach/budget/book.py
@@ -7,15 +7,15 @@
 import attrs
 
 from balsamreach.budget.account import Loan
-from balsamreach.budget.draws import Drawer, Outcomes
 from balsamreach.budget.faults import (
     EXHAUSTED,
     NO_ALLOTMENT,
     TAKEN_OVER,
     BudgetFault,
 )
-from balsamreach.budget.incarnations import Incarnations
+from balsamreach.budget.incarnations import AddressRegistration
 from balsamreach.budget.ledger import Ledger
+from balsamreach.budget.move_committer import MoveCommitter, Outcomes
 from balsamreach.budget.moves import Move, MoveResult
 from balsamreach.budget.rate import DEFAULT_WINDOW_S, Rate
 from balsamreach.budget.usage import UsageLimit, UsageLimiter, tokens_in_use
@@ -23,7 +23,7 @@
 from balsamreach.telemetry.logs import log_event
 from balsamreach.telemetry.metrics import Metrics
 
-HELD = 'balsamreach_budget_held_tokens'
+HELD_TOKENS = 'balsamreach_budget_held_tokens'
 MOVES = 'balsamreach_budget_moves_total'
 LOANS_RECORDED = 'balsamreach_budget_loans_recorded_total'
 LOANS_DROPPED = 'balsamreach_budget_loans_dropped_total'
@@ -39,14 +39,14 @@
 
 
 @attrs.define
-class Book:
+class LedgerBook:
     """Ledgers by team.
 
     Parameters
     ----------
-    drawer : Drawer
+    committer : MoveCommitter
         Commits moves to the table service.
-    incarnations : Incarnations
+    registration : AddressRegistration
         Registers this router at its address before its first move.
     clock : Clock
         Time for the rates.
@@ -70,15 +70,15 @@
         Loans recorded since the lenders were last told.
     """
 
-    drawer: Drawer
-    incarnations: Incarnations
+    committer: MoveCommitter
+    registration: AddressRegistration
     clock: Clock
     metrics: Metrics
     spends_loans: bool
     rate_window: float = DEFAULT_WINDOW_S
     is_away: Callable[[], bool] = bool
     usage_limit: UsageLimit | None = None
-    closed: BudgetFault | None = None
+    closing_fault: BudgetFault | None = None
     ledgers: dict[str, Ledger] = attrs.field(factory=dict)
     recorded_loans: list[Loan] = attrs.field(factory=list)
     _lock: asyncio.Lock = attrs.field(factory=asyncio.Lock)
@@ -94,16 +94,18 @@
             )
         return self.ledgers[team]
 
-    async def enter(self) -> BudgetFault | None:
+    async def register(self) -> BudgetFault | None:
         """Register this router; return why it may not draw, None if it may."""
         # A successor on this address has to find this router in the row of
         # the address; otherwise it would not know whose allotments to close.
-        fault = self.closed or await self.incarnations.enter()
+        fault = self.closing_fault or await self.registration.register()
         if fault is not None:
-            self.note(fault)
+            self.note_fault(fault)
         return fault
 
-    async def move(self, make_moves: MakeMoves) -> Outcomes | BudgetFault:
+    async def apply_moves(
+        self, make_moves: MakeMoves
+    ) -> Outcomes | BudgetFault:
         """Plan moves, commit them and update the ledgers.
 
         Parameters
@@ -115,7 +117,7 @@
         Returns
         -------
         dict or BudgetFault
-            As from ``Drawer.move``.
+            As from ``MoveCommitter.commit``.
         """
         # A cancelled caller must not cancel a move in progress: a loan that
         # was recorded in the table service but not in the ledger would be
@@ -126,26 +128,26 @@
             asyncio.ensure_future(self._move(make_moves)),
         )
 
-    def note(self, fault: BudgetFault) -> None:
+    def note_fault(self, fault: BudgetFault) -> None:
         """Stop spending permanently if the fault is TAKEN_OVER."""
         if fault == TAKEN_OVER:
-            self.closed = fault
+            self.closing_fault = fault
 
     async def _move(self, make_moves: MakeMoves) -> Outcomes | BudgetFault:
         async with self._lock:
-            fault = _SERVICE_AWAY if self.is_away() else await self.enter()
+            fault = _SERVICE_AWAY if self.is_away() else await self.register()
             if fault is not None:
                 return fault
             moves = tuple(make_moves())
             if not moves:
                 return {}
-            outcomes = await self.drawer.move(moves)
+            outcomes = await self.committer.commit(moves)
             if isinstance(outcomes, BudgetFault):
                 self._handle_failure(moves, outcomes)
                 return outcomes
             for move in moves:
                 self._apply_outcome(move, outcomes[move.team])
-                self.ledgers[move.team].hand_out()
+                self.ledgers[move.team].serve_queue()
             return outcomes
 
     def _handle_failure(
@@ -154,10 +156,10 @@
         fault: BudgetFault,
     ) -> None:
         self.metrics.count(MOVES, outcome=fault.code)
-        self.note(fault)
+        self.note_fault(fault)
         for move in moves:
             self._cancel_return(move.team)
-            self.ledgers[move.team].hand_out()
+            self.ledgers[move.team].serve_queue()
 
     def _apply_outcome(
         self,
@@ -174,7 +176,7 @@
                 self.clock.now() + EMPTY_ACCOUNT_RETRY_S
             )
         self.metrics.count(MOVES, outcome='done')
-        held_before = ledger.own
+        held_before = ledger.unspent_granted
         ledger.apply_allotment(outcome.allotment)
         self._log_move(move, ledger, held_before)
         for loan_id in outcome.recorded_loans:
@@ -201,7 +203,7 @@
             team=move.team,
             wanted=move.max_draw or -move.give_back,
             held_before=held_before,
-            held=ledger.own,
+            held=ledger.unspent_granted,
             free=ledger.account_free,
             used=tokens_in_use(ledger),
             granted=ledger.granted,
@@ -213,5 +215,5 @@
     def _cancel_return(self, team: str) -> None:
         # While an attempt may still take effect, the tokens that it returns
         # stay set aside: spent here and returned, they would be spent twice.
-        if not self.drawer.is_pending(team):
+        if not self.committer.is_pending(team):
             self.ledgers[team].cancel_return()
--- a/src/balsamreach/budget/budgets.py
+++ b/src/balsamreach/budget/budgets.py
@@ -5,14 +5,16 @@
 import attrs
 
 from balsamreach.budget.account import Bill
-from balsamreach.budget.book import Book
+from balsamreach.budget.account_drawer import AccountDrawer
+from balsamreach.budget.book import LedgerBook
 from balsamreach.budget.closing import AllotmentCloser
-from balsamreach.budget.drawing import Drawing
-from balsamreach.budget.draws import Drawer
 from balsamreach.budget.faults import BudgetFault
-from balsamreach.budget.incarnations import Incarnations
+from balsamreach.budget.incarnations import AddressRegistration
 from balsamreach.budget.ledger import Ledger, Reservation
+from balsamreach.budget.maintenance import Upkeep
+from balsamreach.budget.move_committer import MoveCommitter
 from balsamreach.budget.obtaining import Obtainer
+from balsamreach.budget.pause_detector import PauseDetector
 from balsamreach.budget.peer_parts import make_peer_parts
 from balsamreach.budget.recorder import BillRecorder
 from balsamreach.budget.settling import Settler
@@ -20,8 +22,6 @@
 from balsamreach.budget.sizing import Sizing
 from balsamreach.budget.stranded import StrandedAllotments
 from balsamreach.budget.takeover import Takeover
-from balsamreach.budget.upkeep import Upkeep
-from balsamreach.budget.wakeup import Wakeup
 from balsamreach.clock import Clock
 from balsamreach.config.settings import BudgetSettings
 from balsamreach.peers.base import PeerNet
@@ -66,25 +66,25 @@
     address: str = attrs.field(default='', kw_only=True)
     rng: random.Random = attrs.field(factory=random.Random, kw_only=True)
     metrics: Metrics = attrs.field(factory=Metrics, kw_only=True)
-    book: Book = attrs.field(init=False)
+    book: LedgerBook = attrs.field(init=False)
     recorder: BillRecorder = attrs.field(init=False)
-    upkeep: Upkeep = attrs.field(init=False)
+    maintenance: Upkeep = attrs.field(init=False)
     _obtainer: Obtainer = attrs.field(init=False)
-    _wakeup: Wakeup = attrs.field(init=False)
+    _pause_detector: PauseDetector = attrs.field(init=False)
     _shutdown: BudgetShutdown = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Create the components."""
         lenient = self.cfg.posture == _LENIENT
-        incarnations = Incarnations(
+        registration = AddressRegistration(
             self.service,
             self.address,
             self.incarnation,
             self.clock.wall(),
         )
-        self.book = Book(
-            Drawer(self.service, self.incarnation, self.clock, self.rng),
-            incarnations,
+        self.book = LedgerBook(
+            MoveCommitter(self.service, self.incarnation, self.clock, self.rng),
+            registration,
             self.clock,
             self.metrics,
             spends_loans=lenient,
@@ -98,7 +98,7 @@
             self.metrics,
         )
         stranded = StrandedAllotments(self.service, self.clock)
-        takeover = Takeover(closer, incarnations, self.metrics, stranded)
+        takeover = Takeover(closer, registration, self.metrics, stranded)
         peers = None
         if self.net is not None:
             peers = make_peer_parts(
@@ -117,7 +117,7 @@
             peers.sender if peers else None,
             peers.keeper if peers else None,
         )
-        self.upkeep = Upkeep(
+        self.maintenance = Upkeep(
             self.book,
             sizing,
             self.recorder,
@@ -130,22 +130,22 @@
             sizing,
             peers.loans if peers else None,
             self.cfg,
-            Drawing(self.book, sizing),
+            AccountDrawer(self.book, sizing),
         )
-        self._wakeup = Wakeup(
+        self._pause_detector = PauseDetector(
             self.service,
             self.book,
-            incarnations,
+            registration,
             self.clock,
             strict=not lenient,
         )
         if peers is not None:
-            peers.loans.wakeup = self._wakeup
+            peers.loans.pause_detector = self._pause_detector
 
     @property
-    def closed(self) -> BudgetFault | None:
+    def closing_fault(self) -> BudgetFault | None:
         """Why this router stopped spending tokens, None while it spends."""
-        return self.book.closed
+        return self.book.closing_fault
 
     @property
     def ledgers(self) -> dict[str, Ledger]:
@@ -181,9 +181,10 @@
             waiting can't help, otherwise within ``draw_wait``.
         """
         fault = self.recorder.refusal(self.cfg.bills_limit)
-        if fault is None and self._wakeup.is_due():
-            fault = await self._wakeup.check() or self.recorder.refusal(
-                self.cfg.bills_limit
+        if fault is None and self._pause_detector.needs_check():
+            fault = (
+                await self._pause_detector.verify_allotments()
+                or self.recorder.refusal(self.cfg.bills_limit)
             )
         if fault is not None:
             return _count_refusal(self.metrics, fault)
@@ -210,10 +211,10 @@
         """Bill a request; the rest of its reservation is released."""
         self.recorder.bill(reservation, bill)
 
-    async def secure(self) -> None:
+    async def wait_for_copies(self) -> None:
         """Wait, with a timeout, until a peer has copies of all new bills."""
-        if self.upkeep.peers is not None:
-            await self.upkeep.peers.copier.secure()
+        if self.maintenance.peers is not None:
+            await self.maintenance.peers.copier.wait_for_copies()
 
     async def flush(self) -> BudgetFault | None:
         """Record waiting bills; return the fault if that failed."""
@@ -231,7 +232,9 @@
 
     async def run(self) -> None:
         """Run the background tasks until cancelled."""
-        await self.upkeep.run(self.cfg.flush_interval, self._wakeup)
+        await self.maintenance.run(
+            self.cfg.flush_interval, self._pause_detector
+        )
 
 
 def _count_refusal(metrics: Metrics, fault: BudgetFault) -> BudgetFault:
--- a/src/balsamreach/budget/ending.py
+++ b/src/balsamreach/budget/claim_settling.py
@@ -7,7 +7,7 @@
     account_key,
     bill_key,
     decode_account,
-    encode,
+    encode_record,
 )
 from balsamreach.budget.auditor import CLAIM_PREFIX, CLAIMED
 from balsamreach.budget.classifying import insert_bills
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class ClaimEnder:
+class ClaimSettler:
     """Records the bill of a claimed request whose outcome is unknown.
 
     If a router is killed while a service handles a request, no other router
@@ -108,7 +108,7 @@
             folded=before.folded + bill.tokens,
         )
         return Commit(
-            (*writes, Write(account.key, encode(after))),
+            (*writes, Write(account.key, encode_record(after))),
             (*checks, unchanged_check(claim), unchanged_check(account)),
         )
 
--- a/src/balsamreach/budget/classifying.py
+++ b/src/balsamreach/budget/classifying.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from balsamreach.budget.account import Bill, bill_key, encode
+from balsamreach.budget.account import Bill, bill_key, encode_record
 from balsamreach.services.base import ABSENT, Check, Row, Write
 
 
@@ -86,7 +86,7 @@
     writes = tuple(
         Write(
             bill_key(bill.team, bill.key),
-            {**encode(bill), 'by': maker},
+            {**encode_record(bill), 'by': maker},
         )
         for bill in bills
     )
--- a/src/balsamreach/budget/closing_plan.py
+++ b/src/balsamreach/budget/closing_plan.py
@@ -8,7 +8,7 @@
     Bill,
     decode_account,
     decode_allotment,
-    encode,
+    encode_record,
 )
 from balsamreach.budget.classifying import classify_bills, insert_bills
 from balsamreach.services.base import ABSENT, Check, Commit, Row, Write
@@ -178,7 +178,7 @@
     if not recorded and planner.allotment == before:
         return ClosingPlan(result)
     writes, checks = insert_bills(recorded, closing.incarnation)
-    row_writes = [Write(account_row.key, encode(planner.account))]
+    row_writes = [Write(account_row.key, encode_record(planner.account))]
     if before is not _ABSENT_ALLOTMENT:
         row_writes.append(
             Write(allotment_row.key, _encode_row(planner.allotment)),
@@ -194,7 +194,7 @@
 
 def _encode_row(allotment: Allotment) -> dict[str, object] | None:
     is_empty = allotment.closed and not allotment.outstanding
-    return None if is_empty else encode(allotment)
+    return None if is_empty else encode_record(allotment)
 
 
 def _check(row: Row) -> Check:
--- a/src/balsamreach/budget/copies.py
+++ b/src/balsamreach/budget/copies.py
@@ -8,7 +8,7 @@
 from balsamreach.budget.closing import AllotmentCloser
 from balsamreach.budget.closing_plan import ClosingSpec
 from balsamreach.budget.faults import BudgetFault
-from balsamreach.budget.incarnations import Incarnations
+from balsamreach.budget.incarnations import AddressRegistration
 from balsamreach.budget.stranded import StrandedAllotments
 from balsamreach.budget.takeover import report_takeover
 from balsamreach.peers.base import PeerNet
@@ -205,7 +205,7 @@
         The other routers.
     closer : AllotmentCloser
         Records the bills and closes the allotments.
-    incarnations : Incarnations
+    registration : AddressRegistration
         Tells which incarnations have stopped.
     stranded : StrandedAllotments
         Records incarnations whose closed allotments still hold tokens.
@@ -223,7 +223,7 @@
 
     net: PeerNet
     closer: AllotmentCloser
-    incarnations: Incarnations
+    registration: AddressRegistration
     stranded: StrandedAllotments
     metrics: Metrics
     limit: int
@@ -293,7 +293,7 @@
         return 0
 
     async def _settle_if_stopped(self, maker: str) -> None:
-        stopped = maker in self.left_makers or await self.incarnations.is_gone(
+        stopped = maker in self.left_makers or await self.registration.is_gone(
             self.makers[maker].address,
             maker,
         )
--- a/src/balsamreach/budget/copying.py
+++ b/src/balsamreach/budget/copying.py
@@ -58,7 +58,7 @@
         self._pending.add(task)
         task.add_done_callback(self._pending.discard)
 
-    async def secure(self) -> None:
+    async def wait_for_copies(self) -> None:
         """Wait until the backup peer has all current bills, or a timeout.
 
         Once a client has its complete response, the bill then survives a
--- a/src/balsamreach/budget/faults.py
+++ b/src/balsamreach/budget/faults.py
@@ -38,7 +38,7 @@
 ROUTER_LEFT = BudgetFault('router_left', retry_after=1)
 
 
-def too_little(team: str) -> BudgetFault:
+def insufficient_tokens(team: str) -> BudgetFault:
     """Return the fault for a team with too few tokens left for a request.
 
     The fault does not state how many tokens are left. Routers hold part of
--- a/src/balsamreach/budget/holdings.py
+++ b/src/balsamreach/budget/holdings.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from balsamreach.budget.book import HELD, Book
+from balsamreach.budget.book import HELD_TOKENS, LedgerBook
 from balsamreach.budget.faults import BudgetFault
 from balsamreach.budget.holdings_parts import (
     HoldingsParts,
@@ -23,7 +23,7 @@
 from balsamreach.budget.homes import home_teams, is_holder
 from balsamreach.budget.ledger import Ledger, Reservation
 from balsamreach.budget.moves import Move
-from balsamreach.budget.prepaid import Prepaid
+from balsamreach.budget.prepaid import PrepaidLookup
 from balsamreach.budget.rate import Rate
 from balsamreach.clock import Clock
 from balsamreach.config.settings import BudgetSettings
@@ -69,7 +69,7 @@
     """
 
     service: TableService
-    prepaid: Prepaid
+    prepaid: PrepaidLookup
     incarnation: str
     cfg: BudgetSettings
     rate_window: float
@@ -87,7 +87,7 @@
         self.parts = make_parts(self)
 
     @property
-    def book(self) -> Book:
+    def book(self) -> LedgerBook:
         """The ledgers of all teams."""
         return self.parts.book
 
@@ -103,10 +103,10 @@
         Reservation or BudgetFault
             EXHAUSTED only where the account itself has too little left.
         """
-        homing = self.parts.homing
-        home = homing.find(team)
+        home_client = self.parts.home_client
+        home = home_client.find(team)
         if home is not None:
-            outcome = await homing.reserve(home, team, tokens)
+            outcome = await home_client.reserve(home, team, tokens)
             if outcome is not None:
                 return outcome
         return await self.reserve_here(team, tokens)
@@ -130,7 +130,7 @@
     def charge(self, reservation: Reservation, tokens: int) -> None:
         """Charge what a request used and free the rest."""
         if isinstance(reservation, HomeReservation):
-            self.parts.homing.charge(reservation, tokens)
+            self.parts.home_client.charge(reservation, tokens)
             return
         ledger = self.book.ledger(reservation.team)
         unused = reservation.tokens - tokens
@@ -141,7 +141,7 @@
         """Return the tokens that a team has used, as far as known here."""
         ledger = self.book.ledgers.get(team)
         billed = ledger.billed if ledger else 0
-        return max(billed, self.parts.homing.spent(team))
+        return max(billed, self.parts.home_client.spent(team))
 
     async def run_reports(self) -> None:
         """Report periodically how much may be used, until cancelled.
@@ -157,15 +157,15 @@
 
     async def run(self) -> None:
         """Draw and return tokens periodically, until cancelled."""
-        await self.parts.succession.inherit(self.book)
+        await self.parts.predecessor_closer.close_when_available(self.book)
         while True:
             await self.clock.sleep(self.cfg.flush_interval)
-            await self.round()
+            await self.run_round()
 
-    async def round(self) -> None:
+    async def run_round(self) -> None:
         """Make the moves that are due, once for each team."""
-        if not self.book.is_away() and await self.book.enter() is None:
-            await self.parts.succession.close_predecessors()
+        if not self.book.is_away() and await self.book.register() is None:
+            await self.parts.predecessor_closer.close_predecessors()
         # A team's home draws before the team's first request. Otherwise
         # each of the first requests would wait for a draw and a report of
         # its own, with a burst of calls from the whole zone when traffic
@@ -173,14 +173,18 @@
         for home_team in home_teams(self.metered_teams(), self.net):
             ledger = self._ledger(home_team)
             if ledger.account_free is None:
-                await self.book.move(partial(_initial_draw, self, ledger))
+                await self.book.apply_moves(
+                    partial(_initial_draw, self, ledger)
+                )
         for team in tuple(self.book.ledgers):
             if _needs_move(self.book.ledgers[team], self.net):
-                await self.book.move(partial(self._due_moves, team))
+                await self.book.apply_moves(partial(self._due_moves, team))
         await self.parts.loans.send_receipts()
         self.parts.home_server.charge_lost()
-        held = sum(ledger.own for ledger in self.book.ledgers.values())
-        self.metrics.gauge(HELD, held)
+        held = sum(
+            ledger.unspent_granted for ledger in self.book.ledgers.values()
+        )
+        self.metrics.gauge(HELD_TOKENS, held)
 
     async def leave(self, until: float = 0) -> None:
         """Return all tokens that are not in use, permanently.
@@ -191,14 +195,16 @@
             Monotonic seconds until which requests of other routers are
             waited for; tokens still reserved for them after that are lost.
         """
-        await self.parts.homing.settle()
+        await self.parts.home_client.settle()
         while (
             self.parts.home_server.has_reservations()
             and self.clock.now() < until
         ):
             await self.clock.sleep(_LEAVE_POLL_S)
         for ledger in tuple(self.book.ledgers.values()):
-            outcome = await self.book.move(partial(self._return_moves, ledger))
+            outcome = await self.book.apply_moves(
+                partial(self._return_moves, ledger)
+            )
             if isinstance(outcome, BudgetFault):
                 await self.parts.handover.hand_over(ledger)
 
@@ -209,7 +215,7 @@
         return ledger
 
     def _due_moves(self, team: str) -> Iterable[Move]:
-        move = self.parts.sizing.in_background(self.book.ledgers[team])
+        move = self.parts.sizing.due_move(self.book.ledgers[team])
         return () if move is None else (move,)
 
     def _return_moves(self, ledger: Ledger) -> Iterable[Move]:
@@ -231,5 +237,8 @@
     # of teams; afterwards their needless calls would outnumber those of the
     # hubs.
     return bool(
-        ledger.own > 0 or ledger.queue or ledger.borrowed or ledger.returning,
+        ledger.unspent_granted > 0
+        or ledger.queue
+        or ledger.borrowed
+        or ledger.returning,
     )
--- a/src/balsamreach/budget/holdings_parts.py
+++ b/src/balsamreach/budget/holdings_parts.py
@@ -4,10 +4,9 @@
 
 import attrs
 
-from balsamreach.budget.book import Book
-from balsamreach.budget.covering import AdaptiveSizing
-from balsamreach.budget.drawing import Drawing
-from balsamreach.budget.draws import Drawer
+from balsamreach.budget.account_drawer import AccountDrawer
+from balsamreach.budget.adaptive_sizing import AdaptiveSizing
+from balsamreach.budget.book import LedgerBook
 from balsamreach.budget.home_client import HomeClient
 from balsamreach.budget.home_server import HomeServer
 from balsamreach.budget.homes import (
@@ -15,16 +14,17 @@
     count_reporters,
     is_holder,
 )
-from balsamreach.budget.incarnations import Incarnations
+from balsamreach.budget.incarnations import AddressRegistration
 from balsamreach.budget.ledger import Ledger
 from balsamreach.budget.loans import Loans
+from balsamreach.budget.move_committer import MoveCommitter
 from balsamreach.budget.obtaining import Obtainer
+from balsamreach.budget.predecessor_closing import PredecessorCloser
 from balsamreach.budget.prepaid import PrepaidAccounts
-from balsamreach.budget.promises import Allowance, OpeningSchedule
 from balsamreach.budget.reporting import UsageReporter
-from balsamreach.budget.succession import Succession
 from balsamreach.budget.token_handover import TokenHandover
 from balsamreach.budget.usage import make_allowance
+from balsamreach.budget.usage_reports import Allowance, OpeningSchedule
 from balsamreach.config.settings import BudgetSettings
 from balsamreach.peers.base import PeerNet
 
@@ -66,35 +66,35 @@
 class HoldingsParts:
     """The components of ``Holdings``."""
 
-    book: Book
+    book: LedgerBook
     reporter: UsageReporter
     sizing: AdaptiveSizing
     loans: Loans
     handover: TokenHandover
     obtainer: Obtainer
-    succession: Succession
-    homing: HomeClient
+    predecessor_closer: PredecessorCloser
+    home_client: HomeClient
     home_server: HomeServer
 
 
 def make_parts(holdings: 'Holdings') -> HoldingsParts:
     """Make the components; nothing is sent yet."""
     accounts = PrepaidAccounts(holdings.service, holdings.prepaid)
-    incarnations = Incarnations(
+    registration = AddressRegistration(
         accounts,
         holdings.address,
         holdings.incarnation,
         _START_TIME,
     )
-    book = Book(
-        Drawer(
+    book = LedgerBook(
+        MoveCommitter(
             accounts,
             holdings.incarnation,
             holdings.clock,
             holdings.rng,
             caches_own_rows=True,
         ),
-        incarnations,
+        registration,
         holdings.clock,
         holdings.metrics,
         spends_loans=True,
@@ -119,7 +119,7 @@
         timeout=_LENDER_TIMEOUT_S,
         homes_only=True,
     )
-    drawing = Drawing(
+    account_drawer = AccountDrawer(
         book,
         sizing,
         backoff=_FAILURE_BACKOFF_S,
@@ -132,15 +132,15 @@
         sizing=sizing,
         loans=loans,
         handover=TokenHandover(loans),
-        obtainer=Obtainer(book, sizing, loans, holdings.cfg, drawing),
-        succession=Succession(
+        obtainer=Obtainer(book, sizing, loans, holdings.cfg, account_drawer),
+        predecessor_closer=PredecessorCloser(
             accounts,
-            incarnations,
+            registration,
             holdings.service_clock,
             holdings.clock.now(),
             holdings.metrics,
         ),
-        homing=HomeClient(
+        home_client=HomeClient(
             holdings.net,
             holdings.clock,
             holdings.metrics,
@@ -158,7 +158,7 @@
 
 def _make_reporter(
     holdings: 'Holdings',
-    book: Book,
+    book: LedgerBook,
     sizing: AdaptiveSizing,
 ) -> UsageReporter:
     return UsageReporter(
@@ -196,7 +196,7 @@
 
 def _make_allowances(
     holdings: 'Holdings',
-    book: Book,
+    book: LedgerBook,
     sizing: AdaptiveSizing,
 ) -> dict[str, Allowance]:
     now = holdings.clock.now()
@@ -223,10 +223,12 @@
     # dies, so only a part of the idle ones is covered, and only while the
     # budget is plentiful.
     spent = ledger.rate.per_second(now) * seconds
-    idle = max(0, ledger.own) * sizing.abundance(ledger) * _IDLE_SHARE
+    idle = (
+        max(0, ledger.unspent_granted) * sizing.abundance(ledger) * _IDLE_SHARE
+    )
     return int(max(spent, idle))
 
 
-def _hand_out_all(book: Book) -> None:
+def _hand_out_all(book: LedgerBook) -> None:
     for ledger in book.ledgers.values():
-        ledger.hand_out()
+        ledger.serve_queue()
--- a/src/balsamreach/budget/incarnations.py
+++ b/src/balsamreach/budget/incarnations.py
@@ -40,7 +40,7 @@
 
 
 @attrs.define
-class Incarnations:
+class AddressRegistration:
     """Registers this incarnation as the one that serves its address.
 
     A process that serves an address has bound its port, so an earlier
@@ -69,14 +69,14 @@
     _is_unused_address: bool = False
 
     @property
-    def is_first(self) -> bool:
+    def is_new_address(self) -> bool:
         """Whether it is known that no router served this address before.
 
         An address that may change with each start counts as new.
         """
         return self._is_unused_address or not self.address
 
-    async def enter(self) -> BudgetFault | None:
+    async def register(self) -> BudgetFault | None:
         """Register this incarnation, once, before its first draw.
 
         Returns
--- a/src/balsamreach/budget/ledger.py
+++ b/src/balsamreach/budget/ledger.py
@@ -90,7 +90,7 @@
     requested_by_peers: int = 0
     unconfirmed_loans: dict[str, int] = attrs.field(factory=dict)
     borrowed: dict[str, Loan] = attrs.field(factory=dict)
-    waiting: list[Bill] = attrs.field(factory=list)
+    unrecorded_bills: list[Bill] = attrs.field(factory=list)
     queue: WaitQueue = attrs.field(factory=WaitQueue)
     spends_loans: bool = True
     squares_rate: Rate | None = None
@@ -102,17 +102,17 @@
     def available(self) -> int:
         """Tokens that a new request may reserve."""
         if self.spends_loans:
-            return self.own + self.unrecorded
-        return self.own
+            return self.unspent_granted + self.unrecorded_loan_tokens
+        return self.unspent_granted
 
     @property
-    def own(self) -> int:
+    def unspent_granted(self) -> int:
         """Unspent tokens that the stored allotment covers."""
         gone = self.billed + self.reserved + self.returning + self.lent
         return self.granted - gone
 
     @property
-    def unrecorded(self) -> int:
+    def unrecorded_loan_tokens(self) -> int:
         """Tokens of loans taken and not recorded yet."""
         return sum(loan.tokens for loan in self.borrowed.values())
 
@@ -130,7 +130,7 @@
         self.reserved += tokens
         return Reservation(self.team, tokens)
 
-    def hand_out(self) -> None:
+    def serve_queue(self) -> None:
         """Reserve available tokens for the waiting requests, in order."""
         # Code that adds tokens calls this in the same turn of the event
         # loop. Otherwise later requests could take the tokens before the
@@ -155,7 +155,7 @@
             reservation.open = False
             self.reserved -= reservation.tokens
             self.billed += used
-            self.hand_out()
+            self.serve_queue()
 
     def bill(self, reservation: Reservation, bill: Bill) -> None:
         """Turn a reservation into a bill of at most its tokens.
@@ -165,13 +165,13 @@
         reservation : Reservation
             The reservation; closed by the call.
         bill : Bill
-            The bill. It is kept in ``waiting`` until it is recorded.
+            The bill. It is kept in ``unrecorded_bills`` until it is recorded.
         """
         reservation.open = False
         self.reserved -= reservation.tokens
         self.billed += bill.tokens
-        self.waiting.append(bill)
-        self.hand_out()
+        self.unrecorded_bills.append(bill)
+        self.serve_queue()
 
     def apply_allotment(self, allotment: Allotment) -> None:
         """Update the ledger from the stored allotment.
@@ -226,7 +226,7 @@
             # Borrowed tokens are not lent on: until both loans are recorded,
             # the row would show too few tokens for the second one, and its
             # borrower's bills could not be settled.
-            most = min(tokens, self.own, self.lendable - self.lent)
+            most = min(tokens, self.unspent_granted, self.lendable - self.lent)
             if self.limiter is not None:
                 most = min(most, self.limiter.room_without_loans(self))
             self.unconfirmed_loans[loan_id] = max(0, most)
@@ -236,4 +236,4 @@
     def cancel_loan(self, loan_id: str) -> None:
         """Take back a loan that its borrower reports as never received."""
         self.lent -= self.unconfirmed_loans.pop(loan_id, 0)
-        self.hand_out()
+        self.serve_queue()
--- a/src/balsamreach/budget/recording.py
+++ b/src/balsamreach/budget/loan_recording.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from balsamreach.budget.account import Loan, decode_allotment, encode
+from balsamreach.budget.account import Loan, decode_allotment, encode_record
 from balsamreach.services.base import Row, Write
 
 
@@ -26,7 +26,7 @@
     writes: tuple[Write, ...]
 
 
-def record_loans(
+def plan_loan_recording(
     loans: tuple[Loan, ...],
     lenders: tuple[Row, ...],
 ) -> LoanRecording:
@@ -70,4 +70,4 @@
     allotment = attrs.evolve(allotment, lent=allotment.lent + tokens)
     if allotment.closed and not allotment.outstanding:
         return Write(row.key, None)
-    return Write(row.key, encode(allotment))
+    return Write(row.key, encode_record(allotment))
--- a/src/balsamreach/budget/loans.py
+++ b/src/balsamreach/budget/loans.py
@@ -9,12 +9,12 @@
 import attrs
 
 from balsamreach.budget.account import Loan
-from balsamreach.budget.book import Book
+from balsamreach.budget.book import LedgerBook
 from balsamreach.budget.homes import potential_lenders
 from balsamreach.budget.ledger import Ledger
+from balsamreach.budget.pause_detector import PauseDetector
 from balsamreach.budget.reporting import UsageReporter
 from balsamreach.budget.sizing import Sizing
-from balsamreach.budget.wakeup import Wakeup
 from balsamreach.peers.base import PeerNet
 from balsamreach.peers.faults import NOT_CONNECTED, PeerFault
 from balsamreach.telemetry.logs import log_event
@@ -73,7 +73,7 @@
 
     Parameters
     ----------
-    book : Book
+    book : LedgerBook
         The ledgers.
     sizing : Sizing
         Determines how much to ask for.
@@ -81,7 +81,7 @@
         The other routers.
     rng : Random
         Loan ids and the order of lenders.
-    wakeup : Wakeup or None
+    pause_detector : PauseDetector or None
         Tells whether this process may have been paused and taken over; set
         after the router is built.
     reporter : UsageReporter or None
@@ -95,11 +95,11 @@
         Whether only homes of teams hold tokens, in a fleet that has hubs.
     """
 
-    book: Book
+    book: LedgerBook
     sizing: Sizing
     net: PeerNet
     rng: random.Random
-    wakeup: Wakeup | None = None
+    pause_detector: PauseDetector | None = None
     reporter: UsageReporter | None = None
     timeout: float = _LENDER_TIMEOUT_S
     homes_only: bool = False
@@ -165,7 +165,7 @@
                 unsent.append((lender, pending))
         self._receipts = unsent
 
-    def has_done_with(self, lender: str) -> bool:
+    def refuse_loans_from(self, lender: str) -> bool:
         """Refuse further loans of a lender; return whether none is held here.
 
         Parameters
@@ -218,14 +218,17 @@
         if answer.tokens > 0:
             loan = Loan(ask.loan_id, member.incarnation, answer.tokens)
             ledger.borrowed[ask.loan_id] = loan
-            ledger.hand_out()
+            ledger.serve_queue()
             self.book.metrics.count(BORROWED, loan.tokens)
         return answer
 
     async def _handle_ask(self, member: Member, ask: LoanAsk) -> LoanGrant:
         ledger = self.book.ledger(ask.team)
-        if self.wakeup is not None and self.wakeup.is_due():
-            await self.wakeup.check()
+        if (
+            self.pause_detector is not None
+            and self.pause_detector.needs_check()
+        ):
+            await self.pause_detector.verify_allotments()
         if not self._may_lend(ask):
             return LoanGrant(ask.loan_id, ask.team, 0)
         # If two routers with waiting requests both hold too little, one must
@@ -257,13 +260,13 @@
         ask: LoanAsk,
         tokens: int,
     ) -> LoanGrant:
-        left = min(ledger.own, ledger.lendable - ledger.lent)
+        left = min(ledger.unspent_granted, ledger.lendable - ledger.lent)
         # A router that has just learnt that the account is empty can make
         # all its tokens lendable. In other cases tokens that can't be lent
         # now, since the table service is out of reach, are not counted:
         # borrowers would ask for them again and again until ``draw_wait``.
         if self.sizing.is_account_empty(ledger):
-            left = ledger.own + ledger.unrecorded
+            left = ledger.unspent_granted + ledger.unrecorded_loan_tokens
         return LoanGrant(
             ask.loan_id,
             ask.team,
@@ -277,9 +280,12 @@
             return True
         lendable = ledger.lendable - ledger.lent
         # While the account is empty, a draw would add nothing.
-        if self.sizing.is_account_empty(ledger) and ledger.own <= lendable:
+        if (
+            self.sizing.is_account_empty(ledger)
+            and ledger.unspent_granted <= lendable
+        ):
             return False
-        return ask.tokens > min(lendable, ledger.own)
+        return ask.tokens > min(lendable, ledger.unspent_granted)
 
     async def _make_lendable(self, ledger: Ledger, tokens: int) -> None:
         # Several asks may wait for the same move. If it covered only one of
@@ -296,8 +302,11 @@
         # An ask may arrive after the message that cancels it; its tokens
         # would then be unusable until the allotment is closed. Or this
         # process was paused, and its tokens were returned in the meantime.
-        is_due = self.wakeup is not None and self.wakeup.is_due()
-        if self.book.closed is not None or is_due:
+        is_due = (
+            self.pause_detector is not None
+            and self.pause_detector.needs_check()
+        )
+        if self.book.closing_fault is not None or is_due:
             return False
         return ask.loan_id not in self._cancelled
 
@@ -322,7 +331,7 @@
 def _shortfall(ledger: Ledger) -> int:
     shortfall = ledger.shortfall
     if not ledger.spends_loans:
-        shortfall -= ledger.unrecorded
+        shortfall -= ledger.unrecorded_loan_tokens
     # A router may hold enough and not be allowed to use it yet.
     if ledger.limiter is not None:
         short = ledger.queue.tokens - ledger.limiter.room(ledger)
@@ -331,8 +340,10 @@
 
 
 async def _move_and_report(loans: Loans, ledger: Ledger, tokens: int) -> None:
-    if tokens > min(ledger.own, ledger.lendable - ledger.lent):
-        await loans.book.move(lambda: (loans.sizing.make_lendable(ledger),))
+    if tokens > min(ledger.unspent_granted, ledger.lendable - ledger.lent):
+        await loans.book.apply_moves(
+            lambda: (loans.sizing.make_lendable(ledger),)
+        )
     if loans.reporter is not None and _lacks_room(ledger, tokens):
         await loans.reporter.report()
 
@@ -343,7 +354,9 @@
     # delay the borrower's request by some 10 ms, until ``draw_wait`` is over.
     if ledger.limiter is None:
         return False
-    return min(tokens, ledger.own) > ledger.limiter.room_without_loans(ledger)
+    return min(
+        tokens, ledger.unspent_granted
+    ) > ledger.limiter.room_without_loans(ledger)
 
 
 def new_loan_id(rng: random.Random) -> str:
--- a/src/balsamreach/budget/upkeep.py
+++ b/src/balsamreach/budget/maintenance.py
@@ -6,15 +6,15 @@
 
 import attrs
 
-from balsamreach.budget.book import HELD, Book
+from balsamreach.budget.book import HELD_TOKENS, LedgerBook
 from balsamreach.budget.faults import CONTENDED, NO_ALLOTMENT, BudgetFault
 from balsamreach.budget.moves import Move
+from balsamreach.budget.pause_detector import TICK_INTERVAL_S, PauseDetector
 from balsamreach.budget.peer_parts import PeerParts
-from balsamreach.budget.recalling import Recalls
+from balsamreach.budget.recalling import Recaller
 from balsamreach.budget.recorder import OLDEST, WAITING, BillRecorder
 from balsamreach.budget.sizing import Sizing
 from balsamreach.budget.takeover import Takeover
-from balsamreach.budget.wakeup import TICK_INTERVAL_S, Wakeup
 from balsamreach.telemetry.metrics import Metrics
 
 _MAX_COMMIT_TEAMS = 50
@@ -40,25 +40,25 @@
         Gauges of held tokens and waiting bills.
     """
 
-    book: Book
+    book: LedgerBook
     sizing: Sizing
     recorder: BillRecorder
     takeover: Takeover
     peers: PeerParts | None
     metrics: Metrics
-    recalls: Recalls = attrs.field(init=False)
+    recaller: Recaller = attrs.field(init=False)
     _rounds: int = 0
     _commit_teams: int = _MAX_COMMIT_TEAMS
 
     def __attrs_post_init__(self) -> None:
         """Register the handler for recalls of tokens."""
         net = self.peers.loans.net if self.peers else None
-        self.recalls = Recalls(self.book, self.sizing, net)
+        self.recaller = Recaller(self.book, self.sizing, net)
 
-    async def round(self) -> None:
+    async def run_round(self) -> None:
         """Run all periodic work once."""
         self._rounds += 1
-        await self.book.enter()
+        await self.book.register()
         await self._move_all()
         await self.recorder.flush()
         if self._rounds > _ROUNDS_BEFORE_CLOSING:
@@ -67,20 +67,20 @@
             await self._run_peer_tasks(self.peers)
         self._update_gauges()
 
-    async def run(self, interval: float, wakeup: Wakeup) -> None:
+    async def run(self, interval: float, pause_detector: PauseDetector) -> None:
         """Run rounds and ticks until cancelled.
 
         Parameters
         ----------
         interval : float
             Seconds between two rounds.
-        wakeup : Wakeup
+        pause_detector : PauseDetector
             Checks at each tick whether the process was paused.
         """
         loops = [
             self._register(),
             self._run_rounds(interval),
-            self._run_ticks(wakeup),
+            self._run_ticks(pause_detector),
         ]
         if self.peers is not None:
             loops.append(self.peers.copier.run())
@@ -102,18 +102,18 @@
         # Until the entry of this router is stored, nothing proves that its
         # predecessor has stopped, and backup peers can't settle the bills of
         # that one. The first round would write it only after an interval.
-        while await self.book.enter() == NO_ALLOTMENT:
+        while await self.book.register() == NO_ALLOTMENT:
             await self.book.clock.sleep(TICK_INTERVAL_S)
 
     async def _run_rounds(self, interval: float) -> None:
         while True:
             await self.book.clock.sleep(interval)
-            await self.round()
+            await self.run_round()
 
-    async def _run_ticks(self, wakeup: Wakeup) -> None:
+    async def _run_ticks(self, pause_detector: PauseDetector) -> None:
         while True:
             await self.book.clock.sleep(TICK_INTERVAL_S)
-            wakeup.tick()
+            pause_detector.tick()
             self.copy_bills()
 
     async def _move_all(self) -> None:
@@ -121,7 +121,9 @@
         start = 0
         while start < len(teams):
             batch = teams[start : start + self._commit_teams]
-            outcome = await self.book.move(partial(self._due_moves, batch))
+            outcome = await self.book.apply_moves(
+                partial(self._due_moves, batch)
+            )
             if outcome == CONTENDED and len(batch) > 1:
                 # One contended account blocks all others in the same commit,
                 # so the next commit is made smaller.
@@ -134,12 +136,14 @@
 
     def _due_moves(self, teams: Iterable[str]) -> tuple[Move, ...]:
         moves = (
-            self.sizing.in_background(self.book.ledgers[team]) for team in teams
+            self.sizing.due_move(self.book.ledgers[team]) for team in teams
         )
         return tuple(move for move in moves if move is not None)
 
     def _update_gauges(self) -> None:
         ledgers = self.book.ledgers.values()
-        self.metrics.gauge(HELD, sum(ledger.own for ledger in ledgers))
+        self.metrics.gauge(
+            HELD_TOKENS, sum(ledger.unspent_granted for ledger in ledgers)
+        )
         self.metrics.gauge(WAITING, self.recorder.waiting)
         self.metrics.gauge(OLDEST, self.recorder.oldest_age)
--- a/src/balsamreach/budget/draws.py
+++ b/src/balsamreach/budget/move_committer.py
@@ -29,7 +29,7 @@
 
 
 @attrs.define
-class Drawer:
+class MoveCommitter:
     """Commits the moves of one incarnation, one commit at a time.
 
     Parameters
@@ -59,7 +59,7 @@
     _unresolved: dict[int, dict[str, MovePlan]] = attrs.field(factory=dict)
     _cached_rows: dict[str, Row] = attrs.field(factory=dict)
 
-    async def move(self, moves: tuple[Move, ...]) -> Outcomes | BudgetFault:
+    async def commit(self, moves: tuple[Move, ...]) -> Outcomes | BudgetFault:
         """Apply moves of different teams in one commit.
 
         Parameters
--- a/src/balsamreach/budget/moves.py
+++ b/src/balsamreach/budget/moves.py
@@ -8,15 +8,15 @@
     Loan,
     decode_account,
     decode_allotment,
-    encode,
+    encode_record,
 )
 from balsamreach.budget.faults import (
     NO_ACCOUNT,
     TAKEN_OVER,
     BudgetFault,
-    too_little,
+    insufficient_tokens,
 )
-from balsamreach.budget.recording import record_loans
+from balsamreach.budget.loan_recording import plan_loan_recording
 from balsamreach.services.base import Check, Row, Write
 
 
@@ -170,8 +170,8 @@
     account = decode_account(rows.account.value)
     amount = _draw_amount(move, account.free)
     if amount < move.min_draw:
-        return too_little(move.team)
-    loans = record_loans(move.loans, rows.lenders)
+        return insufficient_tokens(move.team)
+    loans = plan_loan_recording(move.loans, rows.lenders)
     allotment = attrs.evolve(
         own,
         granted=own.granted + amount + loans.tokens,
@@ -228,7 +228,7 @@
         return _AccountChange()
     account = attrs.evolve(account, taken=account.taken + drawn)
     return _AccountChange(
-        (Write(row.key, encode(account)),),
+        (Write(row.key, encode_record(account)),),
         (_check_unchanged(row),),
     )
 
@@ -245,7 +245,7 @@
 ) -> MovePlan:
     writes = (
         *account_change.writes,
-        Write(rows.own.key, encode(result.allotment)),
+        Write(rows.own.key, encode_record(result.allotment)),
         *loan_writes,
     )
     checks = tuple(map(_check_unchanged, (rows.own, *rows.lenders)))
--- a/src/balsamreach/budget/obtaining.py
+++ b/src/balsamreach/budget/obtaining.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from balsamreach.budget.book import Book
-from balsamreach.budget.drawing import Drawing
+from balsamreach.budget.account_drawer import AccountDrawer
+from balsamreach.budget.book import LedgerBook
 from balsamreach.budget.faults import (
     CONTENDED,
     EXHAUSTED,
@@ -70,15 +70,15 @@
         None for a router without peers.
     cfg : BudgetSettings
         Longest wait.
-    drawing : Drawing
+    account_drawer : AccountDrawer
         Draws on the account.
     """
 
-    book: Book
+    book: LedgerBook
     sizing: Sizing
     loans: Loans | None
     cfg: BudgetSettings
-    drawing: Drawing
+    account_drawer: AccountDrawer
     _refusals: dict[str, _Refusal] = attrs.field(factory=dict)
     _workers: dict[str, asyncio.Task] = attrs.field(factory=dict)
 
@@ -154,7 +154,7 @@
     async def _serve_queue(self, ledger: Ledger) -> None:
         unreachable_before: list[Waiter] = []
         while ledger.queue:
-            ledger.hand_out()
+            ledger.serve_queue()
             self._apply_current_refusal(ledger)
             asking = ledger.queue.waiters.copy()
             if not asking:
@@ -203,7 +203,7 @@
             ledger.queue.resolve(waiter, tried.fault)
 
     async def _try_once(self, ledger: Ledger) -> _TryResult:
-        fault = await self.drawing.draw(ledger)
+        fault = await self.account_drawer.draw(ledger)
         fault = fault or NO_ALLOTMENT.because('too few tokens were obtained')
         if (
             not ledger.queue
@@ -214,11 +214,15 @@
         found = await self.loans.borrow(ledger)
         # A strict router can spend or lend the tokens of a loan only once
         # the loan is recorded.
-        if ledger.borrowed and not self.drawing.is_backing_off():
-            await self.book.move(lambda: (self.sizing.for_loans(ledger),))
+        if ledger.borrowed and not self.account_drawer.is_backing_off():
+            await self.book.apply_moves(
+                lambda: (self.sizing.record_loans_move(ledger),)
+            )
         if fault != EXHAUSTED:
             return _TryResult(fault, self._opening_tokens(ledger))
-        reachable = found.left + ledger.own + ledger.unrecorded
+        reachable = (
+            found.left + ledger.unspent_granted + ledger.unrecorded_loan_tokens
+        )
         if found.ask_again:
             reachable = ledger.queue.tokens
         return _TryResult(fault, reachable, found.reserved + ledger.reserved)
@@ -226,7 +230,7 @@
     def _pause(self) -> float:
         return (
             _OPENING_PAUSE_S
-            if self.drawing.is_backing_off()
+            if self.account_drawer.is_backing_off()
             else TRANSIT_PAUSE_S
         )
 
--- a/src/balsamreach/budget/wakeup.py
+++ b/src/balsamreach/budget/pause_detector.py
@@ -5,9 +5,9 @@
 import attrs
 
 from balsamreach.budget.account import allotment_key
-from balsamreach.budget.book import Book
+from balsamreach.budget.book import LedgerBook
 from balsamreach.budget.faults import NO_ALLOTMENT, TAKEN_OVER, BudgetFault
-from balsamreach.budget.incarnations import Incarnations
+from balsamreach.budget.incarnations import AddressRegistration
 from balsamreach.clock import Clock
 from balsamreach.services.base import Row, TableService
 from balsamreach.services.faults import PlatformFault
@@ -15,12 +15,12 @@
 #: Seconds between two ticks.
 TICK_INTERVAL_S = 1
 #: A longer gap between two ticks, in seconds, counts as a pause of the process.
-PAUSE_S = 5
+PAUSE_THRESHOLD_S = 5
 _MAX_READ_KEYS = 200
 
 
 @attrs.define
-class Wakeup:
+class PauseDetector:
     """Makes the router verify its allotments after a pause.
 
     After a pause the state in memory may be outdated: a successor may have
@@ -32,9 +32,9 @@
     ----------
     service : TableService
         Service that stores the allotments.
-    book : Book
+    book : LedgerBook
         This router's ledgers.
-    incarnations : Incarnations
+    registration : AddressRegistration
         Tells whether another incarnation serves this router's address.
     clock : Clock
         Clock that shows pauses.
@@ -43,14 +43,14 @@
     """
 
     service: TableService
-    book: Book
-    incarnations: Incarnations
+    book: LedgerBook
+    registration: AddressRegistration
     clock: Clock
     strict: bool
     pauses: int = 0
     _last_tick: float = 0
     _needs_check: bool = False
-    _last_check: float = -PAUSE_S
+    _last_check: float = -PAUSE_THRESHOLD_S
 
     def __attrs_post_init__(self) -> None:
         """Set the time of the first tick."""
@@ -59,17 +59,17 @@
     def tick(self) -> None:
         """Compare the time with the last tick to detect a pause."""
         now = self.clock.now()
-        if now - self._last_tick > PAUSE_S:
+        if now - self._last_tick > PAUSE_THRESHOLD_S:
             self._needs_check = True
             self.pauses += 1
         self._last_tick = now
 
-    def is_due(self) -> bool:
+    def needs_check(self) -> bool:
         """Return whether the allotments have to be verified."""
         self.tick()
         return self._needs_check
 
-    async def check(self) -> BudgetFault | None:
+    async def verify_allotments(self) -> BudgetFault | None:
         """Verify the allotments after a pause.
 
         Returns
@@ -85,7 +85,7 @@
         self._last_check = now
         fault = await asyncio.shield(asyncio.ensure_future(self._verify()))
         if fault == TAKEN_OVER:
-            self.book.note(fault)
+            self.book.note_fault(fault)
             return fault
         if fault is not None:
             return self._unverified_fault()
@@ -98,7 +98,7 @@
         return None
 
     async def _verify(self) -> BudgetFault | None:
-        me = self.incarnations
+        me = self.registration
         if me.entered and await me.is_gone(me.address, me.incarnation) is True:
             return TAKEN_OVER.because('another router has our address')
         keys = [
--- a/src/balsamreach/budget/peer_parts.py
+++ b/src/balsamreach/budget/peer_parts.py
@@ -51,7 +51,7 @@
     keeper = CopyKeeper(
         net,
         takeover.closer,
-        takeover.incarnations,
+        takeover.registration,
         takeover.stranded,
         metrics,
         limit,
--- a/src/balsamreach/budget/succession.py
+++ b/src/balsamreach/budget/predecessor_closing.py
@@ -12,14 +12,14 @@
 
 import attrs
 
-from balsamreach.budget.book import Book
+from balsamreach.budget.book import LedgerBook
 from balsamreach.budget.closing import AllotmentCloser
 from balsamreach.budget.closing_plan import ClosingSpec
 from balsamreach.budget.faults import BudgetFault
-from balsamreach.budget.incarnations import Incarnations
-from balsamreach.budget.promises import Report, decode_report
-from balsamreach.budget.reporting import usage_key
+from balsamreach.budget.incarnations import AddressRegistration
+from balsamreach.budget.reporting import report_key
 from balsamreach.budget.takeover import RECLAIMED
+from balsamreach.budget.usage_reports import UsageReport, decode_report
 from balsamreach.services.base import TableService
 from balsamreach.services.faults import PlatformFault
 from balsamreach.services.times import ServiceClock
@@ -36,14 +36,14 @@
 
 
 @attrs.define
-class Succession:
+class PredecessorCloser:
     """Closes the allotments of predecessors based on their last reports.
 
     Parameters
     ----------
     service : TableService
         Service that stores reports and allotments.
-    incarnations : Incarnations
+    registration : AddressRegistration
         Knows the predecessors.
     service_clock : ServiceClock
         Converts to the time of the table service.
@@ -54,12 +54,12 @@
     """
 
     service: TableService
-    incarnations: Incarnations
+    registration: AddressRegistration
     service_clock: ServiceClock
     process_start: float
     metrics: Metrics
 
-    async def inherit(self, book: Book) -> None:
+    async def close_when_available(self, book: LedgerBook) -> None:
         """Close predecessors' allotments as soon as the store is available.
 
         When all hosts restart at once, stopped routers may hold most of a
@@ -69,22 +69,22 @@
 
         Parameters
         ----------
-        book : Book
+        book : LedgerBook
             Registers this router at its address first.
         """
         for _ in range(_ATTEMPTS):
-            if not book.is_away() and await book.enter() is None:
+            if not book.is_away() and await book.register() is None:
                 await self.close_predecessors()
-                if not self.incarnations.predecessors:
+                if not self.registration.predecessors:
                     return
             await book.clock.sleep(_PAUSE_S)
 
     async def close_predecessors(self) -> None:
         """Close predecessors' allotments as far as the store is available."""
-        await self.incarnations.close_each_predecessor(self._close_incarnation)
+        await self.registration.close_each_predecessor(self._close_incarnation)
 
     async def _close_incarnation(self, incarnation: str) -> bool:
-        rows = await self.service.read((usage_key(incarnation),))
+        rows = await self.service.read((report_key(incarnation),))
         if isinstance(rows, PlatformFault):
             return False
         # An incarnation that never reported has used nothing, but the teams
@@ -112,7 +112,7 @@
         semaphore: asyncio.Semaphore,
         incarnation: str,
         team: str,
-        last_report: Report,
+        last_report: UsageReport,
         latest_end: float,
     ) -> bool:
         async with semaphore:
@@ -122,7 +122,7 @@
         self,
         incarnation: str,
         team: str,
-        last_report: Report,
+        last_report: UsageReport,
         latest_end: float,
     ) -> bool:
         silence = _silence(latest_end, last_report)
@@ -146,10 +146,10 @@
         return True
 
 
-def _silence(latest_end: float, last_report: Report) -> float:
+def _silence(latest_end: float, last_report: UsageReport) -> float:
     # A report later than the end of its process means that the service's
     # clock went back. If that counted as no silence, tokens that were used
     # would be returned, and the team could use more than it paid for.
-    if latest_end < last_report.at:
+    if latest_end < last_report.service_time:
         return math.inf
-    return latest_end - last_report.at
+    return latest_end - last_report.service_time
--- a/src/balsamreach/budget/prepaid.py
+++ b/src/balsamreach/budget/prepaid.py
@@ -4,12 +4,12 @@
 
 import attrs
 
-from balsamreach.budget.account import ACCOUNT_PREFIX, Account, encode
+from balsamreach.budget.account import ACCOUNT_PREFIX, Account, encode_record
 from balsamreach.services.base import Commit, Page, Row, Scan, TableService
 from balsamreach.services.faults import PlatformFault
 
 #: Returns the prepaid tokens of a team, None if it is not metered.
-Prepaid = Callable[[str], int | None]
+PrepaidLookup = Callable[[str], int | None]
 
 
 @attrs.define
@@ -29,7 +29,7 @@
     """
 
     service: TableService
-    prepaid: Prepaid
+    prepaid: PrepaidLookup
 
     async def commit(self, change: Commit) -> int | PlatformFault:
         """Apply a conditional commit."""
@@ -55,5 +55,5 @@
         prepaid = self.prepaid(row.key.removeprefix(ACCOUNT_PREFIX))
         if prepaid is None:
             return row
-        value = (row.value or encode(Account())) | {'prepaid': prepaid}
+        value = (row.value or encode_record(Account())) | {'prepaid': prepaid}
         return Row(row.key, row.version, value)
--- a/src/balsamreach/budget/recalling.py
+++ b/src/balsamreach/budget/recalling.py
@@ -7,7 +7,7 @@
 import attrs
 
 from balsamreach.budget.account import Account, account_key, decode_account
-from balsamreach.budget.book import Book
+from balsamreach.budget.book import LedgerBook
 from balsamreach.budget.faults import NO_ALLOTMENT, BudgetFault
 from balsamreach.budget.ledger import Ledger
 from balsamreach.budget.moves import Move
@@ -67,7 +67,7 @@
 
 
 @attrs.define
-class Recalls:
+class Recaller:
     """Returns idle tokens of a team, from here and from all peers.
 
     Parameters
@@ -78,7 +78,7 @@
         The other routers.
     """
 
-    book: Book
+    book: LedgerBook
     sizing: Sizing
     net: PeerNet | None
 
@@ -96,7 +96,7 @@
             Whose budget.
         """
         holdings = await self._recall_all(team)
-        service = self.book.drawer.service
+        service = self.book.committer.service
         rows = await service.read((account_key(team),))
         if isinstance(rows, PlatformFault):
             return NO_ALLOTMENT.because(f'table service: {rows.code}')
@@ -135,8 +135,8 @@
             return RecallTold(team)
         ledger.recalled_until = self.book.clock.now() + RECALL_PERIOD_S
         for _ in range(_MOVES):
-            await self.book.move(partial(self._return_moves, ledger))
-        held = ledger.reserved + ledger.own + ledger.returning
+            await self.book.apply_moves(partial(self._return_moves, ledger))
+        held = ledger.reserved + ledger.unspent_granted + ledger.returning
         return RecallTold(team, ledger.billed, max(0, held))
 
     def _return_moves(self, ledger: Ledger) -> tuple[Move, ...]:
--- a/src/balsamreach/budget/reclaiming.py
+++ b/src/balsamreach/budget/reclaiming.py
@@ -124,7 +124,7 @@
         alive = {member.incarnation for member in self.net.members()}
         if lender in alive or not alive.issuperset(self.keeper.copies):
             return False
-        return self.loans.has_done_with(lender)
+        return self.loans.refuse_loans_from(lender)
 
     async def _handle_ask(self, _member: Member, ask: LenderAsk) -> LenderGone:
         return LenderGone(self._is_clear(ask.incarnation))
--- a/src/balsamreach/budget/recorder.py
+++ b/src/balsamreach/budget/recorder.py
@@ -5,7 +5,7 @@
 import attrs
 
 from balsamreach.budget.account import Bill
-from balsamreach.budget.book import Book
+from balsamreach.budget.book import LedgerBook
 from balsamreach.budget.closing import AllotmentCloser
 from balsamreach.budget.closing_plan import ClosingSpec
 from balsamreach.budget.faults import BILLS_FULL, NO_ALLOTMENT, BudgetFault
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    book : Book
+    book : LedgerBook
         Ledgers, which hold the bills until they are recorded.
     settler : Settler
         Records bills against this router's allotments.
@@ -40,7 +40,7 @@
         Counts recorded and repeated bills.
     """
 
-    book: Book
+    book: LedgerBook
     settler: Settler
     closer: AllotmentCloser
     metrics: Metrics
@@ -70,8 +70,8 @@
         limit : int
             Maximum number of waiting bills.
         """
-        if self.book.closed is not None:
-            return self.book.closed
+        if self.book.closing_fault is not None:
+            return self.book.closing_fault
         # A request that ran must be billed. When no more bills may wait, new
         # requests are refused, so that none runs without being billed.
         if self.waiting >= limit:
@@ -110,7 +110,7 @@
         return tuple(
             bill
             for ledger in self.book.ledgers.values()
-            for bill in ledger.waiting
+            for bill in ledger.unrecorded_bills
         )
 
     async def flush(self) -> BudgetFault | None:
@@ -147,8 +147,10 @@
         teams = {bill.team for bill in finished}
         for team in teams:
             ledger = self.book.ledgers[team]
-            ledger.waiting = [
-                bill for bill in ledger.waiting if bill.ordinal not in ordinals
+            ledger.unrecorded_bills = [
+                bill
+                for bill in ledger.unrecorded_bills
+                if bill.ordinal not in ordinals
             ]
         for ordinal in ordinals:
             self._created_at.pop(ordinal, None)
@@ -157,18 +159,18 @@
         for bill in settlement.repeated:
             ledger = self.book.ledgers[bill.team]
             ledger.billed -= bill.tokens
-            ledger.hand_out()
+            ledger.serve_queue()
         self.repeated += len(settlement.repeated)
         self.metrics.count(RECORDED, len(settlement.recorded))
         self.metrics.count(REPEATED, len(settlement.repeated))
 
     async def _flush_batch(self) -> BudgetFault | None:
-        if self.book.closed is not None:
+        if self.book.closing_fault is not None:
             return await self._flush_to_accounts()
         lent = {team: ledger.lent for team, ledger in self.book.ledgers.items()}
         outcome = await self.settler.settle(self._batch(), lent)
         if isinstance(outcome, BudgetFault):
-            self.book.note(outcome)
+            self.book.note_fault(outcome)
             return outcome
         self.apply(outcome)
         if outcome.recorded or outcome.repeated:
@@ -181,12 +183,12 @@
         # bills are charged to the accounts.
         fault = None
         for ledger in tuple(self.book.ledgers.values()):
-            if ledger.waiting:
+            if ledger.unrecorded_bills:
                 fault = await self._charge_account(ledger) or fault
         return fault
 
     async def _charge_account(self, ledger: Ledger) -> BudgetFault | None:
-        bills = tuple(ledger.waiting)
+        bills = tuple(ledger.unrecorded_bills)
         closing = ClosingSpec(self.settler.incarnation, ledger.team)
         outcome = await self.closer.close_with_bills(closing, bills)
         if isinstance(outcome, BudgetFault):
@@ -205,7 +207,7 @@
         bills: list[Bill] = []
         for ledger in self.book.ledgers.values():
             remaining = _MAX_BATCH_BILLS - len(bills)
-            bills.extend(ledger.waiting[:remaining])
+            bills.extend(ledger.unrecorded_bills[:remaining])
         return tuple(bills)
 
 
--- a/src/balsamreach/budget/reporting.py
+++ b/src/balsamreach/budget/reporting.py
@@ -6,10 +6,10 @@
 
 import attrs
 
-from balsamreach.budget.promises import (
+from balsamreach.budget.usage_reports import (
     Allowance,
     OpeningSchedule,
-    Report,
+    UsageReport,
     decode_report,
     encode_report,
 )
@@ -43,7 +43,7 @@
 class _SentReport:
     """A report and this host's monotonic time when it was made."""
 
-    report: Report
+    report: UsageReport
     made_at: float
 
     def allowed(self, team: str, now: float) -> int:
@@ -176,7 +176,7 @@
         if service_time is None:
             return UNKNOWN.because('no time of the table service is known')
         self._report_number += 1
-        report = Report(
+        report = UsageReport(
             self._report_number,
             service_time,
             self.schedule,
@@ -184,7 +184,7 @@
         )
         return _SentReport(report, self.clock.now())
 
-    def _make_commit(self, report: Report) -> Commit:
+    def _make_commit(self, report: UsageReport) -> Commit:
         write = Write(self._key, encode_report(report))
         return Commit((write,), (Check(self._key, self._version),))
 
@@ -222,9 +222,9 @@
 
     @property
     def _key(self) -> str:
-        return usage_key(self.incarnation)
+        return report_key(self.incarnation)
 
 
-def usage_key(incarnation: str) -> str:
+def report_key(incarnation: str) -> str:
     """Return the key of the row that holds an incarnation's report."""
     return USAGE_PREFIX + incarnation
--- a/src/balsamreach/budget/settling.py
+++ b/src/balsamreach/budget/settling.py
@@ -9,7 +9,7 @@
     Bill,
     allotment_key,
     decode_allotment,
-    encode,
+    encode_record,
 )
 from balsamreach.budget.classifying import (
     classify_bills,
@@ -148,7 +148,7 @@
             if row.key.split('/')[-1] in teams
         ]
         allotment_writes = tuple(
-            Write(row.key, encode(allotments[row.key.split('/')[-1]]))
+            Write(row.key, encode_record(allotments[row.key.split('/')[-1]]))
             for row in allotment_rows
         )
         allotment_checks = tuple(
--- a/src/balsamreach/budget/shutdown.py
+++ b/src/balsamreach/budget/shutdown.py
@@ -5,7 +5,7 @@
 import attrs
 
 from balsamreach.budget.account import Bill
-from balsamreach.budget.book import Book
+from balsamreach.budget.book import LedgerBook
 from balsamreach.budget.closing import MAX_COMMIT_BILLS
 from balsamreach.budget.closing_plan import ClosingResult, ClosingSpec
 from balsamreach.budget.copies import CopyKeeper, CopySender
@@ -38,7 +38,7 @@
         Keeps bill copies of other routers, to be passed on.
     """
 
-    book: Book
+    book: LedgerBook
     sizing: Sizing
     recorder: BillRecorder
     takeover: Takeover
@@ -54,12 +54,12 @@
             True if that succeeded. Otherwise the backup peer was asked to do
             the rest, and a log line tells whether it accepted.
         """
-        await self.book.move(self._loan_moves)
+        await self.book.apply_moves(self._loan_moves)
         await self.recorder.flush()
         await self._pass_on_copies()
-        if self.book.closed is None:
+        if self.book.closing_fault is None:
             # From now on no tokens are spent or lent.
-            self.book.closed = ROUTER_LEFT
+            self.book.closing_fault = ROUTER_LEFT
         for ledgers in _batches(tuple(self.book.ledgers.values())):
             fault = await self._close_allotments(ledgers)
             if fault is not None:
@@ -68,13 +68,13 @@
 
     @property
     def _incarnation(self) -> str:
-        return self.takeover.incarnations.incarnation
+        return self.takeover.registration.incarnation
 
     async def _finish(self) -> bool:
         # Borrowers may have loans that are not recorded yet. If they crashed,
         # nobody else would know that tokens are left in the allotments.
         await self.takeover.stranded.record_lender(self._incarnation)
-        await self.takeover.incarnations.leave()
+        await self.takeover.registration.leave()
         return True
 
     async def _pass_on_copies(self) -> None:
@@ -96,7 +96,7 @@
 
     def _loan_moves(self) -> tuple[Move, ...]:
         return tuple(
-            self.sizing.for_loans(ledger)
+            self.sizing.record_loans_move(ledger)
             for ledger in self.book.ledgers.values()
             if ledger.borrowed
         )
@@ -108,7 +108,8 @@
         if len(ledgers) > 1:
             closings = tuple(
                 attrs.evolve(
-                    self._closing_spec(ledger), bills=tuple(ledger.waiting)
+                    self._closing_spec(ledger),
+                    bills=tuple(ledger.unrecorded_bills),
                 )
                 for ledger in ledgers
             )
@@ -120,7 +121,7 @@
         # One contended account blocks all others in the same commit, so each
         # allotment is closed in a commit of its own.
         for ledger in ledgers:
-            bills = tuple(ledger.waiting)
+            bills = tuple(ledger.unrecorded_bills)
             team_outcome = await closer.close_with_bills(
                 self._closing_spec(ledger), bills
             )
@@ -143,7 +144,7 @@
     async def _hand_over(self, fault: BudgetFault) -> bool:
         waiting = self.recorder.bills()
         accepted = False
-        if self.sender is not None and self.book.closed != TAKEN_OVER:
+        if self.sender is not None and self.book.closing_fault != TAKEN_OVER:
             accepted = await self.sender.hand_over(waiting)
         log_event(
             _logger,
@@ -160,12 +161,12 @@
     batch: list[Ledger] = []
     bills = 0
     for ledger in ledgers:
-        bills += len(ledger.waiting)
+        bills += len(ledger.unrecorded_bills)
         if batch and (
             bills > MAX_COMMIT_BILLS or len(batch) == MAX_COMMIT_TEAMS
         ):
             batches.append(tuple(batch))
             batch.clear()
-            bills = len(ledger.waiting)
+            bills = len(ledger.unrecorded_bills)
         batch.append(ledger)
     return [*batches, tuple(batch)] if batch else batches
--- a/src/balsamreach/budget/sizing.py
+++ b/src/balsamreach/budget/sizing.py
@@ -63,7 +63,7 @@
         )
         return attrs.evolve(move, needed=needed)
 
-    def in_background(self, ledger: Ledger) -> Move | None:
+    def due_move(self, ledger: Ledger) -> Move | None:
         """Return the move that is due without a request, if any.
 
         Parameters
@@ -73,8 +73,8 @@
         """
         desired = self.desired_tokens(ledger)
         held = ledger.available
-        if self._is_recalled(ledger) and ledger.own > 0:
-            return self._begin_return(ledger, ledger.own)
+        if self._is_recalled(ledger) and ledger.unspent_granted > 0:
+            return self._begin_return(ledger, ledger.unspent_granted)
         if held < 0:
             return self._make_move(
                 ledger,
@@ -84,10 +84,10 @@
         if held < desired * _REFILL_BELOW:
             return self._make_move(ledger, max_draw=desired - held)
         if held > desired * self.return_factor + self.cfg.least_draw:
-            # ``own`` is negative while loans are spent before they are
-            # recorded. Returning a negative number would be a draw that is
-            # not compared with what is left of the budget.
-            excess = max(0, min(ledger.own, held - desired))
+            # ``unspent_granted`` is negative while loans are spent before
+            # they are recorded. Returning a negative number would be a draw
+            # that is not compared with what is left of the budget.
+            excess = max(0, min(ledger.unspent_granted, held - desired))
             return self._begin_return(ledger, excess)
         # Without another move the outcome of a return whose answer was lost
         # would stay unknown, and ``returning`` of an otherwise idle ledger
@@ -109,14 +109,14 @@
             min_lendable=ledger.lent + ledger.requested_by_peers,
         )
 
-    def for_loans(self, ledger: Ledger) -> Move:
+    def record_loans_move(self, ledger: Ledger) -> Move:
         """Return the move that only records loans taken."""
         return self._make_move(ledger)
 
     def return_idle(self, ledger: Ledger) -> Move | None:
         """Return the move that returns all idle tokens, if any."""
-        if ledger.own > 0:
-            return self._begin_return(ledger, ledger.own)
+        if ledger.unspent_granted > 0:
+            return self._begin_return(ledger, ledger.unspent_granted)
         return self._make_move(ledger) if ledger.borrowed else None
 
     def is_account_empty(self, ledger: Ledger) -> bool:
--- a/src/balsamreach/budget/stranded.py
+++ b/src/balsamreach/budget/stranded.py
@@ -7,7 +7,7 @@
     allotment_key,
     decode_account,
     decode_allotment,
-    encode,
+    encode_record,
 )
 from balsamreach.budget.incarnations import unchanged_check
 from balsamreach.clock import Clock
@@ -120,6 +120,6 @@
     # A borrower that records a loan concurrently writes the same rows; one of
     # the two commits fails its check and is retried with the new rows.
     return Commit(
-        (Write(rows[0].key, encode(account)), Write(rows[1].key, None)),
+        (Write(rows[0].key, encode_record(account)), Write(rows[1].key, None)),
         tuple(unchanged_check(row) for row in rows),
     )
--- a/src/balsamreach/budget/takeover.py
+++ b/src/balsamreach/budget/takeover.py
@@ -7,7 +7,7 @@
 from balsamreach.budget.closing import AllotmentCloser
 from balsamreach.budget.closing_plan import ClosingResult, ClosingSpec
 from balsamreach.budget.faults import BudgetFault
-from balsamreach.budget.incarnations import Incarnations
+from balsamreach.budget.incarnations import AddressRegistration
 from balsamreach.budget.stranded import StrandedAllotments
 from balsamreach.telemetry.logs import log_event
 from balsamreach.telemetry.metrics import Metrics
@@ -26,7 +26,7 @@
     ----------
     closer : AllotmentCloser
         Closes one allotment.
-    incarnations : Incarnations
+    registration : AddressRegistration
         Knows the predecessors.
     metrics : Metrics
         Counts tokens that were returned and tokens that stay stranded.
@@ -35,13 +35,13 @@
     """
 
     closer: AllotmentCloser
-    incarnations: Incarnations
+    registration: AddressRegistration
     metrics: Metrics
     stranded: StrandedAllotments
 
     async def close_predecessors(self) -> None:
         """Close all open allotments of predecessors."""
-        await self.incarnations.close_each_predecessor(self._close_incarnation)
+        await self.registration.close_each_predecessor(self._close_incarnation)
 
     async def _close_incarnation(self, incarnation: str) -> bool:
         teams = await self.closer.open_teams(incarnation)
--- a/src/balsamreach/budget/token_handover.py
+++ b/src/balsamreach/budget/token_handover.py
@@ -43,7 +43,7 @@
         """
         for member in self.loans.peers_to_ask(ledger.team):
             loan_id = new_loan_id(self.loans.rng)
-            tokens = ledger.lend(loan_id, ledger.own)
+            tokens = ledger.lend(loan_id, ledger.unspent_granted)
             if tokens <= 0:
                 return 0
             grant = LoanGrant(loan_id, ledger.team, tokens)
@@ -62,6 +62,6 @@
         ledger = self.loans.book.ledger(grant.team)
         loan = Loan(grant.loan_id, member.incarnation, grant.tokens)
         ledger.borrowed[grant.loan_id] = loan
-        ledger.hand_out()
+        ledger.serve_queue()
         self.loans.book.metrics.count(BORROWED, loan.tokens)
         return Done()
--- a/src/balsamreach/budget/usage.py
+++ b/src/balsamreach/budget/usage.py
@@ -5,7 +5,7 @@
 import attrs
 
 from balsamreach.budget.account import Loan
-from balsamreach.budget.promises import Allowance
+from balsamreach.budget.usage_reports import Allowance
 
 if TYPE_CHECKING:
     from balsamreach.budget.ledger import Ledger
--- a/src/balsamreach/budget/promises.py
+++ b/src/balsamreach/budget/usage_reports.py
@@ -64,14 +64,14 @@
 
 
 @attrs.frozen
-class Report:
+class UsageReport:
     """One router's allowances for all its teams.
 
     Parameters
     ----------
     number : int
         Sequence number among the reports of this router.
-    at : float
+    service_time : float
         Seconds of the table service's clock; the report was made then or
         later.
     schedule : OpeningSchedule
@@ -81,7 +81,7 @@
     """
 
     number: int
-    at: float
+    service_time: float
     schedule: OpeningSchedule
     teams: Mapping[str, Allowance]
 
@@ -93,11 +93,11 @@
         return allowance.allowed(self.schedule.usable_share(age))
 
 
-def encode_report(report: Report) -> dict[str, Any]:
+def encode_report(report: UsageReport) -> dict[str, Any]:
     """Return a report as the JSON object stored in its row."""
     return {
         'number': report.number,
-        'at': report.at,
+        'at': report.service_time,
         'patience': report.schedule.patience,
         'opening': report.schedule.opening,
         'teams': {
@@ -107,11 +107,11 @@
     }
 
 
-def decode_report(fields: Mapping[str, Any]) -> Report:
+def decode_report(fields: Mapping[str, Any]) -> UsageReport:
     """Return the report stored in a row."""
-    return Report(
+    return UsageReport(
         number=fields['number'],
-        at=fields['at'],
+        service_time=fields['at'],
         schedule=OpeningSchedule(fields['patience'], fields['opening']),
         teams={
             team: Allowance(*amounts)
--- a/src/balsamreach/daemon/parts.py
+++ b/src/balsamreach/daemon/parts.py
@@ -194,8 +194,8 @@
     answers = Answers(cfg.requests, clock, metrics)
     claims = Claims(budgets.service, net.me.incarnation, clock, metrics)
     others = make_others(net, answers, tries, targets, cfg)
-    incarnations = budgets.book.incarnations
-    others.sharing.is_first = lambda: incarnations.is_first
+    registration = budgets.book.registration
+    others.sharing.is_first = lambda: registration.is_new_address
     return Dispatcher(
         RunParts(
             budgets=budgets,
--- a/src/balsamreach/daemon/relay_router.py
+++ b/src/balsamreach/daemon/relay_router.py
@@ -81,7 +81,7 @@
             *self.feeds,
             holdings.run,
             holdings.run_reports,
-            holdings.parts.homing.run,
+            holdings.parts.home_client.run,
             self.parts.sharing.run,
             self._tick,
         )
--- a/src/balsamreach/dispatch/run.py
+++ b/src/balsamreach/dispatch/run.py
@@ -138,7 +138,7 @@
         resumed = await self._remote.resume()
         if resumed is not None and resumed.fault is None:
             self._bill(resumed.reply, reservation)
-            await self.parts.budgets.secure()
+            await self.parts.budgets.wait_for_copies()
             return None
         if not self._remote.can_run_here():
             return faults.ANSWER_BROKEN.because(
@@ -211,7 +211,7 @@
             # The bill is secured before the end of the answer is delivered.
             # Otherwise a caller could have the complete answer unbilled if
             # this router died right after.
-            await self.parts.budgets.secure()
+            await self.parts.budgets.wait_for_copies()
             fault = None
         if buffered:
             tries.reply.deliver()
--- a/src/balsamreach/gateway/operators_budgets.py
+++ b/src/balsamreach/gateway/operators_budgets.py
@@ -40,5 +40,5 @@
             'granted': ledger.granted,
             'billed': ledger.billed,
             'reserved': ledger.reserved,
-            'waiting_bills': len(ledger.waiting),
+            'waiting_bills': len(ledger.unrecorded_bills),
         }
--- a/src/balsamreach/gateway/operators_lowering.py
+++ b/src/balsamreach/gateway/operators_lowering.py
@@ -29,7 +29,7 @@
     if outcome != faults.BELOW_TAKEN:
         return outcome
     team = edit.key.rpartition('/')[-1]
-    out = await context.budgets.upkeep.recalls.recall(team)
+    out = await context.budgets.maintenance.recaller.recall(team)
     if isinstance(out, BudgetFault):
         return outcome
     again = await context.editor.apply(edit)
--- a/src/balsamreach/table/edits.py
+++ b/src/balsamreach/table/edits.py
@@ -7,7 +7,11 @@
 import attrs
 import xxhash
 
-from balsamreach.budget.account import account_key, decode_account, encode
+from balsamreach.budget.account import (
+    account_key,
+    decode_account,
+    encode_record,
+)
 from balsamreach.services.base import ABSENT, Check, Row, Write
 from balsamreach.table import rows
 from balsamreach.table.faults import (
@@ -222,7 +226,7 @@
             'routers; lower it by an edit of its own, which recalls them',
         ).against(stored.row)
     new_account = attrs.evolve(account, prepaid=team.prepaid)
-    return (Write(stored.account.key, encode(new_account)),)
+    return (Write(stored.account.key, encode_record(new_account)),)
 
 
 def _plan_record_writes(
--- a/src/balsamreach/ui/audit.py
+++ b/src/balsamreach/ui/audit.py
@@ -7,7 +7,7 @@
 import attrs
 import click
 
-from balsamreach.budget.audit import Report
+from balsamreach.budget.audit_report import AuditReport
 from balsamreach.budget.auditor import Auditor
 from balsamreach.budget.faults import BudgetFault
 from balsamreach.config.settings import Settings
@@ -40,12 +40,12 @@
         click.get_current_context().exit(exit_codes.BROKEN)
 
 
-async def _audit(cfg: Settings) -> Report | BudgetFault:
+async def _audit(cfg: Settings) -> AuditReport | BudgetFault:
     client = platform_client(cfg, cfg.platform.table)
     return await Auditor(HttpTableService(client)).audit()
 
 
-def _as_mapping(report: Report) -> dict[str, object]:
+def _as_mapping(report: AuditReport) -> dict[str, object]:
     fields = attrs.asdict(report)
     fields['ok'] = not report.breaches
     for team, sums in report.teams.items():
@@ -54,7 +54,7 @@
     return fields
 
 
-def _print_report(report: Report) -> None:
+def _print_report(report: AuditReport) -> None:
     for team, sums in sorted(report.teams.items()):
         prepaid = 0 if sums.account is None else sums.account.prepaid
         click.echo(
--- a/src/balsamreach/ui/budget.py
+++ b/src/balsamreach/ui/budget.py
@@ -6,7 +6,7 @@
 import attrs
 import click
 
-from balsamreach.budget.ending import ClaimEnder
+from balsamreach.budget.claim_settling import ClaimSettler
 from balsamreach.budget.faults import (
     NO_ALLOTMENT,
     STILL_LISTED,
@@ -94,7 +94,7 @@
     cfg = load_settings(path, overrides)
     team, _slash, key = request_name.partition('/')
     table = HttpTableService(platform_client(cfg, cfg.platform.table))
-    fault = asyncio.run(ClaimEnder(table, by).end(team, key, tokens))
+    fault = asyncio.run(ClaimSettler(table, by).end(team, key, tokens))
     if fault is not None:
         away = fault == NO_ALLOTMENT
         code = exit_codes.UNREACHABLE if away else exit_codes.CONFLICT
--- a/tests/budget_world.py
+++ b/tests/budget_world.py
@@ -8,8 +8,8 @@
 
 import attrs
 
-from balsamreach.budget.account import Account, Bill, account_key, encode
-from balsamreach.budget.audit import Report, TeamSums
+from balsamreach.budget.account import Account, Bill, account_key, encode_record
+from balsamreach.budget.audit_report import AuditReport, TeamSums
 from balsamreach.budget.auditor import Auditor
 from balsamreach.budget.budgets import Budgets
 from balsamreach.budget.ledger import Reservation
@@ -70,7 +70,7 @@
 
 
 @attrs.define
-class Gate(TableService):
+class SwitchedService(TableService):
     """One router's connection to the table service; can be cut off."""
 
     service: TableService
@@ -92,18 +92,18 @@
 
 
 @attrs.define
-class LosingGate(Gate):
+class LosingGate(SwitchedService):
     """Loses the response to one commit, then disconnects its router.
 
     Parameters
     ----------
-    gate : Gate
+    connection : SwitchedService
         The router's connection to the service, closed after the loss.
     commits_before_loss : int
         Number of commits that get their response before that.
     """
 
-    gate: Gate = attrs.field(kw_only=True)
+    connection: SwitchedService = attrs.field(kw_only=True)
     commits_before_loss: int = 0
 
     async def commit(self, change: Commit) -> int | PlatformFault:
@@ -112,8 +112,8 @@
         self.commits_before_loss -= 1
         if self.commits_before_loss >= 0:
             return outcome
-        self.gate.open = False
-        self.gate.service = self.service
+        self.connection.open = False
+        self.connection.service = self.service
         return UNKNOWN
 
 
@@ -124,10 +124,10 @@
     cfg: BudgetSettings = SETTINGS
     seed: int = 1
     clock: VirtualClock = attrs.field(factory=VirtualClock)
-    fabric: FakeNet = attrs.field(factory=FakeNet)
+    network: FakeNet = attrs.field(factory=FakeNet)
     platform: MemoryPlatform = attrs.field(init=False)
     routers: dict[str, Budgets] = attrs.field(factory=dict)
-    gates: dict[str, Gate] = attrs.field(factory=dict)
+    connections: dict[str, SwitchedService] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
         """Start the platform."""
@@ -140,12 +140,12 @@
         address: str = '',
     ) -> Budgets:
         """Start a router; without an address it gets a new one."""
-        net = self.fabric.join(name, zone)
+        net = self.network.join(name, zone)
         if address:
             net.me = attrs.evolve(net.me, address=address)
-        self.gates[name] = Gate(self.platform.table)
+        self.connections[name] = SwitchedService(self.platform.table)
         self.routers[name] = Budgets(
-            self.gates[name],
+            self.connections[name],
             name,
             self.cfg,
             self.clock,
@@ -165,7 +165,7 @@
         rows = await self.platform.table.read((account_key(team),))
         account = Account(**(rows[0].value or {}))
         updated = attrs.evolve(account, prepaid=account.prepaid + tokens)
-        write = Write(account_key(team), encode(updated))
+        write = Write(account_key(team), encode_record(updated))
         await self.platform.table.commit(Commit((write,)))
         weather.down = down
         weather.lose_answers = lose_answers
@@ -186,11 +186,11 @@
             router.bill(reservation, Bill(team, key, used_tokens))
         return reservation
 
-    async def sums(self) -> TeamSums:
+    async def team_sums(self) -> TeamSums:
         """Audit and return the sums of the team named ``team``."""
         return (await self.audit()).teams['team']
 
-    async def audit(self) -> Report:
+    async def audit(self) -> AuditReport:
         """Audit the platform, bypassing an outage."""
         weather = self.platform.weather
         down = weather.down
@@ -199,37 +199,37 @@
         weather.down = down
         return report
 
-    async def rounds(self, *names: str, count: int = 1) -> None:
+    async def run_rounds(self, *names: str, count: int = 1) -> None:
         """Run the periodic work of routers, of all if none is named."""
         for _ in range(count):
             for name in names or tuple(self.routers):
                 router = self.routers[name]
-                router.upkeep.copy_bills()
-                await self.clock.drive(router.upkeep.round())
-            await self.fabric.settle()
+                router.maintenance.copy_bills()
+                await self.clock.drive(router.maintenance.run_round())
+            await self.network.settle()
 
     def address(self, name: str) -> str:
         """Return a router's address."""
-        net = self.fabric.nets[name]
+        net = self.network.nets[name]
         return net.me.address
 
-    async def peek(self, key: str) -> Row:
+    async def read_row(self, key: str) -> Row:
         """Read a row directly from the platform."""
         rows = await self.platform.table.read((key,))
         return rows[0]
 
     def kill(self, name: str) -> Budgets:
         """Stop a router abruptly; the state in its memory is lost."""
-        self.fabric.kill(name)
+        self.network.kill(name)
         return self.routers.pop(name)
 
-    def cut(self, *names: str) -> None:
+    def disconnect(self, *names: str) -> None:
         """Disconnect routers from the platform."""
         for name in names:
-            self.gates[name].open = False
+            self.connections[name].open = False
 
-    def heal(self) -> None:
+    def reconnect(self) -> None:
         """Reconnect all routers to the platform and to each other."""
-        for gate in self.gates.values():
-            gate.open = True
-        self.fabric.heal()
+        for connection in self.connections.values():
+            connection.open = True
+        self.network.heal()
--- a/tests/holdings_fleet.py
+++ b/tests/holdings_fleet.py
@@ -15,7 +15,7 @@
 from balsamreach.services.times import ServiceClock
 from balsamreach.standins.memory import MemoryPlatform
 from balsamreach.telemetry.metrics import Metrics
-from tests.budget_world import SETTINGS, Gate, VirtualClock
+from tests.budget_world import SETTINGS, SwitchedService, VirtualClock
 from tests.fake_net import FakeNet
 
 Outcome = TypeVar('Outcome')
@@ -36,7 +36,7 @@
 
 
 @attrs.define
-class TimedGate(Gate):
+class TimedService(SwitchedService):
     """A connection to the table service whose answers contain its time."""
 
     service_clock: ServiceClock = attrs.field(kw_only=True)
@@ -70,9 +70,9 @@
     prepaid: int
     seed: int = 1
     clock: VirtualClock = attrs.field(factory=VirtualClock)
-    fabric: FakeNet = attrs.field(factory=FakeNet)
+    network: FakeNet = attrs.field(factory=FakeNet)
     platform: MemoryPlatform = attrs.field(init=False)
-    gates: dict[str, Gate] = attrs.field(factory=dict)
+    connections: dict[str, SwitchedService] = attrs.field(factory=dict)
     routers: dict[str, Holdings] = attrs.field(factory=dict)
     addresses: dict[str, str] = attrs.field(factory=dict)
     clock_lead: float = CLOCK_LEAD_S
@@ -89,19 +89,19 @@
         self.started += 1
         name = f'router-{self.started}'
         service_clock = ServiceClock(self.clock)
-        self.gates[name] = TimedGate(
+        self.connections[name] = TimedService(
             self.platform.table,
             service_clock=service_clock,
             clock_lead=self.clock_lead,
         )
         self.addresses[name] = address or name
         self.routers[name] = Holdings(
-            self.gates[name],
+            self.connections[name],
             lambda _team: self.prepaid,
             name,
             CFG,
             5,
-            self.fabric.join(name, zone),
+            self.network.join(name, zone),
             service_clock,
             self.addresses[name],
             self.clock,
@@ -114,7 +114,7 @@
     def kill(self, name: str) -> None:
         """End a router without shutdown."""
         self.routers.pop(name)
-        self.fabric.kill(name)
+        self.network.kill(name)
 
     async def serve(
         self,
@@ -130,9 +130,9 @@
             router.charge(held, used)
         return held
 
-    async def round(self, name: str) -> None:
+    async def run_round(self, name: str) -> None:
         """Let one router make the moves that are due."""
-        await self.clock.drive(self.routers[name].round())
+        await self.clock.drive(self.routers[name].run_round())
 
     async def report(self, name: str) -> None:
         """Let one router report its use."""
--- a/tests/small_router.py
+++ b/tests/small_router.py
@@ -119,7 +119,7 @@
     def bills(self):
         """Return the bills that wait, by request key."""
         ledger = self.parts.budgets.ledgers.get('team')
-        waiting = ledger.waiting if ledger else ()
+        waiting = ledger.unrecorded_bills if ledger else ()
         return {bill.key: bill.tokens for bill in waiting}
 
     async def call(self, **changes):
--- a/tests/test_budget_copies.py
+++ b/tests/test_budget_copies.py
@@ -26,11 +26,11 @@
         self.addCleanup(logging.disable, logging.NOTSET)
         self.world = World()
         self.router = self.world.start('a')
-        self.peers = self.router.upkeep.peers
+        self.peers = self.router.maintenance.peers
         self.world.start('b')
         self.world.start('c')
         await self.world.fund('team', 100_000)
-        await self.world.rounds()
+        await self.world.run_rounds()
 
     async def start_tasks(self, router):
         """Start the background tasks of a router without advancing time."""
@@ -44,7 +44,7 @@
             self.address = self.world.address('a')
             self.world.kill('a')
         self.world.start('a2', address=self.address)
-        await self.world.rounds(count=2)
+        await self.world.run_rounds(count=2)
 
     async def run_ready_tasks(self):
         """Run all tasks that do not wait for the clock."""
@@ -54,7 +54,7 @@
     async def deliver_messages(self):
         """Deliver all messages that were sent."""
         await self.run_ready_tasks()
-        await self.world.fabric.settle()
+        await self.world.network.settle()
 
     async def admit(self, router, key, tokens=100):
         """Serve a request and check that it is admitted."""
@@ -71,9 +71,9 @@
         await self.start_tasks(self.router)
         await self.admit(self.router, 'k')
         await self.run_ready_tasks()
-        await self.world.fabric.settle()
+        await self.world.network.settle()
         await self.replace_router()
-        self.assertEqual((await self.world.sums()).recorded, 100)
+        self.assertEqual((await self.world.team_sums()).recorded, 100)
 
     async def test_secured_bill_survives_crash(self):
         """A complete response is billed although its router is killed.
@@ -83,23 +83,23 @@
         client would have a response that is never billed.
         """
         await self.admit(self.router, 'k')
-        await self.router.secure()
+        await self.router.wait_for_copies()
         await self.replace_router()
-        self.assertEqual((await self.world.sums()).recorded, 100)
+        self.assertEqual((await self.world.team_sums()).recorded, 100)
         self.assertEqual(self.count_secured('copied'), 1)
 
     async def test_slow_backup_delays_one_response(self):
         """A paused backup peer delays the end of only one response."""
-        self.world.fabric.held.add(BillCopies)
+        self.world.network.held.add(BillCopies)
         with mock.patch.object(copying, 'CONFIRM_TIMEOUT_S', 0):
             for key in ('k', 'm'):
                 await self.admit(self.router, key)
-                await self.router.secure()
+                await self.router.wait_for_copies()
         self.assertEqual(self.count_secured('late'), 1)
-        self.world.fabric.release()
+        self.world.network.release()
         await self.run_ready_tasks()
         await self.admit(self.router, 'n')
-        await self.router.secure()
+        await self.router.wait_for_copies()
         self.assertEqual(self.count_secured('copied'), 1)
 
     @parameterized.expand([('alone', True), ('answer_lost', False)])
@@ -110,23 +110,23 @@
         recorded. If an unconfirmed copy counted as not sent, the peer would
         keep it forever.
         """
-        self.world.fabric.answers_lost[BillCopies] = 1
+        self.world.network.answers_lost[BillCopies] = 1
         if alone:
             self.world.kill('b')
             self.world.kill('c')
         await self.admit(self.router, 'k')
-        await self.router.secure()
+        await self.router.wait_for_copies()
         self.assertEqual(self.count_secured('alone'), 1)
         await self.router.flush()
-        self.router.upkeep.copy_bills()
-        await self.world.fabric.settle()
+        self.router.maintenance.copy_bills()
+        await self.world.network.settle()
         others = [name for name in ('b', 'c') if name in self.world.routers]
         self.assertEqual(sum(self.count_kept(name) for name in others), 0)
 
     def count_kept(self, name):
         """Return the number of copies that a router keeps."""
-        upkeep = self.world.routers[name].upkeep
-        return upkeep.peers.keeper.kept
+        maintenance = self.world.routers[name].maintenance
+        return maintenance.peers.keeper.kept
 
     def count_secured(self, outcome):
         """Return how often waiting for a copy ended with an outcome."""
@@ -146,7 +146,7 @@
             if key == 'k':
                 self.world.kill(self.peers.sender.backup)
         await self.replace_router()
-        self.assertEqual((await self.world.sums()).recorded, 200)
+        self.assertEqual((await self.world.team_sums()).recorded, 200)
 
     async def test_registers_before_first_round(self):
         """A successor registers at its address before its first round.
@@ -158,14 +158,14 @@
         address = self.world.address('a')
         self.world.kill('a')
         await self.start_tasks(self.world.start('a2', address=address))
-        row = await self.world.peek(ROUTER_PREFIX + address)
+        row = await self.world.read_row(ROUTER_PREFIX + address)
         self.assertEqual(row.value['incarnation'], 'a2')
 
     async def kill_after_copy(self):
         """Kill a router after copying a bill; return its backup peer."""
         await self.admit(self.router, 'k')
-        self.router.upkeep.copy_bills()
-        await self.world.fabric.settle()
+        self.router.maintenance.copy_bills()
+        await self.world.network.settle()
         backup = self.peers.sender.backup
         self.address = self.world.address('a')
         self.world.kill('a')
@@ -180,11 +180,11 @@
         """
         backup = await self.kill_after_copy()
         self.world.start('a2', address=self.address)
-        await self.world.rounds('a2')
+        await self.world.run_rounds('a2')
         router = self.world.routers[backup]
         self.assertTrue(await self.world.clock.drive(router.leave()))
         self.world.kill(backup)
-        self.assertEqual((await self.world.sums()).recorded, 100)
+        self.assertEqual((await self.world.team_sums()).recorded, 100)
 
     async def test_leaving_backup_passes_on_copies(self):
         """A backup peer that leaves passes on copies it can't settle yet.
@@ -199,10 +199,10 @@
         self.world.kill(backup)
         # The router may only be disconnected; that its first backup peer left
         # does not prove that it stopped.
-        await self.world.rounds(count=2)
-        self.assertEqual((await self.world.sums()).recorded, 0)
+        await self.world.run_rounds(count=2)
+        self.assertEqual((await self.world.team_sums()).recorded, 0)
         await self.replace_router()
-        self.assertEqual((await self.world.sums()).recorded, 100)
+        self.assertEqual((await self.world.team_sums()).recorded, 100)
 
     async def test_unsent_copy_is_sent_later(self):
         """A copy that could not be sent is sent with the next update.
@@ -213,16 +213,16 @@
         """
         sender = self.peers.sender
         await self.admit(self.router, 'k')
-        self.router.upkeep.copy_bills()
-        await self.world.fabric.settle()
+        self.router.maintenance.copy_bills()
+        await self.world.network.settle()
         await self.admit(self.router, 'm')
         failing = mock.AsyncMock(return_value=NOT_CONNECTED)
         with mock.patch.object(FakePeerNet, 'ask', failing):
             self.peers.copier.copy_new()
             await self.run_ready_tasks()
-        self.router.upkeep.copy_bills()
-        await self.world.fabric.settle()
-        backup = self.world.routers[sender.backup].upkeep
+        self.router.maintenance.copy_bills()
+        await self.world.network.settle()
+        backup = self.world.routers[sender.backup].maintenance
         self.assertEqual(backup.peers.keeper.kept, 2)
 
 
--- a/tests/test_budget_failures.py
+++ b/tests/test_budget_failures.py
@@ -99,18 +99,18 @@
         lender's allotment have too few tokens.
         """
         await self.admit(self.router_a, 'k', 1000)
-        await self.world.rounds('a', count=2)
-        self.world.cut('b')
+        await self.world.run_rounds('a', count=2)
+        self.world.disconnect('b')
         await self.admit(self.router_b, 'm', 300)
-        self.world.heal()
-        gate = self.world.gates['b']
-        gate.service = LosingGate(
-            gate.service, gate=gate, commits_before_loss=1
+        self.world.reconnect()
+        connection = self.world.connections['b']
+        connection.service = LosingGate(
+            connection.service, connection=connection, commits_before_loss=1
         )
-        await self.world.rounds('b')
-        self.assertFalse(gate.open)
-        self.world.heal()
-        await self.world.rounds('b', count=2)
+        await self.world.run_rounds('b')
+        self.assertFalse(connection.open)
+        self.world.reconnect()
+        await self.world.run_rounds('b', count=2)
         report = await self.check_recorded(recorded=1300)
         sums = report.teams['team']
         borrower = self.router_b.ledgers['team']
@@ -129,15 +129,17 @@
         """
         for number in range(20):
             await self.admit(self.router_a, f'k{number}', 50)
-        await self.world.rounds('a')
+        await self.world.run_rounds('a')
         self.world.clock.seconds += 1200
-        gate = self.world.gates['a']
-        gate.service = LosingGate(gate.service, gate=gate)
-        await self.world.rounds('a')
-        self.assertFalse(gate.open)
+        connection = self.world.connections['a']
+        connection.service = LosingGate(
+            connection.service, connection=connection
+        )
+        await self.world.run_rounds('a')
+        self.assertFalse(connection.open)
         ledger = self.router_a.ledgers['team']
         self.assertGreater(ledger.returning, 0)
-        row = await self.world.peek(allotment_key('a', 'team'))
+        row = await self.world.read_row(allotment_key('a', 'team'))
         held = row.value['granted'] - row.value['settled']
         self.assertLessEqual(ledger.available, held)
 
@@ -150,16 +152,16 @@
         """
         for number in range(20):
             await self.admit(self.router_a, f'k{number}', 50)
-        await self.world.rounds('a')
+        await self.world.run_rounds('a')
         self.world.clock.seconds += 1200
         ledger = self.router_a.ledgers['team']
-        table = type(self.world.gates['a'])
+        table = type(self.world.connections['a'])
         with mock.patch.object(table, 'commit', return_value=UNKNOWN):
-            await self.world.rounds('a')
+            await self.world.run_rounds('a')
         self.assertGreater(ledger.returning, 0)
-        await self.world.rounds('a', count=2)
+        await self.world.run_rounds('a', count=2)
         self.assertEqual(ledger.returning, 0)
-        row = await self.world.peek(allotment_key('a', 'team'))
+        row = await self.world.read_row(allotment_key('a', 'team'))
         self.assertEqual(ledger.granted, row.value['granted'])
 
 
@@ -169,15 +171,15 @@
     async def cut_off_with_reserve(self):
         """Give one router spare tokens, then disconnect both routers."""
         await self.admit(self.router_a, 'k', 1000)
-        await self.world.rounds('a', count=2)
-        self.world.cut('a', 'b')
+        await self.world.run_rounds('a', count=2)
+        self.world.disconnect('a', 'b')
 
     async def test_borrow(self):
         """A router without an allotment serves with borrowed tokens."""
         await self.cut_off_with_reserve()
         await self.admit(self.router_b, 'm', 300)
-        self.world.heal()
-        await self.world.rounds(count=2)
+        self.world.reconnect()
+        await self.world.run_rounds(count=2)
         await self.check_recorded(recorded=1300)
 
     async def test_strict_borrower_waits(self):
@@ -190,11 +192,11 @@
         self.world.cfg = attrs.evolve(SETTINGS, posture='strict')
         strict = self.world.start('c')
         await self.cut_off_with_reserve()
-        self.world.cut('c')
+        self.world.disconnect('c')
         refused = await self.world.serve(strict, 'm', 300)
         self.assertEqual(refused, NO_ALLOTMENT)
         self.assertGreater(refused.retry_after, 0)
-        self.world.heal()
+        self.world.reconnect()
         self.world.clock.seconds += 10
         await self.admit(strict, 'm', 300)
 
@@ -207,11 +209,11 @@
         """
         await self.cut_off_with_reserve()
         before = self.router_a.ledgers['team'].available
-        self.world.fabric.answers_lost[LoanAsk] = 1
+        self.world.network.answers_lost[LoanAsk] = 1
         refused = await self.world.serve(self.router_b, 'm', 300)
         self.assertEqual(refused, NO_ALLOTMENT)
         self.assertEqual(self.router_a.ledgers['team'].available, before - 300)
-        await self.world.rounds('b')
+        await self.world.run_rounds('b')
         self.assertEqual(self.router_a.ledgers['team'].available, before)
 
     async def test_loan_request_after_cancellation(self):
@@ -222,7 +224,7 @@
         nobody waits for the grant.
         """
         await self.cut_off_with_reserve()
-        me = self.world.fabric.nets['b']
+        me = self.world.network.nets['b']
         ledger = self.router_a.ledgers['team']
         before = ledger.available
         await me.ask('a', LoanReceipt('late', ''))
@@ -234,7 +236,7 @@
         """A duplicated loan request is deducted only once."""
         await self.cut_off_with_reserve()
         before = self.router_a.ledgers['team'].available
-        self.world.fabric.doubled[LoanAsk] = 1
+        self.world.network.doubled[LoanAsk] = 1
         await self.admit(self.router_b, 'm', 300)
         self.assertEqual(self.router_a.ledgers['team'].available, before - 300)
 
@@ -252,13 +254,13 @@
         address = self.world.address('a')
         self.world.kill('a')
         self.world.start('a2', address=address)
-        await self.world.rounds('a2', count=5)
+        await self.world.run_rounds('a2', count=5)
         report = await self.check_recorded(recorded=1000)
         left = report.teams['team'].allotments['a']
         self.assertTrue(left.closed)
         self.assertTrue(report.stranded)
-        self.world.heal()
-        await self.world.rounds('b', count=2)
+        self.world.reconnect()
+        await self.world.run_rounds('b', count=2)
         await self.check_recorded(recorded=1300)
 
     async def test_top_up_during_partition(self):
@@ -269,7 +271,7 @@
         in that zone, it would refuse requests that the budget covers.
         """
         await self.admit(self.router_b, 'k0', 9000)
-        self.world.cut('b')
+        self.world.disconnect('b')
         refused = await self.world.serve(self.router_b, 'k1', 2000)
         self.assertNotIsInstance(refused, Reservation)
         await self.world.fund('team', 40000)
@@ -285,13 +287,13 @@
         address = self.world.address(name)
         killed = self.world.kill(name)
         self.world.start(successor, address=address)
-        await self.world.rounds(count=6)
+        await self.world.run_rounds(count=6)
         return killed
 
     async def test_successor_closes(self):
         """A successor returns unspent tokens; recorded spend is kept."""
         await self.admit(self.router_a, 'k', 100)
-        await self.world.rounds('a')
+        await self.world.run_rounds('a')
         await self.replace_router()
         report = await self.check_recorded(recorded=100)
         account = report.teams['team'].account
@@ -305,13 +307,13 @@
         router that closes the allotment counts the reclaimed tokens once.
         """
         await self.world.serve(self.router_a, 'k', 500, used=100)
-        self.router_a.upkeep.copy_bills()
-        await self.world.fabric.settle()
+        self.router_a.maintenance.copy_bills()
+        await self.world.network.settle()
         address = self.world.address('a')
         self.world.kill('a')
         successor = self.world.start('a2', address=address)
-        await successor.upkeep.book.enter()
-        await self.world.rounds('b')
+        await successor.maintenance.book.register()
+        await self.world.run_rounds('b')
         await self.check_recorded(recorded=100)
         self.assertEqual(self.count_reclaimed(), 400)
 
@@ -332,12 +334,12 @@
         memory, the request would be billed by two routers.
         """
         await self.admit(self.router_a, 'k', 100)
-        self.router_a.upkeep.copy_bills()
-        await self.world.fabric.settle()
+        self.router_a.maintenance.copy_bills()
+        await self.world.network.settle()
         resumed = await self.replace_router()
         refused = await self.world.serve(resumed, 'late', 50)
         self.assertEqual(refused, TAKEN_OVER)
-        await self.world.clock.drive(resumed.upkeep.round())
+        await self.world.clock.drive(resumed.maintenance.run_round())
         await self.check_recorded(recorded=100)
         self.assertEqual(resumed.waiting, 0)
 
@@ -349,7 +351,7 @@
         wait, the request is admitted on a closed allotment.
         """
         await self.admit(self.router_a, 'k', 100)
-        await self.world.rounds('a')
+        await self.world.run_rounds('a')
         resumed = await self.replace_router()
         resumed.ledgers['team'].granted = 0
         self.world.clock.seconds -= 100
@@ -370,14 +372,14 @@
         self.world.cfg = attrs.evolve(SETTINGS, bills_limit=3)
         router = self.world.start('c')
         await self.admit(router, 'k', 300)
-        self.world.cut('c')
+        self.world.disconnect('c')
         for number in range(2):
             await self.admit(router, f'm{number}', 1)
         refused = await self.world.serve(router, 'n', 1)
         self.assertEqual(refused, BILLS_FULL)
         self.assertGreater(refused.retry_after, 0)
-        self.world.heal()
-        await self.world.rounds('c')
+        self.world.reconnect()
+        await self.world.run_rounds('c')
         await self.admit(router, 'n', 1)
 
     async def test_leaving_during_outage(self):
@@ -387,10 +389,10 @@
         that only its memory holds would be lost with it.
         """
         await self.admit(self.router_a, 'k', 100)
-        self.world.cut('a')
+        self.world.disconnect('a')
         self.assertFalse(await self.world.clock.drive(self.router_a.leave()))
         self.world.kill('a')
-        await self.world.rounds('b')
+        await self.world.run_rounds('b')
         report = await self.check_recorded(recorded=100)
         self.assertEqual(report.teams['team'].account.taken, 100)
 
@@ -429,9 +431,9 @@
             served += 50
             self.world.clock.seconds += 0.1
             if not number % 40:
-                await self.world.rounds()
+                await self.world.run_rounds()
         self.assertEqual(served, 10000)
-        await self.world.rounds(count=2)
+        await self.world.run_rounds(count=2)
         await self.check_recorded(recorded=10000)
 
     async def test_repeated_key_is_billed_once(self):
@@ -439,7 +441,7 @@
         await self.admit(self.router_a, 'k', 100)
         await self.admit(self.router_a, 'k', 100)
         await self.admit(self.router_b, 'k', 100)
-        await self.world.rounds()
+        await self.world.run_rounds()
         await self.check_recorded(recorded=100)
         self.assertEqual(self.router_a.repeated_bills, 1)
         self.assertEqual(self.router_b.repeated_bills, 1)
--- a/tests/test_budget_histories.py
+++ b/tests/test_budget_histories.py
@@ -73,7 +73,7 @@
     @rule(names=st.sampled_from((*_NAMES, _NAMES, _NAMES)))
     def do_rounds(self, names):
         full_names = [self._full_name(name) for name in names]
-        self._run(self.world.rounds(*full_names))
+        self._run(self.world.run_rounds(*full_names))
 
     @rule(seconds=st.sampled_from((1, 10, 400)))
     def wait(self, seconds):
@@ -87,7 +87,9 @@
     def recall(self, name, lower_prepaid):
         """Recall tokens from routers; lower the prepaid tokens if asked."""
         router = self.world.routers[self._full_name(name)]
-        self._run(self.world.clock.drive(router.upkeep.recalls.recall('team')))
+        self._run(
+            self.world.clock.drive(router.maintenance.recaller.recall('team'))
+        )
         if lower_prepaid:
             sums = self._run(self.world.audit()).teams['team']
             self._run(self._fund(-sums.account.free))
@@ -98,24 +100,24 @@
 
     @rule(names=st.sets(_names, min_size=1))
     def cut_platform(self, names):
-        self.world.cut(*(self._full_name(name) for name in names))
+        self.world.disconnect(*(self._full_name(name) for name in names))
 
     @rule()
     def cut_zones(self):
         zone_a = [name for name in self.world.routers if name[0] != 'c']
         zone_b = [name for name in self.world.routers if name[0] == 'c']
-        self.world.fabric.cut(zone_a, zone_b)
+        self.world.network.cut(zone_a, zone_b)
 
     @rule()
     def heal(self):
-        self.world.heal()
+        self.world.reconnect()
 
     @rule(
         message_type=_message_types,
         fault=st.sampled_from(('lost', 'answers_lost', 'doubled')),
     )
     def fail_message(self, message_type, fault):
-        getattr(self.world.fabric, fault)[message_type] += 1
+        getattr(self.world.network, fault)[message_type] += 1
 
     @rule(name=_names, graceful=st.booleans())
     def end(self, name, graceful):
@@ -141,11 +143,13 @@
         router = self.paused.pop()
         if after_rounds:
             self.world.clock.seconds += 60
-            self.world.heal()
+            self.world.reconnect()
             self.world.platform.weather.lose_answers = 0
-            self._run(self.world.rounds(self._full_name(router.incarnation[0])))
+            self._run(
+                self.world.run_rounds(self._full_name(router.incarnation[0]))
+            )
         self.started += 1
-        must_notice = after_rounds and router.book.incarnations.entered
+        must_notice = after_rounds and router.book.registration.entered
         reservation = self._serve(
             router, f'woken{self.started}', tokens, tokens
         )
@@ -153,26 +157,26 @@
         # the row of its address, it must notice its successor before it
         # spends tokens.
         assert not (must_notice and isinstance(reservation, Reservation)), (
-            router.closed
+            router.closing_fault
         )
         for _ in range(2):
-            self._run(self.world.clock.drive(router.upkeep.round()))
+            self._run(self.world.clock.drive(router.maintenance.run_round()))
 
     @rule(lender=_names, borrower=_names, tokens=st.integers(50, 600))
     def borrow(self, lender, borrower, tokens):
         """Let a disconnected router borrow the tokens that it lacks."""
         if lender == borrower:
             return
-        self.world.heal()
-        self._run(self.world.rounds(count=2))
+        self.world.reconnect()
+        self._run(self.world.run_rounds(count=2))
         lender_router = self.world.routers[self._full_name(lender)]
         for _ in range(3):
             self.world.clock.seconds += 0.1
             self.started += 1
             self._serve(lender_router, f'key{1000 + self.started}', tokens, 1)
-        self._run(self.world.rounds(self._full_name(lender)))
+        self._run(self.world.run_rounds(self._full_name(lender)))
         borrower_router = self.world.routers[self._full_name(borrower)]
-        self.world.cut(self._full_name(borrower))
+        self.world.disconnect(self._full_name(borrower))
         needed = borrower_router.book.ledger('team').available + tokens
         self.started += 1
         self._serve(
@@ -182,33 +186,33 @@
     @rule(name=_names, tokens=st.integers(1, 600))
     def return_and_be_cut_off(self, name, tokens):
         """Return idle tokens; the response is lost, then the connection."""
-        self.world.heal()
+        self.world.reconnect()
         full_name = self._full_name(name)
         for _ in range(3):
             self.started += 1
             key = f'key{1000 + self.started}'
             self._serve(self.world.routers[full_name], key, tokens, 0)
-        self._run(self.world.rounds(full_name))
+        self._run(self.world.run_rounds(full_name))
         self.world.clock.seconds += 1200
-        gate = self.world.gates[full_name]
-        service = gate.service
-        gate.service = LosingGate(service, gate=gate)
-        self._run(self.world.rounds(full_name))
-        gate.service = service
+        connection = self.world.connections[full_name]
+        service = connection.service
+        connection.service = LosingGate(service, connection=connection)
+        self._run(self.world.run_rounds(full_name))
+        connection.service = service
 
     @rule(names=st.sets(_names, min_size=1))
     def reclaim(self, names):
         """Let routers reclaim tokens that stopped routers may have lent."""
         for name in names:
             router = self.world.routers[self._full_name(name)]
-            work = router.upkeep.peers.reclaimer.reclaim_all()
+            work = router.maintenance.peers.reclaimer.reclaim_all()
             self._run(self.world.clock.drive(work))
 
     @rule(name=_names, graceful=st.booleans())
     def end_and_succeed(self, name, graceful):
         """Stop a router and let its successor take over its allotments."""
         self.end(name, graceful)
-        self._run(self.world.rounds(self._full_name(name), count=5))
+        self._run(self.world.run_rounds(self._full_name(name), count=5))
 
     @invariant()
     def holdings_are_covered(self):
@@ -217,7 +221,7 @@
         held = sum(
             self._run(self._held_tokens(name, router))
             for name, router in self.world.routers.items()
-            if router.closed is None and 'team' in router.ledgers
+            if router.closing_fault is None and 'team' in router.ledgers
         )
         assert sums.recorded + held <= sums.account.taken, (held, sums)
 
@@ -237,20 +241,20 @@
 
     def teardown(self):
         """After all faults end, live routers record each bill once."""
-        self.world.heal()
+        self.world.reconnect()
         weather = self.world.platform.weather
         weather.down = False
         weather.lose_answers = 0
         for faults in (
-            self.world.fabric.lost,
-            self.world.fabric.answers_lost,
-            self.world.fabric.doubled,
+            self.world.network.lost,
+            self.world.network.answers_lost,
+            self.world.network.doubled,
         ):
             faults.clear()
-        self._run(self.world.rounds(count=8))
+        self._run(self.world.run_rounds(count=8))
         self.no_breaches()
         for name, router in self.world.routers.items():
-            if router.closed is None:
+            if router.closing_fault is None:
                 assert router.waiting == 0, (name, router.ledgers)
                 for ledger in router.ledgers.values():
                     self._check_row(name, ledger)
@@ -262,16 +266,20 @@
     def _check_row(self, name, ledger):
         """Check that an idle router's ledger matches its stored row."""
         key = allotment_key(name, ledger.team)
-        row = decode_allotment(self._run(self.world.peek(key)).value)
+        row = decode_allotment(self._run(self.world.read_row(key)).value)
         assert ledger.granted == row.granted, (name, ledger, row)
         assert ledger.billed == row.settled, (name, ledger, row)
         assert ledger.lent >= row.lent, (name, ledger, row)
 
     async def _held_tokens(self, name, router):
         ledger = router.ledgers['team']
-        held = ledger.own + ledger.reserved + ledger.unrecorded
-        for bill in ledger.waiting:
-            row = await self.world.peek(bill_key('team', bill.key))
+        held = (
+            ledger.unspent_granted
+            + ledger.reserved
+            + ledger.unrecorded_loan_tokens
+        )
+        for bill in ledger.unrecorded_bills:
+            row = await self.world.read_row(bill_key('team', bill.key))
             stored = row.value or {}
             # The bill may be recorded although the response was lost.
             is_own = stored.get('by') == name
@@ -291,7 +299,7 @@
             for number in range(3):
                 await self.world.serve(router, f'{name}{number}', 100)
                 self.used[f'{name}{number}'] = 100
-            await self.world.rounds(name)
+            await self.world.run_rounds(name)
 
     def _start(self, name, number):
         self.started += 1
--- a/tests/test_budget_holdings.py
+++ b/tests/test_budget_holdings.py
@@ -7,7 +7,7 @@
 from parameterized import parameterized
 
 from balsamreach.budget.account import account_key, allotment_key
-from balsamreach.budget.covering import AdaptiveSizing
+from balsamreach.budget.adaptive_sizing import AdaptiveSizing
 from balsamreach.budget.faults import BudgetFault
 from balsamreach.budget.holdings_parts import report_interval
 from balsamreach.budget.ledger import Ledger, Reservation
@@ -53,7 +53,7 @@
         """
         fleet = Fleet(10_000)
         name = await self.start_successor(fleet)
-        await fleet.round(name)
+        await fleet.run_round(name)
         self.assertLess(await fleet.taken(), 1500)
 
     async def start_successor(self, fleet):
@@ -68,8 +68,8 @@
     async def interrupt_store(self, fleet):
         """Cut all routers off from the table service for a moment."""
         for is_open in (False, True):
-            for gate in fleet.gates.values():
-                gate.open = is_open
+            for connection in fleet.connections.values():
+                connection.open = is_open
             await fleet.clock.sleep(0.35)
 
     async def test_tokens_are_returned_before_the_first_round(self):
@@ -82,9 +82,9 @@
         fleet = Fleet(10_000)
         name = await self.start_successor(fleet)
         parts = fleet.routers[name].parts
-        inherit = parts.succession.inherit(parts.book)
+        closing = parts.predecessor_closer.close_when_available(parts.book)
         await fleet.clock.drive(
-            asyncio.gather(inherit, self.interrupt_store(fleet)),
+            asyncio.gather(closing, self.interrupt_store(fleet)),
         )
         self.assertLess(await fleet.taken(), 1500)
 
@@ -111,13 +111,13 @@
             name = names[turn % 4]
             await fleet.serve(name, 150, 100)
             await fleet.report(name)
-            await fleet.round(name)
+            await fleet.run_round(name)
         for name in names:
             fleet.kill(name)
         fleet.clock.seconds += 2
         for name in names:
             successor = fleet.start(fleet.addresses[name])
-            await fleet.round(successor)
+            await fleet.run_round(successor)
         left = fleet.prepaid - await fleet.taken()
         self.assertGreater(left, (fleet.prepaid - fleet.spent) * least)
         self.assertGreaterEqual(await fleet.taken(), fleet.spent)
@@ -133,14 +133,14 @@
         name = fleet.start()
         await fleet.serve(name, 3000, 10)
         await fleet.report(name)
-        fleet.gates[name].open = False
+        fleet.connections[name].open = False
         for _ in range(12):
             fleet.clock.seconds += 1
             await fleet.serve(name, 200, 200)
         self.assertGreater(fleet.spent, 1500)
         fleet.kill(name)
         name = fleet.start(fleet.addresses[name])
-        await fleet.round(name)
+        await fleet.run_round(name)
         self.assertGreaterEqual(await fleet.taken(), fleet.spent)
 
     async def test_the_service_clock_goes_back(self):
@@ -155,14 +155,14 @@
         name = fleet.start()
         await fleet.serve(name, 3000, 10)
         await fleet.report(name)
-        fleet.gates[name].open = False
+        fleet.connections[name].open = False
         fleet.clock.seconds += 12
         await fleet.serve(name, 2500, 2500)
         self.assertGreater(fleet.spent, 2000)
         fleet.kill(name)
         fleet.clock_lead -= 600
         name = fleet.start(fleet.addresses[name])
-        await fleet.round(name)
+        await fleet.run_round(name)
         self.assertGreaterEqual(await fleet.taken(), fleet.spent)
 
     async def test_a_request_waits_for_tokens_about_to_become_usable(self):
@@ -175,7 +175,7 @@
         name = fleet.start()
         await fleet.serve(name, 3000, 10)
         await fleet.report(name)
-        fleet.gates[name].open = False
+        fleet.connections[name].open = False
         fleet.clock.seconds += 1.2
         ledger = fleet.routers[name].book.ledger(TEAM)
         wanted = ledger.limiter.room(ledger, 0.2)
@@ -194,9 +194,9 @@
         fleet = Fleet(60_000)
         name = fleet.start()
         await fleet.serve(name, 1000, 500)
-        await fleet.round(name)
+        await fleet.run_round(name)
         await fleet.report(name)
-        fleet.gates[name].open = False
+        fleet.connections[name].open = False
         served = [await fleet.serve(name, 1000, 500) for _ in range(3)]
         for held in served:
             self.assertIsInstance(held, Reservation)
@@ -210,8 +210,8 @@
         fleet = Fleet(10_000)
         rich, poor = fleet.start(), fleet.start()
         await fleet.serve(rich, 2000, 10)
-        for gate in fleet.gates.values():
-            gate.open = False
+        for connection in fleet.connections.values():
+            connection.open = False
         held = await fleet.serve(poor, 1000, 1000)
         self.assertIsInstance(held, Reservation)
         self.assertLessEqual(fleet.spent, await fleet.taken())
@@ -228,10 +228,10 @@
             await fleet.serve(name, 300, 300)
             await fleet.report(name)
         fleet.prepaid = 900
-        before = [fleet.gates[peer].commits for peer in names[1:]]
+        before = [fleet.connections[peer].commits for peer in names[1:]]
         held = await fleet.serve(names[0], 400, 400)
         self.assertIsInstance(held, BudgetFault)
-        after = [fleet.gates[peer].commits for peer in names[1:]]
+        after = [fleet.connections[peer].commits for peer in names[1:]]
         self.assertEqual(after, before)
 
     async def test_a_router_that_leaves_during_an_outage(self):
@@ -243,8 +243,8 @@
         fleet = Fleet(10_000)
         leaves, stays = fleet.start(), fleet.start()
         await fleet.serve(leaves, 2000, 10)
-        for gate in fleet.gates.values():
-            gate.open = False
+        for connection in fleet.connections.values():
+            connection.open = False
         await fleet.clock.drive(fleet.routers[leaves].leave())
         fleet.kill(leaves)
         held = await fleet.serve(stays, 1900, 1900)
@@ -271,11 +271,11 @@
         fleet = Fleet(100_000)
         name = fleet.start()
         await fleet.serve(name, 100, 100)
-        gate = fleet.gates[name]
-        gate.read_keys.clear()
+        connection = fleet.connections[name]
+        connection.read_keys.clear()
         await fleet.serve(name, 60_000, 0)
-        self.assertIn(account_key(TEAM), gate.read_keys)
-        self.assertNotIn(allotment_key(name, TEAM), gate.read_keys)
+        self.assertIn(account_key(TEAM), connection.read_keys)
+        self.assertNotIn(allotment_key(name, TEAM), connection.read_keys)
 
     async def test_a_loan_recorded_by_the_borrower(self):
         """Guards against tokens that are spent twice after a loan.
@@ -289,7 +289,7 @@
         fleet.prepaid = 2600
         held = await fleet.serve(borrower, 1000, 1000)
         self.assertIsInstance(held, Reservation)
-        await fleet.round(borrower)
+        await fleet.run_round(borrower)
         fleet.prepaid = 9000
         fleet.clock.seconds += 5
         await fleet.serve(lender, 4000, 4000)
@@ -354,11 +354,11 @@
 
 
 async def _round(fleet: Fleet, name: str, _rng: random.Random) -> None:
-    await fleet.round(name)
+    await fleet.run_round(name)
 
 
 def _toggle_store(fleet: Fleet, name: str, _rng: random.Random) -> None:
-    fleet.gates[name].open = not fleet.gates[name].open
+    fleet.connections[name].open = not fleet.connections[name].open
 
 
 def _lose_answer(fleet: Fleet, _name: str, _rng: random.Random) -> None:
@@ -372,10 +372,10 @@
 
 
 def _cut_peers(fleet: Fleet, name: str, rng: random.Random) -> None:
-    fleet.fabric.heal()
+    fleet.network.heal()
     if rng.choice((True, False)):
         others = [one for one in fleet.routers if one != name]
-        fleet.fabric.cut([name], others)
+        fleet.network.cut([name], others)
 
 
 class ReportIntervalTest(unittest.TestCase):
@@ -383,8 +383,8 @@
 
     @parameterized.expand([(8, 0.5), (50, 0.5), (910, 9.1)])
     def test_by_routers(self, routers, expected):
-        fabric = FakeNet()
-        nets = [fabric.join(f'router-{number}') for number in range(routers)]
+        network = FakeNet()
+        nets = [network.join(f'router-{number}') for number in range(routers)]
         self.assertAlmostEqual(report_interval(CFG, nets[0]), expected)
 
 
--- a/tests/test_budget_homing.py
+++ b/tests/test_budget_homing.py
@@ -16,7 +16,7 @@
 
 
 def _fleet(prepaid=100_000, zones=('zone-a',)):
-    fleet = Fleet(prepaid, fabric=FakeNet(hubs_per_zone=2))
+    fleet = Fleet(prepaid, network=FakeNet(hubs_per_zone=2))
     for zone in zones:
         for _ in range(_ROUTERS_PER_ZONE):
             fleet.start(zone=zone)
@@ -36,8 +36,11 @@
 
 def _service_calls(fleet):
     """Return the calls that each router has made to the table service."""
-    gates = fleet.gates.items()
-    return {one: (gate.commits, len(gate.read_keys)) for one, gate in gates}
+    connections = fleet.connections.items()
+    return {
+        one: (connection.commits, len(connection.read_keys))
+        for one, connection in connections
+    }
 
 
 class HomingTest(unittest.IsolatedAsyncioTestCase):
@@ -45,7 +48,7 @@
 
     async def settle(self, fleet):
         for router in fleet.routers.values():
-            await fleet.clock.drive(router.parts.homing.settle())
+            await fleet.clock.drive(router.parts.home_client.settle())
 
     async def test_only_the_home_calls_the_table_service(self):
         """Guards against calls to the table service that grow with the fleet.
@@ -57,7 +60,11 @@
         for name in _others(fleet):
             held = await fleet.serve(name, 100, 40)
             self.assertIsInstance(held, HomeReservation)
-        callers = {one for one, gate in fleet.gates.items() if gate.commits}
+        callers = {
+            one
+            for one, connection in fleet.connections.items()
+            if connection.commits
+        }
         self.assertEqual(callers, {fleet.home()})
 
     async def test_unused_tokens_are_freed(self):
@@ -96,7 +103,7 @@
         """
         fleet = _fleet()
         name = _others(fleet)[0]
-        fleet.fabric.cut([fleet.home()], _others(fleet))
+        fleet.network.cut([fleet.home()], _others(fleet))
         held = await fleet.serve(name, 100, 40)
         self.assertIsInstance(held, Reservation)
         self.assertNotIsInstance(held, HomeReservation)
@@ -120,7 +127,7 @@
         fleet.kill(home)
         fleet.clock.seconds += 2
         successor = fleet.start(fleet.addresses[home])
-        await fleet.round(successor)
+        await fleet.run_round(successor)
         in_use = sum(one.tokens for one in held if isinstance(one, Reservation))
         self.assertEqual(in_use, 7000)
         self.assertGreaterEqual(await fleet.taken(), in_use)
@@ -165,7 +172,7 @@
         fleet = _fleet()
         name = _others(fleet)[0]
         await fleet.serve(name, 1000, 40)
-        fleet.fabric.answers_lost[TokensUsed] = 1
+        fleet.network.answers_lost[TokensUsed] = 1
         await self.settle(fleet)
         await self.settle(fleet)
         ledger = _home_ledger(fleet)
@@ -186,11 +193,11 @@
             await self.settle(fleet)
             for zone in zones:
                 await fleet.report(fleet.home(zone=zone))
-                await fleet.round(fleet.home(zone=zone))
+                await fleet.run_round(fleet.home(zone=zone))
         names = list(fleet.routers)
-        fleet.fabric.cut(names[:_ROUTERS_PER_ZONE], names[_ROUTERS_PER_ZONE:])
-        for gate in fleet.gates.values():
-            gate.open = False
+        fleet.network.cut(names[:_ROUTERS_PER_ZONE], names[_ROUTERS_PER_ZONE:])
+        for connection in fleet.connections.values():
+            connection.open = False
         fleet.clock.seconds += 3
         served = [await fleet.serve(one, 100, 100) for one in names]
         refused = [one for one in served if isinstance(one, BudgetFault)]
@@ -204,7 +211,7 @@
     ):
         fleet = _fleet()
         name = _others(fleet)[0]
-        fleet.fabric.held = {TokensAsk}
+        fleet.network.held = {TokensAsk}
         router = fleet.routers[name]
         work = asyncio.ensure_future(router.reserve(TEAM, 500))
         await asyncio.sleep(0)
@@ -212,7 +219,7 @@
         work.cancel()
         await asyncio.gather(work, return_exceptions=True)
         if answered:
-            fleet.fabric.release()
+            fleet.network.release()
             await fleet.clock.drive(asyncio.sleep(0))
         await self.settle(fleet)
         await fleet.clock.drive(asyncio.sleep(0))
@@ -238,14 +245,14 @@
         on hubs later. Each of them must return its smallest draw then.
         """
         fleet = _fleet(prepaid=10_000)
-        fleet.fabric.hubs_per_zone = 0
+        fleet.network.hubs_per_zone = 0
         for name in fleet.routers:
             await fleet.serve(name, 100, 40)
         self.assertGreater(await fleet.taken(), 800)
-        fleet.fabric.hubs_per_zone = 2
+        fleet.network.hubs_per_zone = 2
         for name in _others(fleet):
             await fleet.report(name)
-            await fleet.round(name)
+            await fleet.run_round(name)
         held = _home_ledger(fleet).granted
         self.assertEqual(
             await fleet.taken(),
@@ -254,7 +261,7 @@
         # From then on these routers make no calls to the table service.
         before = _service_calls(fleet)
         for other in _others(fleet):
-            await fleet.round(other)
+            await fleet.run_round(other)
         self.assertEqual(_service_calls(fleet), before)
 
     async def test_a_home_holds_tokens_before_the_first_request(self):
@@ -268,7 +275,7 @@
         for _ in range(3):
             for name in fleet.routers:
                 await fleet.report(name)
-                await fleet.round(name)
+                await fleet.run_round(name)
         before = _service_calls(fleet)
         for name in _others(fleet):
             held = await fleet.serve(name, 100, 40)
@@ -285,6 +292,6 @@
         fleet = _fleet()
         fleet.teams = tuple(f'team-{number}' for number in range(900))
         for name in fleet.routers:
-            await fleet.round(name)
+            await fleet.run_round(name)
         held = [router.book.ledgers for router in fleet.routers.values()]
         self.assertFalse(any(held))
--- a/tests/test_budget_homing_histories.py
+++ b/tests/test_budget_homing_histories.py
@@ -66,13 +66,13 @@
     async def settle(self) -> None:
         """Let a router tell homes what was used."""
         router = self.fleet.routers[self.pick_router()]
-        await self.fleet.clock.drive(router.parts.homing.settle())
+        await self.fleet.clock.drive(router.parts.home_client.settle())
 
     async def report_and_move(self) -> None:
         """Let a router report, and draw or return tokens."""
         name = self.pick_router()
         await self.fleet.report(name)
-        await self.fleet.round(name)
+        await self.fleet.run_round(name)
 
     async def restart(self) -> None:
         """Kill a router; another one takes its address."""
@@ -90,8 +90,8 @@
 
     async def partition(self) -> None:
         """Cut off one router or a zone, or heal all partitions."""
-        fabric = self.fleet.fabric
-        fabric.heal()
+        network = self.fleet.network
+        network.heal()
         names = sorted(self.fleet.routers)
         one_side = self.rng.choice(
             (
@@ -100,20 +100,20 @@
                 [name for name in names if self.zones[name] == 'zone-a'],
             )
         )
-        fabric.cut(one_side, [name for name in names if name not in one_side])
+        network.cut(one_side, [name for name in names if name not in one_side])
 
     async def inject_faults(self) -> None:
         """Lose messages or answers, and toggle a router's table service."""
-        fabric = self.fleet.fabric
-        gate = self.fleet.gates[self.pick_router()]
-        gate.open = not gate.open
-        lost = self.rng.choice((fabric.lost, fabric.answers_lost))
+        network = self.fleet.network
+        connection = self.fleet.connections[self.pick_router()]
+        connection.open = not connection.open
+        lost = self.rng.choice((network.lost, network.answers_lost))
         lost[self.rng.choice((TokensAsk, TokensUsed))] += 1
         self.fleet.platform.weather.lose_answers = self.rng.choice((0, 1))
 
     async def change_hubs(self) -> None:
         """Change the number of hubs that routers know."""
-        self.fleet.fabric.hubs_per_zone = self.rng.choice((0, 1, 2, 2))
+        self.fleet.network.hubs_per_zone = self.rng.choice((0, 1, 2, 2))
 
 
 _WEIGHTS = {
@@ -141,7 +141,7 @@
         freed too early, or a successor returns tokens that are used, or they
         are returned twice.
         """
-        fleet = Fleet(_PREPAID, seed, fabric=FakeNet(hubs_per_zone=2))
+        fleet = Fleet(_PREPAID, seed, network=FakeNet(hubs_per_zone=2))
         fleet.teams = (TEAM,)
         world = _World(random.Random(seed), fleet)
         for zone in _ZONES * _ROUTERS_PER_ZONE:
--- a/tests/test_budget_promises.py
+++ b/tests/test_budget_promises.py
@@ -4,16 +4,16 @@
 
 from parameterized import parameterized
 
-from balsamreach.budget.promises import (
+from balsamreach.budget.usage_reports import (
     Allowance,
     OpeningSchedule,
-    Report,
+    UsageReport,
     decode_report,
     encode_report,
 )
 
 _SCHEDULE = OpeningSchedule(patience=1, opening=4)
-_REPORT = Report(3, 1234.5, _SCHEDULE, {'team': Allowance(100, 500)})
+_REPORT = UsageReport(3, 1234.5, _SCHEDULE, {'team': Allowance(100, 500)})
 
 
 class ReportTest(unittest.TestCase):
--- a/tests/test_budget_recalling.py
+++ b/tests/test_budget_recalling.py
@@ -43,7 +43,7 @@
         return await self.world.clock.drive(work)
 
     async def account(self):
-        return (await self.world.sums()).account
+        return (await self.world.team_sums()).account
 
     async def test_idle_tokens_are_returned(self):
         """Guards against a budget that can't be lowered to little spending.
@@ -55,7 +55,7 @@
         lowered = await self.edit(1, 400)
         self.assertIsInstance(lowered, Accepted)
         self.assertEqual((await self.account()).prepaid, 400)
-        await self.world.rounds(count=2)
+        await self.world.run_rounds(count=2)
         report = await self.world.audit()
         self.assertEqual(report.breaches, [])
         self.assertEqual(report.teams['team'].account.taken, 400)
@@ -82,12 +82,12 @@
         not count as returned only because no router reports them.
         """
         self.routers[1].release(self.held[1])
-        self.world.fabric.cut(['a'], ['b'])
+        self.world.network.cut(['a'], ['b'])
         refused = await self.edit(1, 150)
         self.assertEqual(refused, faults.BELOW_TAKEN)
         self.assertIn('300 at routers that are gone', refused.reason)
-        row = await self.world.peek(account_key('team'))
+        row = await self.world.read_row(account_key('team'))
         self.assertEqual(row.value['prepaid'], 2000)
-        self.world.fabric.heal()
+        self.world.network.heal()
         self.world.clock.seconds += 1
         self.assertIsInstance(await self.edit(1, 150), Accepted)
--- a/tests/test_budget_reclaiming.py
+++ b/tests/test_budget_reclaiming.py
@@ -14,22 +14,22 @@
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.router_c = self.world.start('c')
-        await self.world.rounds()
+        await self.world.run_rounds()
         await self.admit(self.router_a, 'k', 1000)
-        await self.world.rounds('a', count=2)
+        await self.world.run_rounds('a', count=2)
         self.address = self.world.address('a')
 
     async def replace_lender(self):
         """Kill the lender and let its successor close the allotment."""
         killed = self.world.kill('a')
         self.world.start('a2', address=self.address)
-        await self.world.rounds('a2', count=5)
+        await self.world.run_rounds('a2', count=5)
         return killed
 
     async def reclaim_and_audit(self):
         """Run reclaiming on all routers; return the tokens still stranded."""
         for router in self.world.routers.values():
-            reclaimer = router.upkeep.peers.reclaimer
+            reclaimer = router.maintenance.peers.reclaimer
             await self.world.clock.drive(reclaimer.reclaim_all())
         report = await self.world.audit()
         self.assertEqual(report.breaches, [])
@@ -37,7 +37,7 @@
 
     async def borrow(self):
         """Let router b borrow while it can't record the loan."""
-        self.world.cut('b')
+        self.world.disconnect('b')
         outcome = await self.world.serve(self.router_b, 'm', 300)
         self.assertTrue(self.router_b.ledgers['team'].borrowed, outcome)
 
@@ -56,7 +56,7 @@
         routers = self.world.routers.values()
         reclaimed = sum(router.metrics.counted(RECLAIMED) for router in routers)
         self.assertGreaterEqual(reclaimed, stranded[0].tokens)
-        entry = await self.world.peek(f'{STRANDED_PREFIX}a')
+        entry = await self.world.read_row(f'{STRANDED_PREFIX}a')
         self.assertIsNone(entry.value)
         await self.check_recorded(recorded=1000)
 
@@ -69,9 +69,9 @@
         """
         await self.borrow()
         await self.replace_lender()
-        self.world.heal()
+        self.world.reconnect()
         self.assertGreater(await self.reclaim_and_audit(), 0)
-        await self.world.rounds('b', count=2)
+        await self.world.run_rounds('b', count=2)
         await self.check_recorded(recorded=1300)
         self.assertEqual(await self.reclaim_and_audit(), 0)
 
@@ -91,7 +91,7 @@
 
     def disconnect_peer(self):
         """Disconnect a router from the other routers."""
-        self.world.fabric.cut(['c'], ['a2', 'b'])
+        self.world.network.cut(['c'], ['a2', 'b'])
 
     def kill_peer(self):
         """Kill a router that gets no successor."""
@@ -99,12 +99,12 @@
 
     def keep_copies(self):
         """Let a router keep bill copies of a dead one."""
-        peers = self.router_b.upkeep.peers
+        peers = self.router_b.maintenance.peers
         peers.keeper.copies.setdefault('dead', {})
 
     def lose_responses(self):
         """Lose the responses to the questions about the lender."""
-        self.world.fabric.answers_lost[LenderAsk] = 100
+        self.world.network.answers_lost[LenderAsk] = 100
 
     async def test_late_grant_is_ignored(self):
         """A grant is ignored after the router denied having loans.
@@ -113,15 +113,15 @@
         grant of the lender arrives after that. Its tokens may be reclaimed
         and granted a second time.
         """
-        self.world.fabric.held.add(LoanAsk)
-        loans = self.router_b.upkeep.peers.loans
-        self.assertTrue(loans.has_done_with('a'))
-        self.world.fabric.release()
+        self.world.network.held.add(LoanAsk)
+        loans = self.router_b.maintenance.peers.loans
+        self.assertTrue(loans.refuse_loans_from('a'))
+        self.world.network.release()
         await self.fail_to_borrow()
 
     async def fail_to_borrow(self):
         """Let router b try to borrow; check that it gets no loan."""
-        self.world.cut('b')
+        self.world.disconnect('b')
         self.world.kill('c')
         await self.world.serve(self.router_b, 'm', 300)
         self.assertFalse(self.router_b.ledgers['team'].borrowed)
@@ -133,11 +133,11 @@
         request after it resumes. If it relied on its outdated state in
         memory, it would lend tokens that were granted a second time.
         """
-        nets = self.world.fabric.nets
+        nets = self.world.network.nets
         grant_loan = nets['a'].takers[LoanAsk]
         killed = await self.replace_lender()
         self.assertEqual(await self.reclaim_and_audit(), 0)
         self.world.clock.seconds += 60
         grant = await grant_loan(nets['b'].me, LoanAsk('late', 'team', 100))
         self.assertEqual(grant.tokens, 0)
-        self.assertNotEqual(killed.closed, None)
+        self.assertNotEqual(killed.closing_fault, None)
--- a/tests/test_budget_releasing.py
+++ b/tests/test_budget_releasing.py
@@ -11,7 +11,7 @@
     Allotment,
     account_key,
     allotment_key,
-    encode,
+    encode_record,
 )
 from balsamreach.budget.faults import STILL_LISTED, TAKEN_OVER
 from balsamreach.budget.ledger import Reservation
@@ -34,7 +34,7 @@
         self.world.start('b')
         await self.world.fund('team', 10_000)
         await self.world.serve(self.dead_router, 'k', 100)
-        await self.world.rounds()
+        await self.world.run_rounds()
         self.address = self.world.address('a')
         self.world.kill('a')
         platform = self.world.platform
@@ -55,8 +55,8 @@
         that it stopped. Without a release no router could ever draw its
         tokens.
         """
-        await self.world.rounds('b', count=6)
-        self.assertGreater((await self.world.sums()).account.taken, 100)
+        await self.world.run_rounds('b', count=6)
+        self.assertGreater((await self.world.team_sums()).account.taken, 100)
         outcome = await self.release()
         self.assertIsInstance(outcome, Released)
         report = await self.world.audit()
@@ -64,16 +64,16 @@
         taken = report.teams['team'].account.taken
         self.assertEqual(taken, 100 + outcome.kept)
         self.assertGreater(outcome.returned['team'], 0)
-        record = await self.world.peek(f'{RELEASE_PREFIX}a')
+        record = await self.world.read_row(f'{RELEASE_PREFIX}a')
         self.assertEqual(record.value['by'], 'Éva')
 
     async def test_second_release_changes_nothing(self):
         """A repeated release returns no tokens twice."""
         await self.release()
-        before = await self.world.sums()
+        before = await self.world.team_sums()
         second = await self.release()
         self.assertEqual(second, Released({}, 0))
-        self.assertEqual(await self.world.sums(), before)
+        self.assertEqual(await self.world.team_sums(), before)
 
     async def test_resumed_router_spends_nothing(self):
         """A router that resumes after its release spends no tokens.
@@ -95,7 +95,7 @@
         these would be stranded too.
         """
         idle_router = self.world.start('c')
-        await self.world.rounds('c')
+        await self.world.run_rounds('c')
         self.world.kill('c')
         await self.releaser.release('c', 'Éva')
         self.world.clock.seconds += 60
@@ -113,7 +113,9 @@
         self.assertIsInstance(reservation, Reservation)
         await self.release()
         for _ in range(2):
-            await self.world.clock.drive(self.dead_router.upkeep.round())
+            await self.world.clock.drive(
+                self.dead_router.maintenance.run_round()
+            )
         report = await self.world.audit()
         self.assertEqual(report.breaches, [])
         self.assertEqual(report.teams['team'].recorded, 150)
@@ -128,9 +130,9 @@
         """
         entry = HostEntry(self.address, 'router', 'zone-a')
         self.world.platform.hosts.replace((entry,))
-        before = await self.world.sums()
+        before = await self.world.team_sums()
         self.assertEqual(await self.release(), STILL_LISTED)
-        self.assertEqual(await self.world.sums(), before)
+        self.assertEqual(await self.world.team_sums(), before)
 
     async def test_successor_after_release(self):
         """A new router at a released address can serve requests.
@@ -142,10 +144,10 @@
         await self.release()
         self.world.clock.seconds -= 500
         successor = self.world.start('a2', address=self.address)
-        await self.world.rounds('a2', count=6)
+        await self.world.run_rounds('a2', count=6)
         reservation = await self.world.serve(successor, 'n', 50)
         self.assertIsInstance(reservation, Reservation)
-        row = await self.world.peek(f'router/{self.address}')
+        row = await self.world.read_row(f'router/{self.address}')
         self.assertEqual(row.value['incarnation'], 'a2')
         self.assertEqual(tuple(row.value['before']), ())
 
@@ -158,9 +160,9 @@
         self.server.start()
         self.addCleanup(self.server.stop)
         account = Account(prepaid=1000, taken=400)
-        self.server.put(account_key('team'), encode(account))
+        self.server.put(account_key('team'), encode_record(account))
         allotment = Allotment(granted=400, settled=0)
-        self.server.put(allotment_key('a', 'team'), encode(allotment))
+        self.server.put(allotment_key('a', 'team'), encode_record(allotment))
 
     def release(self, *options, answer=''):
         """Run the command and return its result."""
--- a/tests/test_budget_reporting.py
+++ b/tests/test_budget_reporting.py
@@ -6,12 +6,12 @@
 import attrs
 from parameterized import parameterized
 
-from balsamreach.budget.promises import (
+from balsamreach.budget.reporting import UsageReporter, report_key
+from balsamreach.budget.usage_reports import (
     Allowance,
     OpeningSchedule,
     decode_report,
 )
-from balsamreach.budget.reporting import UsageReporter, usage_key
 from balsamreach.services.base import Commit, Row
 from balsamreach.services.faults import (
     UNAVAILABLE,
@@ -22,13 +22,13 @@
 from balsamreach.services.times import ServiceClock
 from balsamreach.standins.memory import MemoryPlatform
 from balsamreach.telemetry.metrics import Metrics
-from tests.budget_world import Gate, VirtualClock
+from tests.budget_world import SwitchedService, VirtualClock
 
 _SCHEDULE = OpeningSchedule(patience=1, opening=10)
 
 
 @attrs.define
-class FaultyGate(Gate):
+class FaultyService(SwitchedService):
     """A connection to the table service with scripted commit faults.
 
     Parameters
@@ -57,7 +57,7 @@
     def setUp(self):
         self.clock = VirtualClock()
         self.table = MemoryPlatform.start(self.clock).table
-        self.gate = FaultyGate(self.table)
+        self.connection = FaultyService(self.table)
         self.allowance = Allowance(100, 1100)
         service_clock = ServiceClock(self.clock)
         service_clock.note(
@@ -67,7 +67,7 @@
         )
         self.report_calls = 0
         self.reporter = UsageReporter(
-            self.gate,
+            self.connection,
             'router',
             service_clock,
             self.clock,
@@ -81,7 +81,7 @@
         self.report_calls += 1
 
     async def row(self) -> Row:
-        rows = await self.table.read((usage_key('router'),))
+        rows = await self.table.read((report_key('router'),))
         return rows[0]
 
     async def test_nothing_is_allowed_before_the_first_report(self):
@@ -119,8 +119,8 @@
         """
         await self.reporter.report()
         self.clock.seconds += 6
-        self.gate.faults = [UNKNOWN, UNKNOWN, UNKNOWN]
-        self.gate.applies = applies
+        self.connection.faults = [UNKNOWN, UNKNOWN, UNKNOWN]
+        self.connection.applies = applies
         self.allowance = Allowance(150, 1100)
         self.assertFalse(await self.reporter.report())
         self.assertEqual(self.reporter.limit('team'), 150)
@@ -142,7 +142,7 @@
     async def test_failed_report_changes_nothing(self, _name, fault):
         await self.reporter.report()
         self.clock.seconds += 6
-        self.gate.faults = [fault]
+        self.connection.faults = [fault]
         self.allowance = Allowance(150, 1100)
         self.assertFalse(await self.reporter.report())
         self.assertEqual(self.reporter.limit('team'), 600)
--- a/tests/test_budget_sizing.py
+++ b/tests/test_budget_sizing.py
@@ -10,7 +10,7 @@
     Loan,
     account_key,
     allotment_key,
-    encode,
+    encode_record,
 )
 from balsamreach.budget.ledger import Ledger
 from balsamreach.budget.moves import Move, MoveRows, plan_move
@@ -33,15 +33,15 @@
         clock = VirtualClock()
         ledger = Ledger('team', Rate(clock.now()), granted=100, billed=598)
         ledger.borrowed['loan'] = Loan('loan', 'lender', 865)
-        move = Sizing(SETTINGS, clock).in_background(ledger)
+        move = Sizing(SETTINGS, clock).due_move(ledger)
         self.assertEqual(move.give_back, 0)
         self.assertEqual(ledger.returning, 0)
         self.assertEqual(len(move.loans), 1)
 
     @parameterized.expand([(-498, 0), (50, 50), (5000, 100)])
     def test_return_is_limited(self, give_back, expected):
-        account = encode(Account(prepaid=1000, taken=1000))
-        own = encode(Allotment(granted=100, seq=1))
+        account = encode_record(Account(prepaid=1000, taken=1000))
+        own = encode_record(Allotment(granted=100, seq=1))
         rows = MoveRows(
             attempt_number=2,
             wall_time=0,
--- a/tests/test_budget_waiters.py
+++ b/tests/test_budget_waiters.py
@@ -9,13 +9,13 @@
 from balsamreach.budget.account import Bill, account_key
 from balsamreach.budget.faults import EXHAUSTED
 from balsamreach.budget.ledger import Reservation
-from tests.budget_world import SETTINGS, Gate, World
+from tests.budget_world import SETTINGS, SwitchedService, World
 
 _TOKENS = 100
 
 
 @attrs.define
-class CallbackGate(Gate):
+class CallbackService(SwitchedService):
     """Calls a function as soon as a commit has taken effect.
 
     Parameters
@@ -45,8 +45,10 @@
         return asyncio.ensure_future(self.router.reserve('team', tokens))
 
     def call_on_commit(self, on_commit):
-        gate = self.world.gates['a']
-        gate.service = CallbackGate(gate.service, on_commit=on_commit)
+        connection = self.world.connections['a']
+        connection.service = CallbackService(
+            connection.service, on_commit=on_commit
+        )
 
     async def test_drawn_tokens_go_to_the_waiting_request(self):
         """Guards against refusing a request although its draw succeeded.
@@ -67,7 +69,7 @@
         They occur if each request makes a draw of its own after those of the
         requests before it.
         """
-        await self.world.clock.drive(self.router.book.enter())
+        await self.world.clock.drive(self.router.book.register())
         writes = self.world.platform.weather.writes
         waiting = asyncio.gather(*(self.reserve(10) for _ in range(10)))
         held = await self.world.clock.drive(waiting)
@@ -87,7 +89,9 @@
         for _ in range(10):
             await asyncio.sleep(0)
         ledger = self.router.ledgers['team']
-        self.assertEqual((ledger.reserved, ledger.own), (0, _TOKENS))
+        self.assertEqual(
+            (ledger.reserved, ledger.unspent_granted), (0, _TOKENS)
+        )
 
 
 class LastTokensTest(unittest.IsolatedAsyncioTestCase):
@@ -132,10 +136,10 @@
         changes, is not written.
         """
         await self.fund_and_hold(c=300)
-        before = await self.world.peek(account_key('team'))
+        before = await self.world.read_row(account_key('team'))
         outcomes = await self.reserve('ab', 150)
         self.assertEqual(self.count_reserved(outcomes), 2)
-        self.assertEqual(await self.world.peek(before.key), before)
+        self.assertEqual(await self.world.read_row(before.key), before)
 
     async def test_refusal_ends_when_a_reservation_frees_tokens(self):
         """Guards against refusals while a peer holds enough idle tokens.
@@ -161,7 +165,7 @@
         await self.fund_and_hold(b=300)
         lender = self.routers['b'].book.ledger('team')
         lender.lendable = 0
-        self.world.cut('b')
+        self.world.disconnect('b')
         self.world.clock.seconds += 1
         began = self.world.clock.seconds
         self.assertEqual(await self.reserve('a', 100), [EXHAUSTED])
--- a/tests/test_dispatch_run.py
+++ b/tests/test_dispatch_run.py
@@ -87,9 +87,9 @@
         on, a router that died in between would lose it.
         """
         caller = Caller()
-        with mock.patch.object(Budgets, 'secure') as secure:
+        with mock.patch.object(Budgets, 'wait_for_copies') as wait_for_copies:
             observer = _BillObserver(caller, self.router.parts.budgets)
-            secure.side_effect = observer.record
+            wait_for_copies.side_effect = observer.record
             call = self.router.request(**changes)
             answer = self.router.dispatcher.submit(call)
             answer.attach(caller)
--- a/tests/test_sessions_kill.py
+++ b/tests/test_sessions_kill.py
@@ -97,7 +97,7 @@
         for key in ('quote-1', 'quote-2'):
             sent = ask('Quote', 3, key)
             await self.session.say('quote', self.victim.address, sent)
-        keeper = self.rig.routers[0].parts.budgets.upkeep.peers.keeper
+        keeper = self.rig.routers[0].parts.budgets.maintenance.peers.keeper
         await wait(lambda: keeper.kept == 2)
         self.session.tell('the router is killed with two bills in memory')
         await self.victim.kill()
--- a/tests/test_sessions_pause.py
+++ b/tests/test_sessions_pause.py
@@ -4,7 +4,7 @@
 import signal
 
 from balsamreach.budget.budgets import Budgets
-from balsamreach.budget.wakeup import PAUSE_S
+from balsamreach.budget.pause_detector import PAUSE_THRESHOLD_S
 from balsamreach.clock import SystemClock
 from tests.deployment import OPERATOR_SECRET, exchange, request
 from tests.failure_case import FailureCase, ask, certificate
@@ -60,7 +60,7 @@
             address=self.sleeper.started['peers'],
         )
         for _ in range(_ROUNDS):
-            await successor.upkeep.round()
+            await successor.maintenance.run_round()
         await self.session.books('books after the takeover')
 
     async def end(self, name, *keys):
@@ -96,7 +96,7 @@
             sent = ask('Quote', 20)
             await self.session.say(title, self.address(0), sent)
         # The process finds out by its clock that it did not run.
-        await asyncio.sleep(PAUSE_S + 1)
+        await asyncio.sleep(PAUSE_THRESHOLD_S + 1)
         self.wake()
         for number in range(2):
             title = f'quote {number} at the router that was paused'
--- a/tests/test_ui_audit.py
+++ b/tests/test_ui_audit.py
@@ -6,7 +6,7 @@
 from click.testing import CliRunner
 from parameterized import parameterized
 
-from balsamreach.budget import audit
+from balsamreach.budget import audit_report
 from balsamreach.budget.account import (
     Account,
     Allotment,
@@ -14,7 +14,7 @@
     account_key,
     allotment_key,
     bill_key,
-    encode,
+    encode_record,
 )
 from balsamreach.ui import exit_codes
 from balsamreach.ui.main import main
@@ -25,7 +25,7 @@
 
 
 def _bill(tokens, *flags, key='k'):
-    fields = encode(Bill('team', key, tokens, flags, 1))
+    fields = encode_record(Bill('team', key, tokens, flags, 1))
     return bill_key('team', key), fields | {'by': 'a'}
 
 
@@ -34,8 +34,8 @@
     return dict(
         (
             ('router/127.0.0.1:1', {'incarnation': 'a', 'started': 1}),
-            (account_key('team'), encode(_ACCOUNT)),
-            (allotment_key('a', 'team'), encode(_OWN)),
+            (account_key('team'), encode_record(_ACCOUNT)),
+            (allotment_key('a', 'team'), encode_record(_OWN)),
             _bill(100),
             _bill(60, 'claimed', key='m'),
             ('claim/team/m', {'holder': 'a'}),
@@ -45,20 +45,20 @@
 
 _BROKEN = (
     (
-        audit.OVERSPENT,
-        (account_key('team'), encode(Account(400, 500, 100))),
+        audit_report.TAKEN_ABOVE_PREPAID,
+        (account_key('team'), encode_record(Account(400, 500, 100))),
     ),
     (
-        audit.UNBALANCED,
-        (account_key('team'), encode(Account(1000, 510, 100))),
+        audit_report.TAKEN_DIFFERS_FROM_HELD,
+        (account_key('team'), encode_record(Account(1000, 510, 100))),
     ),
     (
-        audit.ALLOTMENT_OVER,
-        (allotment_key('a', 'team'), encode(Allotment(400, 401))),
+        audit_report.ALLOTMENT_OVERSPENT,
+        (allotment_key('a', 'team'), encode_record(Allotment(400, 401))),
     ),
-    (audit.BILLS_OFF, _bill(101)),
-    (audit.UNCLAIMED, ('claim/team/m', None)),
-    (audit.ORPHANED, (account_key('team'), None)),
+    (audit_report.BILLS_DIFFER_FROM_SPEND, _bill(101)),
+    (audit_report.BILL_WITHOUT_CLAIM, ('claim/team/m', None)),
+    (audit_report.ROWS_WITHOUT_ACCOUNT, (account_key('team'), None)),
 )
 
 
@@ -159,8 +159,8 @@
     def test_stranded(self, _, closed):
         taken = Account(prepaid=1000, taken=550, folded=100)
         left = Allotment(granted=50, closed=closed, at=7)
-        self.server.put(account_key('team'), encode(taken))
-        self.server.put(allotment_key('gone', 'team'), encode(left))
+        self.server.put(account_key('team'), encode_record(taken))
+        self.server.put(allotment_key('gone', 'team'), encode_record(left))
         stranded = self.report()['stranded']
         self.assertEqual(
             stranded,
@@ -179,7 +179,9 @@
         self.server.put(*_bill(101))
         ended = self.audit()
         self.assertEqual(ended.exit_code, exit_codes.BROKEN)
-        self.assertIn(f'BROKEN {audit.BILLS_OFF}: team', ended.output)
+        self.assertIn(
+            f'BROKEN {audit_report.BILLS_DIFFER_FROM_SPEND}: team', ended.output
+        )
         self.assertIn('team: prepaid 1000, recorded 160', ended.output)
 
     def test_platform_away(self):
