--- a/bench/slopes_routing.py
+++ b/bench/slopes_routing.py
@@ -62,8 +62,8 @@
     routing = _find(count)
     for pool in _pools(routing):
         for state in pool.everyone.members:
-            state.take(0)
-            state.free(1)
+            state.take_slot(0)
+            state.release_slot(1)
     return routing
 
 
--- a/bench/slopes_spread.py
+++ b/bench/slopes_spread.py
@@ -59,7 +59,7 @@
         exchanges.append(TableExchange(net, view, Metrics()))
         exchanges[-1].start()
     exchanges[0].view.apply((row,), row.version)
-    exchanges[0].offer((row,), row.version - 1, row.version)
+    exchanges[0].broadcast((row,), row.version - 1, row.version)
     await _deliver(fleet)
     reached = sum(one.view.version == row.version for one in exchanges)
     return {
