--- a/bench/power.py
+++ b/bench/power.py
@@ -102,7 +102,7 @@
             if now % _INTERVAL == 0:
                 await self._decide()
             await self.world.clock.advance(1)
-        self.tally.cut = self.world.cut
+        self.tally.cut = self.world.aborted_requests
         self.tally.switches = len(self.world.switch.orders)
         return self.tally
 
@@ -130,7 +130,7 @@
         router = self.rng.choice(self.world.routers)
         able = [
             (self.world.client.hosts[target.row.address], target)
-            for target in router.targets.among(self.world.rows)
+            for target in router.targets.usable(self.world.rows)
         ]
         free = [
             pair
--- a/bench/routing_fleet.py
+++ b/bench/routing_fleet.py
@@ -67,7 +67,7 @@
             queued=len(self._queue),
             slots=self.slots,
             incarnation=f'{self.name}-1',
-            taken_at=now,
+            valid_at=now,
         )
 
     async def serve(self, outcome: 'Outcome', slot: Slot) -> Verdict:
--- a/bench/routing_hedges.py
+++ b/bench/routing_hedges.py
@@ -73,9 +73,9 @@
                     queued=max(0, busy - _SLOTS),
                     slots=_SLOTS,
                     incarnation='first',
-                    taken_at=now,
+                    valid_at=now,
                 )
-                target.take_report(report, now)
+                target.apply_report(report, now)
             await asyncio.sleep(REPORT_INTERVAL)
 
     async def _generate(self, intake: Intake, slower: float) -> None:
--- a/src/balsamreach/catalogue/exchange.py
+++ b/src/balsamreach/catalogue/exchange.py
@@ -13,7 +13,7 @@
 from balsamreach.clock import Clock
 from balsamreach.peers.base import FETCH_GAPS, PeerNet
 from balsamreach.placement.evacuations import Evacuation
-from balsamreach.placement.places import TargetEntry
+from balsamreach.placement.relay_targets import TargetEntry
 from balsamreach.wire.membership import Heartbeat, Member
 from balsamreach.wire.tables import TableAsk, TableRow, TableRows
 
--- a/src/balsamreach/catalogue/known.py
+++ b/src/balsamreach/catalogue/known.py
@@ -9,7 +9,7 @@
 from balsamreach.catalogue.catalogue import Catalogue
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.placement.evacuations import Evacuations
-from balsamreach.placement.places import Places, TargetEntry
+from balsamreach.placement.relay_targets import RelayTargets, TargetEntry
 from balsamreach.telemetry.logs import log_event
 from balsamreach.telemetry.metrics import Metrics
 from balsamreach.wire.membership import Heartbeat
@@ -31,7 +31,7 @@
     ----------
     view : CatalogueView
         The configuration in force.
-    places : Places
+    places : RelayTargets
         The targets.
     evacuations : Evacuations
         The zones that get no new work.
@@ -42,7 +42,7 @@
     """
 
     view: CatalogueView
-    places: Places
+    places: RelayTargets
     evacuations: Evacuations
     decode: Decode
     metrics: Metrics
--- a/src/balsamreach/catalogue/serialization.py
+++ b/src/balsamreach/catalogue/serialization.py
@@ -7,7 +7,7 @@
 
 from balsamreach.catalogue.catalogue import Catalogue
 from balsamreach.placement.evacuations import Evacuation
-from balsamreach.placement.places import TargetEntry
+from balsamreach.placement.relay_targets import TargetEntry
 from balsamreach.wire.tables import TableRow
 
 #: Key of the configuration's row.
--- a/src/balsamreach/daemon/placing_parts.py
+++ b/src/balsamreach/daemon/placing_parts.py
@@ -6,14 +6,14 @@
 from balsamreach.clock import Clock
 from balsamreach.config.relay_settings import RelaySettings
 from balsamreach.peers.base import PeerNet
+from balsamreach.placement.cold_targets import ColdTargetLimiter
 from balsamreach.placement.engines import EngineChooser
 from balsamreach.placement.evacuations import Evacuations
 from balsamreach.placement.notices import Notices
-from balsamreach.placement.places import Places
+from balsamreach.placement.relay_targets import RelayTargets
 from balsamreach.placement.services import ServiceChooser
-from balsamreach.placement.warming import Warming
 from balsamreach.relay.chooser import Chooser
-from balsamreach.relay.repeats import Repeats
+from balsamreach.relay.retry_budget import RelayRetryBudget
 from balsamreach.telemetry.metrics import Metrics
 
 
@@ -40,29 +40,31 @@
         Chooses among equals.
     """
     evacuations = Evacuations(clock)
-    warming = Warming(
+    cold_targets = ColdTargetLimiter(
         lambda: net.me.address,
         lambda: (*net.members(), *net.departed()),
         evacuations,
         clock,
     )
     return Chooser(
-        Places(rng),
+        RelayTargets(rng),
         EngineChooser(zone),
         ServiceChooser(zone, rng),
         view,
         clock,
         evacuations,
-        warming,
+        cold_targets,
     )
 
 
-def make_notices(places: Places, clock: Clock, metrics: Metrics) -> Notices:
+def make_notices(
+    places: RelayTargets, clock: Clock, metrics: Metrics
+) -> Notices:
     """Return what takes in what targets say of themselves.
 
     Parameters
     ----------
-    places : Places
+    places : RelayTargets
         All targets.
     clock : Clock
         Time.
@@ -72,11 +74,11 @@
     return Notices(places, clock, metrics)
 
 
-def make_repeats(
+def make_retry_budget(
     cfg: RelaySettings,
     net: PeerNet,
     clock: Clock,
-) -> Repeats:
+) -> RelayRetryBudget:
     """Return what bounds the repeats of all routers together.
 
     Parameters
@@ -88,7 +90,7 @@
     clock : Clock
         Time.
     """
-    return Repeats(
+    return RelayRetryBudget(
         cfg.retry_share,
         cfg.retry_slack,
         cfg.retry_window,
--- a/src/balsamreach/daemon/relay_parts.py
+++ b/src/balsamreach/daemon/relay_parts.py
@@ -14,21 +14,21 @@
 from balsamreach.daemon.placing_parts import (
     make_chooser,
     make_notices,
-    make_repeats,
+    make_retry_budget,
 )
 from balsamreach.gateway.relay_curl import RelayCurl
 from balsamreach.peers.net import TcpPeerNet
-from balsamreach.placement.places import Places
+from balsamreach.placement.relay_targets import RelayTargets
 from balsamreach.placement.sharing import LoadSharing
+from balsamreach.relay.attempt_results import AttemptClassifier
+from balsamreach.relay.attempts import RelayAttemptParts
 from balsamreach.relay.chooser import Chooser
 from balsamreach.relay.codec import Codec
 from balsamreach.relay.host_link import HostLink
-from balsamreach.relay.journal import RequestLog
-from balsamreach.relay.metered import MeteredSpending
-from balsamreach.relay.run import RunParts
-from balsamreach.relay.suspects import make_suspects
-from balsamreach.relay.tries import TryParts
-from balsamreach.relay.verdicts import Judge
+from balsamreach.relay.prepaid_spending import PrepaidSpending
+from balsamreach.relay.quarantine import make_quarantine
+from balsamreach.relay.request_log import RequestLog
+from balsamreach.relay.run import RelayRunParts
 from balsamreach.services.outside import Outside
 from balsamreach.telemetry.metrics import Metrics
 
@@ -44,12 +44,12 @@
     net: TcpPeerNet
     view: CatalogueView
     currency: Currency
-    places: Places
+    places: RelayTargets
     chooser: Chooser
     exchange: RelayCurl
     sharing: LoadSharing
     holdings: Holdings
-    run: RunParts
+    run: RelayRunParts
 
 
 def make_relay_parts(
@@ -140,7 +140,7 @@
     def make_sharing(self, chooser: Chooser) -> LoadSharing:
         """Make what tells peers of the load at engines."""
         sharing = LoadSharing(self.net, chooser.places, self.clock)
-        chooser.on_sent = sharing.sent
+        chooser.on_sent = sharing.on_request_sent
         sharing.start()
         return sharing
 
@@ -150,33 +150,33 @@
         exchange: RelayCurl,
         chooser: Chooser,
         holdings: Holdings,
-    ) -> RunParts:
+    ) -> RelayRunParts:
         """Make what every request runs on."""
         cfg = self.cfg
-        suspects = make_suspects(
+        quarantine = make_quarantine(
             cfg.routing.crash_targets,
             self.clock,
             self.metrics,
             self.net,
         )
         link = HostLink(cfg.host.link, self.clock)
-        tries = TryParts(
+        attempt_parts = RelayAttemptParts(
             codec=codec,
             chooser=chooser,
             exchange=exchange,
-            repeats=make_repeats(cfg.relay, self.net, self.clock),
-            judge=Judge(chooser, suspects),
+            retry_budget=make_retry_budget(cfg.relay, self.net, self.clock),
+            classifier=AttemptClassifier(chooser, quarantine),
             notices=make_notices(chooser.places, self.clock, self.metrics),
             clock=self.clock,
             link=link,
             stream_gap=cfg.relay.stream_gap,
         )
-        return RunParts(
+        return RelayRunParts(
             codec=codec,
-            spending=MeteredSpending(holdings, self.view, self.currency),
-            suspects=suspects,
+            spending=PrepaidSpending(holdings, self.view, self.currency),
+            quarantine=quarantine,
             link=link,
-            tries=tries,
+            attempt_parts=attempt_parts,
             clock=self.clock,
             log=RequestLog(self.clock, self.metrics),
         )
--- a/src/balsamreach/daemon/relay_router.py
+++ b/src/balsamreach/daemon/relay_router.py
@@ -13,9 +13,9 @@
 from balsamreach.gateway.relay_server import RelayServer
 from balsamreach.relay import faults
 from balsamreach.relay.call import RelayCall
+from balsamreach.relay.caller_response import CallerResponse
 from balsamreach.relay.codec import CallerRequest
 from balsamreach.relay.faults import RelayFault
-from balsamreach.relay.outlet import Outlet
 from balsamreach.relay.rotation import Rotation
 from balsamreach.relay.run import RelayRun
 from balsamreach.telemetry.logs import log_event
@@ -34,7 +34,7 @@
 _TICK_S = 0.1
 _MS = 1000
 #: Refusals that a newer configuration may lift.
-_UNKNOWN = (faults.NO_ROUTE, faults.NO_TEAM)
+_UNKNOWN = (faults.NO_ROUTE, faults.UNKNOWN_KEY)
 
 Runner = Callable[[], Awaitable[None]]
 
@@ -148,12 +148,14 @@
                 requests=len(self.server.running),
             )
 
-    async def _answer(self, request: CallerRequest, outlet: Outlet) -> None:
+    async def _answer(
+        self, request: CallerRequest, caller_response: CallerResponse
+    ) -> None:
         call = await self._read(request)
         if isinstance(call, RelayFault):
-            self._refuse(call, outlet)
+            self._refuse(call, caller_response)
             return
-        await RelayRun(self.parts.run, call, outlet).run()
+        await RelayRun(self.parts.run, call, caller_response).run()
 
     async def _read(self, request: CallerRequest) -> RelayCall | RelayFault:
         parts = self.parts
@@ -169,7 +171,9 @@
             return faults.NOT_READY.because('a newer configuration may exist')
         return codec.read_request(request, parts.view.current)
 
-    def _refuse(self, fault: RelayFault, outlet: Outlet) -> None:
+    def _refuse(
+        self, fault: RelayFault, caller_response: CallerResponse
+    ) -> None:
         log_event(
             _logger,
             logging.WARNING,
@@ -181,10 +185,10 @@
             confirmed_ms=_as_ms(self.parts.currency.age()),
         )
         run = self.parts.run
-        answer = run.codec.refuse(run.returns.spread(fault))
-        outlet.start(answer.status, answer.headers)
-        outlet.write(answer.body)
-        outlet.finish()
+        answer = run.codec.refuse(run.retry_jitter.add_jitter(fault))
+        caller_response.start(answer.status, answer.headers)
+        caller_response.write(answer.body)
+        caller_response.finish()
 
     def _body_limit(self) -> int:
         catalogue = self.parts.view.current
@@ -210,7 +214,7 @@
             return
         self.server.crowded = is_out
         self.state = _CROWDED if is_out else _READY
-        wait_ms = round(self.parts.run.link.wait() * _MS)
+        wait_ms = round(self.parts.run.link.backlog_seconds() * _MS)
         log_event(
             _logger,
             logging.INFO,
--- a/src/balsamreach/dispatch/attempts.py
+++ b/src/balsamreach/dispatch/attempts.py
@@ -92,14 +92,14 @@
         time_left = attempt.call.deadline - self.clock.now()
         if self.announcements is not None:
             reply.on_head = functools.partial(
-                self.announcements.take,
+                self.announcements.apply,
                 attempt.target,
             )
         attempt.target.in_flight += 1
         # Requests that start and end between two polls would otherwise leave
         # no trace, and a target of another zone that only gets such requests
         # would never be polled for whether it is leaving.
-        attempt.target.used = True
+        attempt.target.used_since_poll = True
         try:
             async with asyncio.timeout(time_left) as timeout:
                 reply.on_halt = functools.partial(_expire, timeout)
--- a/src/balsamreach/gateway/relay_curl.py
+++ b/src/balsamreach/gateway/relay_curl.py
@@ -38,7 +38,9 @@
     ) -> UpstreamFault | None:
         """Send an attempt and feed the answer to the intake."""
         prepare = partial(self._apply, outgoing)
-        return await self._handles.send(prepare, intake, outgoing.gap)
+        return await self._handles.send(
+            prepare, intake, outgoing.silence_timeout
+        )
 
     def close(self) -> None:
         """Close all connections."""
@@ -60,7 +62,7 @@
         connect_ms = int(self.connect_timeout * _MS)
         curl.setopt(pycurl.CONNECTTIMEOUT_MS, connect_ms)
         curl.setopt(pycurl.MAXAGE_CONN, _IDLE_S)
-        if outgoing.fresh:
+        if outgoing.new_connection:
             curl.setopt(pycurl.FRESH_CONNECT, 1)
 
 
--- a/src/balsamreach/gateway/relay_server.py
+++ b/src/balsamreach/gateway/relay_server.py
@@ -19,17 +19,17 @@
 from tornado.iostream import StreamClosedError
 
 from balsamreach.clock import Clock
+from balsamreach.relay.caller_response import CallerResponse
 from balsamreach.relay.codec import CallerRequest
-from balsamreach.relay.outlet import Outlet
 
 #: Bytes that may wait for a caller before reading from its target pauses.
 _MOST_WAITING = 256 * 1024
 
 #: Answers a request; the connection's task is cancelled where it goes away.
-Answerer = Callable[[CallerRequest, Outlet], Awaitable[None]]
+Answerer = Callable[[CallerRequest, CallerResponse], Awaitable[None]]
 
 
-class ConnectionOutlet(Outlet):
+class ConnectionResponse(CallerResponse):
     """Writes an answer to one HTTP/1.1 connection.
 
     Parameters
@@ -52,7 +52,7 @@
         self.ended = False
 
     @property
-    def full(self) -> bool:
+    def should_pause(self) -> bool:
         """Whether too much waits for the caller to read it."""
         return self._waiting > _MOST_WAITING
 
@@ -222,11 +222,13 @@
             body=bytes(self._body),
             arrived=self._arrived,
         )
-        outlet = ConnectionOutlet(
+        caller_response = ConnectionResponse(
             self.conn,
             partial(self.server.ends, self._server_conn),
         )
-        self._task = asyncio.ensure_future(self._answer(request, outlet))
+        self._task = asyncio.ensure_future(
+            self._answer(request, caller_response)
+        )
         self.server.running.add(self._task)
         self._task.add_done_callback(self.server.running.discard)
         self.conn.set_close_callback(self.on_connection_close)
@@ -237,15 +239,17 @@
         if self._task is not None:
             self._task.cancel()
 
-    async def _answer(self, request: CallerRequest, outlet: Outlet) -> None:
+    async def _answer(
+        self, request: CallerRequest, caller_response: CallerResponse
+    ) -> None:
         try:
-            await self.server.answer(request, outlet)
+            await self.server.answer(request, caller_response)
         except StreamClosedError:
             # The caller went away between two writes.
-            outlet.abort()
+            caller_response.abort()
         finally:
-            if not outlet.ended:
-                outlet.abort()
+            if not caller_response.ended:
+                caller_response.abort()
 
 
 def _phrase(status: int) -> str:
--- a/src/balsamreach/placement/warming.py
+++ b/src/balsamreach/placement/cold_targets.py
@@ -15,7 +15,7 @@
 from balsamreach.clock import Clock
 from balsamreach.peers.homes import weigh
 from balsamreach.placement.evacuations import Evacuations
-from balsamreach.placement.places import Place
+from balsamreach.placement.relay_targets import RelayTarget
 from balsamreach.wire.membership import Member
 
 #: Routers that may send to one cold target. Few, so that each may send often
@@ -32,7 +32,7 @@
 
 
 @attrs.define(eq=False)
-class Warming:
+class ColdTargetLimiter:
     """Decides whether this router may send to a cold target, and when.
 
     Of all routers ever known in the target's zone, those at the addresses
@@ -68,12 +68,12 @@
         """Record the start time of this router."""
         self._started = self.clock.now()
 
-    def allows(self, place: Place, service: Service | None) -> bool:
+    def allows(self, place: RelayTarget, service: Service | None) -> bool:
         """Return whether this router may send a request to a target now.
 
         Parameters
         ----------
-        place : Place
+        place : RelayTarget
             The target.
         service : Service or None
             Configuration of its service; None if there is none.
@@ -88,11 +88,13 @@
         pause = MAX_SENDERS / (service.cold_rate * _RATE_SHARE)
         return now - place.cold_sent_at >= pause and self._is_sender(place)
 
-    def record_sent(self, place: Place) -> None:
+    def record_sent(self, place: RelayTarget) -> None:
         """Record that a request is sent to a target."""
         place.cold_sent_at = self.clock.now()
 
-    def _is_cold(self, place: Place, service: Service, now: float) -> bool:
+    def _is_cold(
+        self, place: RelayTarget, service: Service, now: float
+    ) -> bool:
         entry = place.entry
         if place.cold_version != entry.version:
             place.cold_version = entry.version
@@ -101,7 +103,7 @@
         lifted_at = self.evacuations.lifted_at(entry.zone)
         return now < max(place.cold_until, lifted_at + service.cold_time)
 
-    def _is_sender(self, place: Place) -> bool:
+    def _is_sender(self, place: RelayTarget) -> bool:
         self._refresh()
         target_id = place.entry.target_id
         if target_id not in self._sends_to:
--- a/src/balsamreach/placement/engines.py
+++ b/src/balsamreach/placement/engines.py
@@ -10,8 +10,8 @@
 import attrs
 
 from balsamreach.peers.homes import weigh
-from balsamreach.placement.places import Place
 from balsamreach.placement.prompts import CacheEstimate, Prompt
+from balsamreach.placement.relay_targets import RelayTarget
 
 #: Prompt tokens that a typical engine processes in a millisecond. Only the
 #: ratios between scores matter.
@@ -42,15 +42,15 @@
     def choose(
         self,
         prompt: Prompt,
-        places: Iterable[Place],
-    ) -> Place | None:
+        places: Iterable[RelayTarget],
+    ) -> RelayTarget | None:
         """Return the engine with the lowest score, None if there is none.
 
         Parameters
         ----------
         prompt : Prompt
             Prompt of the request.
-        places : iterable of Place
+        places : iterable of RelayTarget
             Engines that may be used.
         """
         candidates = tuple(places)
@@ -62,7 +62,9 @@
             key=lambda place: self.score(prompt, place, place is preferred),
         )
 
-    def score(self, prompt: Prompt, place: Place, is_preferred: bool) -> float:
+    def score(
+        self, prompt: Prompt, place: RelayTarget, is_preferred: bool
+    ) -> float:
         """Return the expected wait plus costs, in milliseconds."""
         shared = sum(part.tokens for part in prompt.shared)
         cached = shared if is_preferred else self._cached(prompt, place)
@@ -73,14 +75,16 @@
             score += OTHER_ZONE_MS
         return score
 
-    def record_sent(self, prompt: Prompt, place: Place, capacity: int) -> None:
+    def record_sent(
+        self, prompt: Prompt, place: RelayTarget, capacity: int
+    ) -> None:
         """Record that a prompt was sent to an engine.
 
         Parameters
         ----------
         prompt : Prompt
             The prompt.
-        place : Place
+        place : RelayTarget
             The engine.
         capacity : int
             Tokens that the engine's cache holds.
@@ -89,7 +93,7 @@
             place.cache = CacheEstimate(capacity)
         place.cache.add(prompt.shared)
 
-    def _cached(self, prompt: Prompt, place: Place) -> int:
+    def _cached(self, prompt: Prompt, place: RelayTarget) -> int:
         if place.cache is None:
             return 0
         return place.cache.cached_tokens(prompt.shared)
@@ -97,8 +101,8 @@
     def _preferred(
         self,
         prompt: Prompt,
-        candidates: tuple[Place, ...],
-    ) -> Place | None:
+        candidates: tuple[RelayTarget, ...],
+    ) -> RelayTarget | None:
         if not prompt.shared:
             return None
         # Rendezvous hashing: routers that know the same engines agree on the
--- a/src/balsamreach/placement/evacuations.py
+++ b/src/balsamreach/placement/evacuations.py
@@ -92,7 +92,7 @@
             _log(order, source)
         return True
 
-    def lift_besides(
+    def end_missing(
         self,
         present: Set[str],
         version: int,
--- a/src/balsamreach/placement/notices.py
+++ b/src/balsamreach/placement/notices.py
@@ -6,7 +6,11 @@
 import attrs
 
 from balsamreach.clock import Clock
-from balsamreach.placement.places import Place, Places, TargetEntry
+from balsamreach.placement.relay_targets import (
+    RelayTarget,
+    RelayTargets,
+    TargetEntry,
+)
 from balsamreach.placement.restrictions import Window
 from balsamreach.placement.windows import narrow, widen
 from balsamreach.telemetry.logs import log_event
@@ -46,7 +50,7 @@
 
     Parameters
     ----------
-    places : Places
+    places : RelayTargets
         All targets.
     clock : Clock
         Source of the current time.
@@ -56,12 +60,12 @@
         Announces the entry of a leaving target to other routers.
     """
 
-    places: Places
+    places: RelayTargets
     clock: Clock
     metrics: Metrics
     tell: Callable[[TargetEntry], None] = _ignore
 
-    def apply(self, place: Place, notice: TargetNotice) -> None:
+    def apply(self, place: RelayTarget, notice: TargetNotice) -> None:
         """Apply the notice of a response, as soon as its headers are read."""
         if notice == NO_NOTICE:
             return
@@ -71,7 +75,7 @@
         if leaves or backs_off:
             self._log(place, notice)
 
-    def record_accepted(self, place: Place) -> None:
+    def record_accepted(self, place: RelayTarget) -> None:
         """Record that a target has accepted a request, and widen its window."""
         restrictions = self.places.restrictions
         known = restrictions.find(place.incarnation)
@@ -83,14 +87,14 @@
         restriction = attrs.evolve(known, window=window)
         restrictions.put(place.incarnation, restriction)
 
-    def _mark_leaving(self, place: Place) -> bool:
+    def _mark_leaving(self, place: RelayTarget) -> bool:
         entry = attrs.evolve(place.entry, leaving=True)
         if not self.places.put(entry):
             return False
         self.tell(entry)
         return True
 
-    def _back_off(self, place: Place, notice: TargetNotice) -> bool:
+    def _back_off(self, place: RelayTarget, notice: TargetNotice) -> bool:
         now = self.clock.now()
         known = self.places.restrictions.find(place.incarnation)
         is_new = known.retry_at <= now
@@ -103,7 +107,7 @@
         self.places.restrictions.put(place.incarnation, restriction)
         return is_new
 
-    def _log(self, place: Place, notice: TargetNotice) -> None:
+    def _log(self, place: RelayTarget, notice: TargetNotice) -> None:
         log_event(
             _logger,
             logging.INFO,
--- a/src/balsamreach/placement/prompts.py
+++ b/src/balsamreach/placement/prompts.py
@@ -36,7 +36,7 @@
         Requested model.
     tokens : int
         Tokens of the prompt.
-    most_output : int
+    max_output_tokens : int
         Maximum number of generated tokens.
     parts : tuple of Part
         Parts in the order of the prompt; the last one is the request's own.
@@ -44,7 +44,7 @@
 
     model: str
     tokens: int
-    most_output: int
+    max_output_tokens: int
     parts: tuple[Part, ...] = ()
 
     @property
@@ -55,7 +55,7 @@
     @property
     def max_tokens(self) -> int:
         """Maximum number of tokens that the request uses."""
-        return self.tokens + self.most_output
+        return self.tokens + self.max_output_tokens
 
 
 @attrs.define
--- a/src/balsamreach/placement/places.py
+++ b/src/balsamreach/placement/relay_targets.py
@@ -63,7 +63,7 @@
 
 
 @attrs.define(eq=False)
-class Place:
+class RelayTarget:
     """The state of one target, and the requests sent to it.
 
     Parameters
@@ -138,7 +138,7 @@
 
 
 @attrs.define
-class Places:
+class RelayTargets:
     """All targets by service, with the newest incarnation of each.
 
     A target may restart under its id. What was known of the previous
@@ -155,13 +155,13 @@
 
     rng: random.Random
     restrictions: Restrictions = attrs.field(factory=Restrictions)
-    _by_id: dict[str, Place] = attrs.field(factory=dict)
-    _by_incarnation: dict[str, Place] = attrs.field(factory=dict)
-    _by_service: dict[str, dict[str, Place]] = attrs.field(factory=dict)
+    _by_id: dict[str, RelayTarget] = attrs.field(factory=dict)
+    _by_incarnation: dict[str, RelayTarget] = attrs.field(factory=dict)
+    _by_service: dict[str, dict[str, RelayTarget]] = attrs.field(factory=dict)
     _removed: dict[str, int] = attrs.field(factory=dict)
     _any_missing: bool = False
 
-    def __iter__(self) -> Iterator[Place]:
+    def __iter__(self) -> Iterator[RelayTarget]:
         """Iterate over all targets."""
         return iter(tuple(self._by_id.values()))
 
@@ -169,15 +169,15 @@
         """Return the number of targets."""
         return len(self._by_id)
 
-    def find(self, target_id: str) -> Place | None:
+    def find(self, target_id: str) -> RelayTarget | None:
         """Return a target by its id."""
         return self._by_id.get(target_id)
 
-    def find_incarnation(self, incarnation: str) -> Place | None:
+    def find_incarnation(self, incarnation: str) -> RelayTarget | None:
         """Return a target by its current incarnation."""
         return self._by_incarnation.get(incarnation)
 
-    def of_service(self, service: str) -> tuple[Place, ...]:
+    def of_service(self, service: str) -> tuple[RelayTarget, ...]:
         """Return all targets of a service."""
         return tuple(self._by_service.get(service, {}).values())
 
@@ -212,7 +212,7 @@
         known.gone_at = None
         return known.replace(entry, self.restrictions)
 
-    def remove_incarnation(self, place: Place) -> None:
+    def remove_incarnation(self, place: RelayTarget) -> None:
         """Remove a target whose address another target has.
 
         If a later incarnation of it is listed by now, that one stays.
@@ -239,7 +239,7 @@
         while len(self._removed) > _MAX_REMOVED:
             self._removed.pop(next(iter(self._removed)))
 
-    def besides(self, present: Container[str], version: int) -> set[str]:
+    def missing_from(self, present: Container[str], version: int) -> set[str]:
         """Return the ids of known targets that a complete list lacks.
 
         Targets whose entry is newer than the list are left out.
@@ -257,7 +257,7 @@
             if target_id not in present and place.entry.version <= version
         }
 
-    def miss(self, target_ids: Iterable[str], gone_at: float) -> None:
+    def mark_missing(self, target_ids: Iterable[str], gone_at: float) -> None:
         """Record that targets have vanished from the list.
 
         Only a newer entry of its own keeps such a target from being removed.
@@ -275,7 +275,7 @@
                 place.gone_at = gone_at
                 self._any_missing = True
 
-    def expire(self, now: float) -> tuple[str, ...]:
+    def remove_expired(self, now: float) -> tuple[str, ...]:
         """Remove targets that are gone by now, and return their ids."""
         # Called ten times a second, with scores of targets, for rare events.
         if not self._any_missing:
@@ -291,7 +291,7 @@
         return expired
 
     def _add(self, entry: TargetEntry) -> None:
-        place = Place(entry)
+        place = RelayTarget(entry)
         # The incarnation may have announced its leaving before its entry
         # expired.
         place.replace(entry, self.restrictions)
@@ -300,7 +300,7 @@
         services = self._by_service.setdefault(entry.service, {})
         services[entry.target_id] = place
 
-    def _detach(self, place: Place) -> None:
+    def _detach(self, place: RelayTarget) -> None:
         entry = place.entry
         self._by_id.pop(entry.target_id)
         self._by_incarnation.pop(entry.incarnation)
--- a/src/balsamreach/placement/services.py
+++ b/src/balsamreach/placement/services.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from balsamreach.placement.places import Place
+from balsamreach.placement.relay_targets import RelayTarget
 
 #: Additional requests that a target in another zone is scored with.
 _OTHER_ZONE_REQUESTS = 2
@@ -32,14 +32,14 @@
     zone: str
     rng: random.Random
 
-    def choose(self, places: Iterable[Place]) -> Place | None:
+    def choose(self, places: Iterable[RelayTarget]) -> RelayTarget | None:
         """Return the target to use, None if there is none."""
         candidates = tuple(places)
         if not candidates:
             return None
         return min(candidates, key=self._score)
 
-    def _score(self, place: Place) -> float:
+    def _score(self, place: RelayTarget) -> float:
         extra = 0 if place.entry.zone == self.zone else _OTHER_ZONE_REQUESTS
         busy = place.busy + extra + self.rng.random()
         return busy / max(1, place.entry.slots)
--- a/src/balsamreach/placement/sharing.py
+++ b/src/balsamreach/placement/sharing.py
@@ -12,7 +12,7 @@
 
 from balsamreach.clock import Clock
 from balsamreach.peers.base import PeerNet
-from balsamreach.placement.places import Place, Places
+from balsamreach.placement.relay_targets import RelayTarget, RelayTargets
 from balsamreach.placement.zone_loads import ZoneLoads
 from balsamreach.wire.loads import TargetLoad, TargetLoads
 from balsamreach.wire.membership import Member
@@ -54,14 +54,14 @@
     ----------
     net : PeerNet
         The other routers.
-    places : Places
+    places : RelayTargets
         The targets.
     clock : Clock
         Source of the current time.
     """
 
     net: PeerNet
-    places: Places
+    places: RelayTargets
     clock: Clock
     zone_loads: ZoneLoads = attrs.field(init=False)
     _urgent_after: float = 0
@@ -110,7 +110,7 @@
             self._sent[load.target] = _Load(load.running, load.queued, now)
         self.net.spread(TargetLoads(loads))
 
-    def sent(self, unread: int) -> None:
+    def on_request_sent(self, unread: int) -> None:
         """Record that a request was just sent, and report it if it is long.
 
         A long prompt occupies its engine for much of the time that other
@@ -141,7 +141,7 @@
     def _has_hubs(self) -> bool:
         return bool(self.net.hubs.of(self.net.me.zone))
 
-    def _add_up(self, places: Iterable[Place]) -> None:
+    def _add_up(self, places: Iterable[RelayTarget]) -> None:
         oldest = self.clock.now() - _STALE_S
         share = self._neighbours_share()
         for place in places:
@@ -165,7 +165,7 @@
             return 1
         return min(1, neighbours / others)
 
-    def _has_changed(self, place: Place) -> bool:
+    def _has_changed(self, place: RelayTarget) -> bool:
         sent = self._sent.get(place.incarnation, _NO_LOAD)
         # An engine without requests is always reported, or its last load
         # would count until it is stale.
--- a/src/balsamreach/placement/windows.py
+++ b/src/balsamreach/placement/windows.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from balsamreach.placement.places import Place
+from balsamreach.placement.relay_targets import RelayTarget
 from balsamreach.placement.restrictions import Window
 
 #: New limit as a share of the requests in progress besides the rejected one.
@@ -24,7 +24,7 @@
 
 
 def narrow(
-    place: Place,
+    place: RelayTarget,
     before: Window | None,
     retry_after: float,
     now: float,
@@ -33,7 +33,7 @@
 
     Parameters
     ----------
-    place : Place
+    place : RelayTarget
         The target; the request still counts as in progress there.
     before : Window or None
         Its window until now.
--- a/src/balsamreach/placement/zone_loads.py
+++ b/src/balsamreach/placement/zone_loads.py
@@ -24,7 +24,7 @@
     Threshold,
     read_loads,
 )
-from balsamreach.placement.places import Place, Places
+from balsamreach.placement.relay_targets import RelayTarget, RelayTargets
 from balsamreach.wire.loads import LoadWords
 from balsamreach.wire.membership import Member
 
@@ -56,14 +56,14 @@
     ----------
     net : PeerNet
         The other routers.
-    places : Places
+    places : RelayTargets
         The targets.
     clock : Clock
         Source of the current time.
     """
 
     net: PeerNet
-    places: Places
+    places: RelayTargets
     clock: Clock
     _sent_router: SentLoads = attrs.field(
         factory=lambda: SentLoads(ROUTER, _ROUTER_THRESHOLD),
@@ -177,7 +177,7 @@
         reported = map(self.places.find_incarnation, message.targets)
         self._update_places(place for place in reported if place is not None)
 
-    def _update_places(self, places: Iterable[Place]) -> None:
+    def _update_places(self, places: Iterable[RelayTarget]) -> None:
         oldest = self.clock.now() - STALE_S
         if len(self._fleet) > _MAX_TARGETS:
             self._fleet = {
@@ -194,5 +194,5 @@
             place.others_unread = max(0, load.unread - own.unread)
 
 
-def _has_others(place: Place) -> bool:
+def _has_others(place: RelayTarget) -> bool:
     return bool(place.others_running or place.others_unread)
--- a/src/balsamreach/platform/feeds.py
+++ b/src/balsamreach/platform/feeds.py
@@ -8,7 +8,7 @@
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.clock import Clock
 from balsamreach.placement.evacuations import Evacuation, Evacuations
-from balsamreach.placement.places import Places, TargetEntry
+from balsamreach.placement.relay_targets import RelayTargets, TargetEntry
 from balsamreach.platform.configuration import CatalogueReader
 from balsamreach.platform.feed import Feed, FeedParts
 from balsamreach.platform.pages import newest_rows
@@ -77,9 +77,7 @@
                 for evacuation in evacuations
                 if evacuation.in_force
             }
-            lifted = self.evacuations.lift_besides(
-                listed, page.version, _SOURCE
-            )
+            lifted = self.evacuations.end_missing(listed, page.version, _SOURCE)
             changed.extend(lifted)
         for evacuation in changed:
             self.announce(evacuation)
@@ -116,7 +114,7 @@
 
     Parameters
     ----------
-    places : Places
+    places : RelayTargets
         The list of targets.
     clock : Clock
         Source of the current time.
@@ -127,7 +125,7 @@
         other routers.
     """
 
-    places: Places
+    places: RelayTargets
     clock: Clock
     announce: Callable[[TargetEntry], None]
     announce_removal: Callable[[str, int], None]
@@ -138,9 +136,9 @@
         self.feed = Feed(_TARGETS_TABLE, parts, self._apply)
         return self.feed
 
-    def expire(self) -> tuple[str, ...]:
+    def remove_expired(self) -> tuple[str, ...]:
         """Drop targets that stayed missing, and return their ids."""
-        return self.places.expire(self.clock.now())
+        return self.places.remove_expired(self.clock.now())
 
     def _apply(self, page: StoredRows) -> None:
         # A page may hold several versions of a row; the last one is current.
@@ -150,11 +148,11 @@
             self._update_target(entry)
         present = {found.target_id for found in entries}
         if page.whole:
-            missing = self.places.besides(present, page.version)
+            missing = self.places.missing_from(present, page.version)
         else:
             missing = set(newest).difference(present)
-        self.places.miss(missing, self._removal_time())
-        for target_id in self.expire():
+        self.places.mark_missing(missing, self._removal_time())
+        for target_id in self.remove_expired():
             self.announce_removal(target_id, page.version)
 
     def _read_entry(self, row: StoredRow) -> TargetEntry | None:
--- a/src/balsamreach/platform/requests.py
+++ b/src/balsamreach/platform/requests.py
@@ -10,8 +10,8 @@
 from balsamreach.catalogue.catalogue import Catalogue
 from balsamreach.catalogue.entries import Route, Team
 from balsamreach.placement.notices import TargetNotice
-from balsamreach.placement.places import TargetEntry
 from balsamreach.placement.prompts import Part, Prompt
+from balsamreach.placement.relay_targets import TargetEntry
 from balsamreach.platform import header_names
 from balsamreach.relay import faults
 from balsamreach.relay.call import RelayCall
@@ -19,7 +19,7 @@
     AnswerHead,
     CallerRequest,
     Codec,
-    OwnAnswer,
+    RouterResponse,
 )
 from balsamreach.relay.faults import RelayFault
 from balsamreach.retry_after import read_retry_after
@@ -36,7 +36,7 @@
     faults.NOT_READY: 503,
     faults.MALFORMED: 400,
     faults.NO_ROUTE: 404,
-    faults.NO_TEAM: 401,
+    faults.UNKNOWN_KEY: 401,
     faults.BODY_TOO_LARGE: 413,
     faults.BUDGET_EXHAUSTED: 402,
     faults.BUDGET_UNREACHABLE: 503,
@@ -45,7 +45,7 @@
     faults.TARGETS_FULL: 503,
     faults.TARGETS_BACK_OFF: 503,
     faults.QUARANTINED: 503,
-    faults.TOO_LATE: 503,
+    faults.EXPIRED_BEFORE_SENDING: 503,
     faults.TIMED_OUT: 504,
     faults.BROKEN: 502,
     faults.TARGET_FAILED: 502,
@@ -146,7 +146,7 @@
             notice=_read_notice(status, headers),
         )
 
-    def refuse(self, fault: RelayFault) -> OwnAnswer:
+    def refuse(self, fault: RelayFault) -> RouterResponse:
         """Return the answer to a caller whose request failed."""
         status = _STATUS.get(fault, _MAY_HAVE_RUN_STATUS)
         body = json.dumps({'error': fault.code, 'reason': fault.reason})
@@ -156,7 +156,7 @@
         ]
         if fault.retry_after:
             headers.append(('Retry-After', f'{fault.retry_after:.2f}'))
-        return OwnAnswer(
+        return RouterResponse(
             status=status,
             headers=tuple(headers),
             body=body.encode(),
@@ -217,7 +217,7 @@
     match = _BEARER.fullmatch(headers.get(header_names.AUTHORIZATION))
     team = catalogue.find_team(match[1]) if match else None
     if team is None:
-        return faults.NO_TEAM.because('the key belongs to no team')
+        return faults.UNKNOWN_KEY.because('the key belongs to no team')
     return team
 
 
@@ -247,7 +247,7 @@
     return Prompt(
         model=headers.get(header_names.MODEL),
         tokens=int(match[1]),
-        most_output=int(match[2]),
+        max_output_tokens=int(match[2]),
         parts=parts,
     )
 
--- a/src/balsamreach/platform/router.py
+++ b/src/balsamreach/platform/router.py
@@ -59,7 +59,7 @@
     )
     parts.holdings.book.is_away = configuration.feed.is_away
     parts.currency.source = configuration.feed
-    parts.run.tries.notices.tell = exchange.tell_target
+    parts.run.attempt_parts.notices.tell = exchange.tell_target
     address = f'{cfg.peers.address}:{cfg.peers.port}'
     return RelayRouter(
         parts,
@@ -69,7 +69,7 @@
             targets.feed.run,
             partial(hosts.register, address, cfg.host.zone),
         ),
-        (targets.expire, exchange.catch_up),
+        (targets.remove_expired, exchange.catch_up),
     )
 
 
--- a/src/balsamreach/platform/targets.py
+++ b/src/balsamreach/platform/targets.py
@@ -4,7 +4,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from balsamreach.placement.places import TargetEntry
+from balsamreach.placement.relay_targets import TargetEntry
 
 _MS = 1000
 #: Whether a target is leaving, by its state.
--- a/src/balsamreach/power/decider.py
+++ b/src/balsamreach/power/decider.py
@@ -17,7 +17,7 @@
 from balsamreach.power.rows import HostRecord, PowerRow
 from balsamreach.power.store import PowerStore, StoredRow
 from balsamreach.power.views import HostView, ZoneView
-from balsamreach.targets.holds import LEAVING, OFF, STARTING, STOPPING
+from balsamreach.targets.power_holds import LEAVING, OFF, STARTING, STOPPING
 from balsamreach.telemetry.logs import log_event
 from balsamreach.telemetry.metrics import Metrics
 
--- a/src/balsamreach/power/follower.py
+++ b/src/balsamreach/power/follower.py
@@ -12,7 +12,7 @@
 from balsamreach.power.faults import PowerFault
 from balsamreach.power.rows import KEY_PREFIX, PowerRow, decode
 from balsamreach.services.base import Page, Row, RowValue, Scan, TableService
-from balsamreach.targets.holds import STARTING, Hold
+from balsamreach.targets.power_holds import STARTING, PowerHold
 from balsamreach.targets.registry import Targets
 from balsamreach.telemetry.logs import log_event
 from balsamreach.wire.membership import Member
@@ -121,8 +121,8 @@
             return Scan(KEY_PREFIX, since=last.version)
         return Scan(KEY_PREFIX, after=last.key)
 
-    def _holds(self) -> dict[str, Hold]:
-        holds: dict[str, Hold] = {}
+    def _holds(self) -> dict[str, PowerHold]:
+        holds: dict[str, PowerHold] = {}
         for stored in self.rows.values():
             row = decode(stored.value or {})
             if isinstance(row, PowerRow):
@@ -146,13 +146,13 @@
         self._informed = neighbours
 
 
-def _holds_from(row: PowerRow, targets: Targets) -> dict[str, Hold]:
+def _holds_from(row: PowerRow, targets: Targets) -> dict[str, PowerHold]:
     holds = {}
     for name, record in row.hosts.items():
         target = targets.by_name.get(name)
         starting = target is not None and record.state == STARTING
         models = tuple(target.row.models) if starting else ()
-        holds[name] = Hold(record.state, record.incarnation, models)
+        holds[name] = PowerHold(record.state, record.incarnation, models)
     return holds
 
 
--- a/src/balsamreach/power/idle.py
+++ b/src/balsamreach/power/idle.py
@@ -9,7 +9,7 @@
 from balsamreach.config.target_settings import PowerSettings
 from balsamreach.peers.base import PeerNet
 from balsamreach.services.base import HostEntry
-from balsamreach.targets.marks import FROM_POWER, Marks
+from balsamreach.targets.leaving_marks import FROM_POWER, LeavingMarks
 from balsamreach.targets.registry import Target
 from balsamreach.targets.reports import LoadReport
 from balsamreach.wire.marks import InFlight, TargetMark
@@ -40,7 +40,7 @@
     """Collects evidence over the steps of one decider."""
 
     cfg: PowerSettings
-    marks: Marks
+    marks: LeavingMarks
     net: PeerNet
     clock: Clock
     _routers: dict[str, tuple[Member, float]] = attrs.field(factory=dict)
@@ -135,7 +135,7 @@
     ) -> RouterAnswers:
         members = tuple(member for member, _ in self._routers.values())
         mark = TargetMark(target.name, incarnation)
-        own_count = self.marks.count(target, incarnation)
+        own_count = self.marks.requests_in_flight(target, incarnation)
         other_incarnations = [
             member.incarnation for member in members if member != self.net.me
         ]
--- a/src/balsamreach/power/manager.py
+++ b/src/balsamreach/power/manager.py
@@ -16,7 +16,7 @@
 from balsamreach.power.store import PowerStore, StoredRow
 from balsamreach.services.base import HostList, TableService, WeightStore
 from balsamreach.targets.client import TargetClient
-from balsamreach.targets.marks import Marks
+from balsamreach.targets.leaving_marks import LeavingMarks
 from balsamreach.telemetry.metrics import Metrics
 
 _JITTER = 0.1
@@ -37,7 +37,7 @@
     """
 
     cfg: Settings
-    marks: Marks
+    marks: LeavingMarks
     client: TargetClient
     hosts: HostList
     weights: WeightStore
--- a/src/balsamreach/power/observer.py
+++ b/src/balsamreach/power/observer.py
@@ -14,7 +14,7 @@
 from balsamreach.services.faults import PlatformFault
 from balsamreach.table.rows import ACTIVE
 from balsamreach.targets.client import TargetClient
-from balsamreach.targets.holds import LEAVING, OFF, STARTING, STOPPING
+from balsamreach.targets.power_holds import LEAVING, OFF, STARTING, STOPPING
 from balsamreach.targets.registry import Target, Targets
 from balsamreach.targets.reports import LoadReport
 
@@ -97,7 +97,7 @@
         report = await self.client.load(target.row.address, fresh=True)
         known = report if isinstance(report, LoadReport) else None
         if known is not None:
-            target.take_report(known, self.clock.now())
+            target.apply_report(known, self.clock.now())
         view = HostView(
             target,
             record,
--- a/src/balsamreach/power/plan.py
+++ b/src/balsamreach/power/plan.py
@@ -7,7 +7,7 @@
 from balsamreach.config.target_settings import PowerSettings
 from balsamreach.power.rows import HostRecord, PowerRow
 from balsamreach.power.views import HostView, ZoneView
-from balsamreach.targets.holds import LEAVING, OFF, STARTING, STOPPING
+from balsamreach.targets.power_holds import LEAVING, OFF, STARTING, STOPPING
 
 
 @attrs.frozen
--- a/src/balsamreach/power/rows.py
+++ b/src/balsamreach/power/rows.py
@@ -7,7 +7,7 @@
 import attrs
 
 from balsamreach.power.faults import BAD_ROW, PowerFault
-from balsamreach.targets.holds import LEAVING, OFF, STARTING, STOPPING
+from balsamreach.targets.power_holds import LEAVING, OFF, STARTING, STOPPING
 
 KEY_PREFIX = 'power/'
 
--- a/src/balsamreach/relay/verdicts.py
+++ b/src/balsamreach/relay/attempt_results.py
@@ -3,13 +3,13 @@
 import attrs
 
 from balsamreach.dispatch.upstream import NOT_SENT, SILENT, UpstreamFault
-from balsamreach.placement.places import Place
+from balsamreach.placement.relay_targets import RelayTarget
 from balsamreach.relay import faults
 from balsamreach.relay.call import RelayCall
 from balsamreach.relay.chooser import Chooser
 from balsamreach.relay.faults import RelayFault
-from balsamreach.relay.intakes import AnswerIntake
-from balsamreach.relay.suspects import Suspects
+from balsamreach.relay.quarantine import CrashQuarantine
+from balsamreach.relay.response_intakes import AnswerIntake
 
 _SERVER_ERROR = 500
 
@@ -32,24 +32,24 @@
 
 
 @attrs.define
-class Judge:
+class AttemptClassifier:
     """Classifies attempts when they have ended.
 
     Parameters
     ----------
     chooser : Chooser
         Withholds requests from targets that fail.
-    suspects : Suspects
+    quarantine : CrashQuarantine
         Quarantines requests that crash targets.
     """
 
     chooser: Chooser
-    suspects: Suspects
+    quarantine: CrashQuarantine
 
-    def judge(
+    def classify(
         self,
         call: RelayCall,
-        place: Place,
+        place: RelayTarget,
         intake: AnswerIntake,
         end: UpstreamFault | None,
     ) -> Verdict:
@@ -59,7 +59,7 @@
         ----------
         call : RelayCall
             The request.
-        place : Place
+        place : RelayTarget
             Target that it was sent to.
         intake : AnswerIntake
             The response.
@@ -70,7 +70,7 @@
             return self._not_connected(place, end)
         if end is not None or intake.problem:
             return self._broken(call, place, intake, end)
-        self.suspects.record_end(call, place)
+        self.quarantine.record_end(call, place)
         head = intake.head
         if head.misdirected:
             # The target list is outdated. A target never returns to an address
@@ -89,8 +89,8 @@
         self.chooser.record_success(place)
         return Verdict(deliverable=True)
 
-    def _not_connected(self, place: Place, end: UpstreamFault) -> Verdict:
-        self.suspects.record_refused(place)
+    def _not_connected(self, place: RelayTarget, end: UpstreamFault) -> Verdict:
+        self.quarantine.record_refused(place)
         self.chooser.record_failure(place, certain=True)
         reason = f'no connection: {end.reason}'
         return Verdict(faults.NO_TARGET.because(reason))
@@ -98,14 +98,14 @@
     def _broken(
         self,
         call: RelayCall,
-        place: Place,
+        place: RelayTarget,
         intake: AnswerIntake,
         end: UpstreamFault | None,
     ) -> Verdict:
         # Silence is as often the network's fault as the target's; only a
         # broken connection indicates a crash.
         if end is not None and end != SILENT:
-            self.suspects.record_break(call, place)
+            self.quarantine.record_break(call, place)
         self.chooser.record_failure(place, certain=False)
         reason = intake.problem or (end and end.reason) or ''
         return Verdict(faults.BROKEN.because(reason))
--- a/src/balsamreach/relay/tries.py
+++ b/src/balsamreach/relay/attempts.py
@@ -8,9 +8,11 @@
 from balsamreach.clock import Clock
 from balsamreach.dispatch.upstream import UpstreamFault
 from balsamreach.placement.notices import Notices
-from balsamreach.placement.places import Place
+from balsamreach.placement.relay_targets import RelayTarget
 from balsamreach.relay import faults
+from balsamreach.relay.attempt_results import AttemptClassifier, Verdict
 from balsamreach.relay.call import RelayCall
+from balsamreach.relay.caller_response import CallerResponse
 from balsamreach.relay.chooser import Chooser, InFlight
 from balsamreach.relay.codec import Codec
 from balsamreach.relay.event_timing import EventTiming
@@ -18,11 +20,9 @@
 from balsamreach.relay.exchange import Exchange, Outgoing
 from balsamreach.relay.faults import RelayFault
 from balsamreach.relay.host_link import CHUNK_OVERHEAD_BYTES, HostLink
-from balsamreach.relay.intakes import AnswerIntake, StreamIntake
-from balsamreach.relay.outlet import Outlet
-from balsamreach.relay.repeats import Repeats
+from balsamreach.relay.response_intakes import AnswerIntake, StreamIntake
+from balsamreach.relay.retry_budget import RelayRetryBudget
 from balsamreach.relay.spending import Reservation
-from balsamreach.relay.verdicts import Judge, Verdict
 
 #: Maximum number of attempts for one request. Attempts without a connection
 #: reached no target and don't count against the route's own limit.
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class TryParts:
+class RelayAttemptParts:
     """The services that all attempts need.
 
     Parameters
@@ -46,8 +46,8 @@
     codec: Codec
     chooser: Chooser
     exchange: Exchange
-    repeats: Repeats
-    judge: Judge
+    retry_budget: RelayRetryBudget
+    classifier: AttemptClassifier
     notices: Notices
     clock: Clock
     link: HostLink
@@ -60,11 +60,11 @@
 
     Parameters
     ----------
-    parts : TryParts
+    parts : RelayAttemptParts
         The services that they need.
     call : RelayCall
         The request.
-    outlet : Outlet
+    caller_response : CallerResponse
         Response to the caller.
     reservation : Reservation
         Tokens that the request has reserved and used.
@@ -78,9 +78,9 @@
         Arrival times of the events.
     """
 
-    parts: TryParts
+    parts: RelayAttemptParts
     call: RelayCall
-    outlet: Outlet
+    caller_response: CallerResponse
     reservation: Reservation = attrs.field(factory=Reservation)
     may_have_run: bool = False
     events: int = 0
@@ -104,7 +104,7 @@
         RelayFault or None
             Why the request failed; None if the caller has its response.
         """
-        self.parts.repeats.record_first(self.call.service)
+        self.parts.retry_budget.record_first(self.call.service)
         fault = faults.NO_TARGET.because('no target accepts requests')
         for _ in range(_MAX_TRIES):
             place = self.parts.chooser.choose(self.call, self._tried)
@@ -118,7 +118,7 @@
                 return fault
         return fault
 
-    async def _try(self, place: Place) -> RelayFault | None:
+    async def _try(self, place: RelayTarget) -> RelayFault | None:
         self._tried.add(place.incarnation)
         intake = self._make_intake()
         in_flight = self.parts.chooser.begin(self.call, place)
@@ -141,7 +141,7 @@
 
     def _on_head(
         self,
-        place: Place,
+        place: RelayTarget,
         in_flight: InFlight,
         intake: AnswerIntake,
         *_head: object,
@@ -156,11 +156,11 @@
 
     def _finish_attempt(
         self,
-        place: Place,
+        place: RelayTarget,
         intake: AnswerIntake,
         end: UpstreamFault | None,
     ) -> RelayFault | None:
-        verdict = self.parts.judge.judge(self.call, place, intake, end)
+        verdict = self.parts.classifier.classify(self.call, place, intake, end)
         fault = self._deliver(verdict, intake)
         outcome = 'answered'
         if verdict.fault is not None:
@@ -187,7 +187,7 @@
         return StreamIntake(
             codec,
             request_id,
-            self.outlet,
+            self.caller_response,
             self._splitter,
             self._count_events,
         )
@@ -200,7 +200,7 @@
         per_event = self.parts.chooser.tokens_per_event(self.call)
         self.reservation.output_tokens += events * per_event
 
-    def _make_outgoing(self, place: Place) -> Outgoing:
+    def _make_outgoing(self, place: RelayTarget) -> Outgoing:
         time_left = self.call.deadline - self.parts.clock.now()
         last_event = self.call.last_event
         if self._splitter.last_id >= 0:
@@ -217,8 +217,10 @@
             path=self.call.path,
             headers=tuple(headers),
             body=self.call.body,
-            fresh=not self.call.repeatable,
-            gap=self.parts.stream_gap if self.call.route.streams else 0,
+            new_connection=not self.call.repeatable,
+            silence_timeout=self.parts.stream_gap
+            if self.call.route.streams
+            else 0,
         )
 
     def _may_retry(self, fault: RelayFault) -> bool:
@@ -226,14 +228,14 @@
             return True
         if not self._can_retry():
             return False
-        return self.parts.repeats.allow_retry(self.call.service)
+        return self.parts.retry_budget.allow_retry(self.call.service)
 
     def _can_retry(self) -> bool:
         if self._reached >= self.call.route.most_targets:
             return False
         if self.may_have_run and not self.call.repeatable:
             return False
-        if self.outlet.started and not self.call.route.resumable:
+        if self.caller_response.started and not self.call.route.resumable:
             return False
         return self.parts.chooser.has_target(self.call, self._tried)
 
@@ -248,18 +250,18 @@
             return verdict.fault
         if isinstance(intake, StreamIntake) and intake.is_success:
             return self._finish_stream(intake)
-        if self.outlet.started:
+        if self.caller_response.started:
             return faults.BROKEN.because('the stream could not be resumed')
-        self.parts.link.add(2 * len(intake.held))
-        self.outlet.start(intake.head.status, intake.head.headers)
-        self.outlet.write(bytes(intake.held))
-        self.outlet.finish()
+        self.parts.link.add(2 * len(intake.body))
+        self.caller_response.start(intake.head.status, intake.head.headers)
+        self.caller_response.write(bytes(intake.body))
+        self.caller_response.finish()
         return None
 
     def _finish_stream(self, intake: AnswerIntake) -> RelayFault | None:
         if self._splitter.has_partial:
             return faults.BROKEN.because('the stream ended within an event')
-        if not self.outlet.started:
-            self.outlet.start(intake.head.status, intake.head.headers)
-        self.outlet.finish()
+        if not self.caller_response.started:
+            self.caller_response.start(intake.head.status, intake.head.headers)
+        self.caller_response.finish()
         return None
--- a/src/balsamreach/relay/outlet.py
+++ b/src/balsamreach/relay/caller_response.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 
 
-class Outlet(abc.ABC):
+class CallerResponse(abc.ABC):
     """Writes one response to its caller.
 
     Parameters
@@ -18,7 +18,7 @@
 
     @property
     @abc.abstractmethod
-    def full(self) -> bool:
+    def should_pause(self) -> bool:
         """Whether the caller is so slow that reading should pause."""
 
     @abc.abstractmethod
--- a/src/balsamreach/relay/chooser.py
+++ b/src/balsamreach/relay/chooser.py
@@ -7,11 +7,11 @@
 from balsamreach.catalogue.entries import EngineTraits, Service
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.clock import Clock
+from balsamreach.placement.cold_targets import ColdTargetLimiter
 from balsamreach.placement.engines import EngineChooser
 from balsamreach.placement.evacuations import Evacuations
-from balsamreach.placement.places import Place, Places
+from balsamreach.placement.relay_targets import RelayTarget, RelayTargets
 from balsamreach.placement.services import ServiceChooser
-from balsamreach.placement.warming import Warming
 from balsamreach.relay import faults
 from balsamreach.relay.call import RelayCall
 from balsamreach.relay.faults import RelayFault
@@ -29,7 +29,7 @@
 
     Parameters
     ----------
-    places : Places
+    places : RelayTargets
         All targets.
     engines : EngineChooser
         Chooses for requests with a prompt.
@@ -41,22 +41,22 @@
         Source of the current time.
     evacuations : Evacuations
         Zones that get no new requests.
-    warming : Warming
+    cold_targets : ColdTargetLimiter
         Bounds the rate of requests to cold targets.
     on_sent : callable
         Called with the number of tokens of each prompt that is sent.
     """
 
-    places: Places
+    places: RelayTargets
     engines: EngineChooser
     services: ServiceChooser
     view: CatalogueView
     clock: Clock
     evacuations: Evacuations
-    warming: Warming
+    cold_targets: ColdTargetLimiter
     on_sent: Callable[[int], None] = _ignore
 
-    def choose(self, call: RelayCall, tried: Set[str]) -> Place | None:
+    def choose(self, call: RelayCall, tried: Set[str]) -> RelayTarget | None:
         """Return the target for a request, None if none may be used.
 
         Parameters
@@ -100,10 +100,10 @@
             return faults.TARGETS_FULL.because(reason)
         return faults.NO_TARGET.because('no target accepts requests')
 
-    def begin(self, call: RelayCall, place: Place) -> 'InFlight':
+    def begin(self, call: RelayCall, place: RelayTarget) -> 'InFlight':
         """Count a request as in progress, until ``InFlight.end`` is called."""
         place.breaker.begin()
-        self.warming.record_sent(place)
+        self.cold_targets.record_sent(place)
         if call.prompt is None:
             return InFlight(place)
         capacity = self._engine_traits(call).cache_tokens
@@ -112,16 +112,16 @@
         self.on_sent(in_flight.unread)
         return in_flight
 
-    def record_success(self, place: Place) -> None:
+    def record_success(self, place: RelayTarget) -> None:
         """Record that a target has answered a request."""
         place.breaker.succeed()
 
-    def record_failure(self, place: Place, *, certain: bool) -> None:
+    def record_failure(self, place: RelayTarget, *, certain: bool) -> None:
         """Record a failure of a target.
 
         Parameters
         ----------
-        place : Place
+        place : RelayTarget
             The target.
         certain : bool
             Whether one failure is enough to withhold requests, such as a
@@ -130,11 +130,11 @@
         now = self.clock.now()
         place.breaker.fail(now, self.places.rng, certain=certain)
 
-    def remove(self, place: Place) -> None:
+    def remove(self, place: RelayTarget) -> None:
         """Remove a target that no longer exists."""
         self.places.remove_incarnation(place)
 
-    def record_rejection(self, place: Place) -> None:
+    def record_rejection(self, place: RelayTarget) -> None:
         """Record that a target rejected a request."""
         place.breaker.release_probe()
 
@@ -146,7 +146,7 @@
         self,
         call: RelayCall,
         tried: Set[str],
-    ) -> Iterator[Place]:
+    ) -> Iterator[RelayTarget]:
         service = self._service(call)
         find = self.places.restrictions.find
         now = self.clock.now()
@@ -156,12 +156,12 @@
                 place.running, now
             ):
                 continue
-            if self._accepts_requests(place) and self.warming.allows(
+            if self._accepts_requests(place) and self.cold_targets.allows(
                 place, service
             ):
                 yield place
 
-    def _accepts_requests(self, place: Place) -> bool:
+    def _accepts_requests(self, place: RelayTarget) -> bool:
         if place.entry.leaving:
             return False
         return not self.evacuations.covers(place.entry.zone)
@@ -183,13 +183,13 @@
 
     Parameters
     ----------
-    place : Place
+    place : RelayTarget
         The target.
     unread : int
         Prompt tokens that the target has not processed yet.
     """
 
-    place: Place
+    place: RelayTarget
     unread: int = 0
 
     def __attrs_post_init__(self) -> None:
--- a/src/balsamreach/relay/codec.py
+++ b/src/balsamreach/relay/codec.py
@@ -7,7 +7,7 @@
 
 from balsamreach.catalogue.catalogue import Catalogue
 from balsamreach.placement.notices import NO_NOTICE, TargetNotice
-from balsamreach.placement.places import TargetEntry
+from balsamreach.placement.relay_targets import TargetEntry
 from balsamreach.relay.call import RelayCall
 from balsamreach.relay.faults import RelayFault
 
@@ -73,7 +73,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class OwnAnswer:
+class RouterResponse:
     """A response that the router generates itself."""
 
     status: int
@@ -127,5 +127,5 @@
         """Return the parsed headers of a response, names in lower case."""
 
     @abc.abstractmethod
-    def refuse(self, fault: RelayFault) -> OwnAnswer:
+    def refuse(self, fault: RelayFault) -> RouterResponse:
         """Return the response that reports a fault to a caller."""
--- a/src/balsamreach/relay/exchange.py
+++ b/src/balsamreach/relay/exchange.py
@@ -5,7 +5,7 @@
 import attrs
 
 from balsamreach.dispatch.upstream import Intake, UpstreamFault
-from balsamreach.placement.places import TargetEntry
+from balsamreach.placement.relay_targets import TargetEntry
 
 
 @attrs.frozen(kw_only=True)
@@ -22,10 +22,10 @@
         All headers.
     body : bytes
         Body.
-    fresh : bool
+    new_connection : bool
         Whether it needs a new connection: a pooled one may have been closed
         by its target, and then it is unknown whether the request ran.
-    gap : float
+    silence_timeout : float
         Seconds of silence after which the attempt is aborted; 0 for no
         bound.
     """
@@ -35,8 +35,8 @@
     path: str
     headers: tuple[tuple[str, str], ...]
     body: bytes = b''
-    fresh: bool = False
-    gap: float = 0
+    new_connection: bool = False
+    silence_timeout: float = 0
 
 
 class Exchange(abc.ABC):
--- a/src/balsamreach/relay/faults.py
+++ b/src/balsamreach/relay/faults.py
@@ -40,7 +40,7 @@
 #: No route matches the host and path.
 NO_ROUTE = RelayFault('no_route')
 #: The key belongs to no team.
-NO_TEAM = RelayFault('unknown_key')
+UNKNOWN_KEY = RelayFault('unknown_key')
 #: The body exceeds the limit.
 BODY_TOO_LARGE = RelayFault('body_too_large')
 #: The team's balance doesn't cover the maximum use of the request.
@@ -61,7 +61,7 @@
 #: The request crashed several targets.
 QUARANTINED = RelayFault('request_quarantined', retry_after=30)
 #: The deadline passed before the request was sent to a target.
-TOO_LATE = RelayFault('deadline_passed')
+EXPIRED_BEFORE_SENDING = RelayFault('deadline_passed')
 #: The deadline passed after the request was sent to a target.
 TIMED_OUT = RelayFault('timed_out', not_run=False)
 #: The connection to the target broke, or the response was incomplete or
--- a/src/balsamreach/relay/host_link.py
+++ b/src/balsamreach/relay/host_link.py
@@ -51,9 +51,9 @@
 
     def is_full(self) -> bool:
         """Return whether the backlog is too large."""
-        return self.wait() > _MAX_WAIT_S
+        return self.backlog_seconds() > _MAX_WAIT_S
 
-    def wait(self) -> float:
+    def backlog_seconds(self) -> float:
         """Return the seconds that the link needs for its backlog."""
         if not self.mbit:
             return 0
--- a/src/balsamreach/relay/metered.py
+++ b/src/balsamreach/relay/prepaid_spending.py
@@ -13,7 +13,7 @@
 
 
 @attrs.define
-class MeteredSpending(Spending):
+class PrepaidSpending(Spending):
     """Charges the teams whose tokens are prepaid.
 
     Parameters
--- a/src/balsamreach/relay/suspects.py
+++ b/src/balsamreach/relay/quarantine.py
@@ -4,7 +4,7 @@
 
 from balsamreach.clock import Clock
 from balsamreach.peers.base import PeerNet
-from balsamreach.placement.places import Place
+from balsamreach.placement.relay_targets import RelayTarget
 from balsamreach.relay import faults
 from balsamreach.relay.call import RelayCall
 from balsamreach.relay.faults import RelayFault
@@ -14,7 +14,7 @@
 
 
 @attrs.define
-class Suspects:
+class CrashQuarantine:
     """Applies the quarantine to relayed requests.
 
     A caller retries a request that crashes its target, with the same path,
@@ -36,11 +36,11 @@
             return None
         return faults.QUARANTINED.because(refusal.reason)
 
-    def record_end(self, call: RelayCall, place: Place) -> None:
+    def record_end(self, call: RelayCall, place: RelayTarget) -> None:
         """Record an attempt that ended without a broken connection."""
         self.quarantine.finished(call.fingerprint, place.incarnation)
 
-    def record_break(self, call: RelayCall, place: Place) -> None:
+    def record_break(self, call: RelayCall, place: RelayTarget) -> None:
         """Record that the connection broke while the request ran."""
         self.quarantine.broken(
             call.fingerprint,
@@ -49,17 +49,17 @@
             place.incarnation,
         )
 
-    def record_refused(self, place: Place) -> None:
+    def record_refused(self, place: RelayTarget) -> None:
         """Record that a target refuses connections: it has crashed."""
         self.quarantine.refused(place.incarnation)
 
 
-def make_suspects(
+def make_quarantine(
     crash_targets: int,
     clock: Clock,
     metrics: Metrics,
     net: PeerNet | None = None,
-) -> Suspects:
+) -> CrashQuarantine:
     """Return a quarantine that is shared with other routers.
 
     Parameters
@@ -74,4 +74,4 @@
         The other routers, which are informed about crashes; None for none.
     """
     records = SuspectRecords(crash_targets)
-    return Suspects(Quarantine(records, clock, metrics, net))
+    return CrashQuarantine(Quarantine(records, clock, metrics, net))
--- a/src/balsamreach/relay/journal.py
+++ b/src/balsamreach/relay/request_log.py
@@ -12,7 +12,7 @@
 from balsamreach.telemetry.metrics import Metrics
 
 if TYPE_CHECKING:
-    from balsamreach.relay.tries import RelayAttempts
+    from balsamreach.relay.attempts import RelayAttempts
 
 REQUESTS_TOTAL = 'balsamreach_relay_requests_total'
 REQUEST_SECONDS = 'balsamreach_relay_request_seconds'
--- a/src/balsamreach/relay/intakes.py
+++ b/src/balsamreach/relay/response_intakes.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 
 from balsamreach.dispatch.upstream import Intake
+from balsamreach.relay.caller_response import CallerResponse
 from balsamreach.relay.codec import AnswerHead, Codec
 from balsamreach.relay.events import EventSplitter
-from balsamreach.relay.outlet import Outlet
 
 #: Maximum size of a plain response, which is buffered until it is complete.
 #: A larger one is refused, since its caller could get an incomplete response.
@@ -37,7 +37,7 @@
         self.request_id = request_id
         self.head: AnswerHead | None = None
         self.problem = ''
-        self.held = bytearray()
+        self.body = bytearray()
 
     @property
     def is_success(self) -> bool:
@@ -84,8 +84,8 @@
         """Buffer bytes until the response is complete."""
         if self.problem:
             return
-        self.held += chunk
-        if len(self.held) > _MAX_PLAIN_BYTES:
+        self.body += chunk
+        if len(self.body) > _MAX_PLAIN_BYTES:
             self.problem = 'the answer is too large'
 
 
@@ -94,7 +94,7 @@
 
     Parameters
     ----------
-    outlet : Outlet
+    caller_response : CallerResponse
         Response to the caller.
     splitter : EventSplitter
         Splits the stream; shared by all attempts of the request.
@@ -106,19 +106,19 @@
         self,
         codec: Codec,
         request_id: str,
-        outlet: Outlet,
+        caller_response: CallerResponse,
         splitter: EventSplitter,
         on_events: Callable[[int, int], None],
     ) -> None:
         super().__init__(codec, request_id)
-        self.outlet = outlet
+        self.caller_response = caller_response
         self.splitter = splitter
         self.on_events = on_events
 
     @property
     def full(self) -> bool:
         """Whether reading should pause until the caller has caught up."""
-        return self.outlet.full
+        return self.caller_response.should_pause
 
     def write(self, chunk: bytes) -> None:
         """Forward the events that are complete now."""
@@ -129,13 +129,13 @@
         self.problem = self.splitter.error
         if not events:
             return
-        self._start_outlet()
+        self._start_caller_response()
         chunk = b''.join(event.raw for event in events)
         self.on_events(len(events), len(chunk))
-        self.outlet.write(chunk)
+        self.caller_response.write(chunk)
 
-    def _start_outlet(self) -> None:
+    def _start_caller_response(self) -> None:
         # A response keeps the headers of its first target even if another
         # target resumes it.
-        if not self.outlet.started:
-            self.outlet.start(self.head.status, self.head.headers)
+        if not self.caller_response.started:
+            self.caller_response.start(self.head.status, self.head.headers)
--- a/src/balsamreach/relay/repeats.py
+++ b/src/balsamreach/relay/retry_budget.py
@@ -22,7 +22,7 @@
 
 
 @attrs.define
-class Repeats:
+class RelayRetryBudget:
     """Bounds retries to a share of the requests in a sliding window.
 
     Load pattern: some of the targets fail, and every request there is
--- a/src/balsamreach/relay/retry_jitter.py
+++ b/src/balsamreach/relay/retry_jitter.py
@@ -26,7 +26,7 @@
 
     rng: random.Random = attrs.field(factory=random.Random)
 
-    def spread(self, fault: RelayFault) -> RelayFault:
+    def add_jitter(self, fault: RelayFault) -> RelayFault:
         """Return a fault with a random delay added to its retry time."""
         if not fault.retry_after:
             return fault
--- a/src/balsamreach/relay/run.py
+++ b/src/balsamreach/relay/run.py
@@ -6,30 +6,30 @@
 
 from balsamreach.clock import Clock
 from balsamreach.relay import faults
+from balsamreach.relay.attempts import RelayAttemptParts, RelayAttempts
 from balsamreach.relay.call import RelayCall
+from balsamreach.relay.caller_response import CallerResponse
 from balsamreach.relay.codec import Codec
 from balsamreach.relay.faults import RelayFault
 from balsamreach.relay.host_link import HostLink
-from balsamreach.relay.journal import RequestLog
-from balsamreach.relay.outlet import Outlet
+from balsamreach.relay.quarantine import CrashQuarantine
+from balsamreach.relay.request_log import RequestLog
 from balsamreach.relay.retry_jitter import RetryJitter
 from balsamreach.relay.spending import Reservation, Spending
-from balsamreach.relay.suspects import Suspects
-from balsamreach.relay.tries import RelayAttempts, TryParts
 
 
 @attrs.frozen(kw_only=True)
-class RunParts:
+class RelayRunParts:
     """The services that process every request."""
 
     codec: Codec
     spending: Spending
-    suspects: Suspects
+    quarantine: CrashQuarantine
     link: HostLink
-    tries: TryParts
+    attempt_parts: RelayAttemptParts
     clock: Clock
     log: RequestLog
-    returns: RetryJitter = attrs.field(factory=RetryJitter)
+    retry_jitter: RetryJitter = attrs.field(factory=RetryJitter)
 
 
 @attrs.define(eq=False)
@@ -38,22 +38,24 @@
 
     Parameters
     ----------
-    parts : RunParts
+    parts : RelayRunParts
         The services that it needs.
     call : RelayCall
         The request.
-    outlet : Outlet
+    caller_response : CallerResponse
         Response to the caller.
     """
 
-    parts: RunParts
+    parts: RelayRunParts
     call: RelayCall
-    outlet: Outlet
+    caller_response: CallerResponse
 
     async def run(self) -> None:
         """Process the request; the caller always gets a final response."""
         started = self.parts.clock.now()
-        attempts = RelayAttempts(self.parts.tries, self.call, self.outlet)
+        attempts = RelayAttempts(
+            self.parts.attempt_parts, self.call, self.caller_response
+        )
         fault: RelayFault | None = faults.ABANDONED
         try:
             fault = await self._admit(attempts)
@@ -64,14 +66,14 @@
 
     async def _admit(self, attempts: RelayAttempts) -> RelayFault | None:
         self.parts.link.add(self.call.size)
-        refusal = self.parts.suspects.check(self.call)
+        refusal = self.parts.quarantine.check(self.call)
         if refusal is None:
-            refusal = self.parts.tries.chooser.refusal(self.call)
+            refusal = self.parts.attempt_parts.chooser.refusal(self.call)
         if refusal is not None:
             return refusal
         time_left = self.call.deadline - self.parts.clock.now()
         if time_left <= 0:
-            return faults.TOO_LATE.because(
+            return faults.EXPIRED_BEFORE_SENDING.because(
                 'its time limit had passed on arrival'
             )
         try:
@@ -80,7 +82,9 @@
         except TimeoutError:
             if attempts.may_have_run:
                 return faults.TIMED_OUT.because('its time limit has passed')
-            return faults.TOO_LATE.because('its time limit has passed')
+            return faults.EXPIRED_BEFORE_SENDING.because(
+                'its time limit has passed'
+            )
 
     async def _run_charged(self, attempts: RelayAttempts) -> RelayFault | None:
         reservation = await self.parts.spending.reserve(self.call)
@@ -100,22 +104,22 @@
         self.parts.spending.charge(self.call, reservation)
 
     def _refuse(self, fault: RelayFault) -> None:
-        if self.outlet.started:
+        if self.caller_response.started:
             # The headers of a success have been sent already; only a broken
             # connection shows the caller that its response is incomplete.
-            self.outlet.abort()
+            self.caller_response.abort()
             return
-        fault = self.parts.returns.spread(self._delay_retry(fault))
+        fault = self.parts.retry_jitter.add_jitter(self._delay_retry(fault))
         answer = self.parts.codec.refuse(fault)
-        self.outlet.start(answer.status, answer.headers)
-        self.outlet.write(answer.body)
-        self.outlet.finish()
+        self.caller_response.start(answer.status, answer.headers)
+        self.caller_response.write(answer.body)
+        self.caller_response.finish()
 
     def _delay_retry(self, fault: RelayFault) -> RelayFault:
         """Raise the retry time until a target accepts requests again."""
         if not fault.retry_after:
             return fault
-        refusal = self.parts.tries.chooser.refusal(self.call)
+        refusal = self.parts.attempt_parts.chooser.refusal(self.call)
         if refusal != faults.TARGETS_BACK_OFF:
             return fault
         wait = max(fault.retry_after, refusal.retry_after)
--- a/src/balsamreach/routing/adaptive.py
+++ b/src/balsamreach/routing/adaptive.py
@@ -84,7 +84,7 @@
         # A report taken before the last decrease shows the queue that caused
         # it. Decreasing again for each late report would take the limit to its
         # minimum and leave the target half idle.
-        if not self._reports_slots or report.taken_at <= self._decreased_at:
+        if not self._reports_slots or report.valid_at <= self._decreased_at:
             return
         if report.queued:
             in_progress = report.running + report.queued
--- a/src/balsamreach/routing/affinity.py
+++ b/src/balsamreach/routing/affinity.py
@@ -9,7 +9,7 @@
 from balsamreach.routing.criteria import Criteria
 from balsamreach.routing.hints import CacheHints, hash_blocks
 from balsamreach.routing.pools import Group
-from balsamreach.targets.cache_feed import CacheNews
+from balsamreach.targets.cache_feed import CacheChanges
 
 #: Number of leading blocks that determine a prompt's position on the ring.
 _RING_BLOCKS = 4
@@ -49,7 +49,7 @@
                 return index
         return self._fallback.choose(criteria, group, now)
 
-    def apply_cache_events(self, target: str, news: CacheNews) -> None:
+    def apply_cache_events(self, target: str, news: CacheChanges) -> None:
         """Apply a target's prefix cache events to the hints."""
         self.hints.apply(target, news)
 
--- a/src/balsamreach/routing/choice.py
+++ b/src/balsamreach/routing/choice.py
@@ -7,7 +7,7 @@
 
 from balsamreach.routing.criteria import Criteria
 from balsamreach.routing.pools import Group
-from balsamreach.targets.cache_feed import CacheNews
+from balsamreach.targets.cache_feed import CacheChanges
 
 #: Index of the chosen member, None if no member is available.
 Choice = int | None
@@ -29,7 +29,7 @@
     def choose(self, criteria: Criteria, group: Group, now: float) -> Choice:
         """Return the index of an available member, None if there is none."""
 
-    def apply_cache_events(self, target: str, news: CacheNews) -> None:
+    def apply_cache_events(self, target: str, news: CacheChanges) -> None:
         """Apply a target's prefix cache events; ignored by most policies."""
         return
 
--- a/src/balsamreach/routing/hints.py
+++ b/src/balsamreach/routing/hints.py
@@ -5,7 +5,7 @@
 import attrs
 import xxhash
 
-from balsamreach.targets.cache_feed import CacheNews
+from balsamreach.targets.cache_feed import CacheChanges
 
 #: Prompt bytes per block of an engine's cache.
 BLOCK_BYTES = 64
@@ -101,9 +101,9 @@
         for block in lost[:count]:
             self.remove(block, target)
 
-    def apply(self, target: str, news: CacheNews) -> None:
+    def apply(self, target: str, news: CacheChanges) -> None:
         """Apply a target's cache events."""
-        if news.anew:
+        if news.reset:
             self.forget_target(target)
         if news.missing:
             # The missing events may include evictions. Stale hints would send
--- a/src/balsamreach/routing/routing.py
+++ b/src/balsamreach/routing/routing.py
@@ -23,7 +23,7 @@
 from balsamreach.routing.slot import Slot
 from balsamreach.routing.state import TargetState
 from balsamreach.routing.suspects import Suspects
-from balsamreach.targets.cache_feed import CacheNews
+from balsamreach.targets.cache_feed import CacheChanges
 from balsamreach.targets.registry import Targets
 from balsamreach.telemetry.metrics import Metrics
 
@@ -146,7 +146,7 @@
             and pools.serves(service, pool_queue.key)
         )
 
-    def learn_cache(self, target: str, news: CacheNews) -> None:
+    def learn_cache(self, target: str, news: CacheChanges) -> None:
         """Apply a target's prefix cache events to the choice of targets."""
         self.admission.picker.chooser.apply_cache_events(target, news)
 
--- a/src/balsamreach/routing/state.py
+++ b/src/balsamreach/routing/state.py
@@ -91,7 +91,7 @@
             Monotonic seconds.
         """
         self._apply_report(now)
-        age = now - self.target.report.taken_at
+        age = now - self.target.report.valid_at
         weight = math.exp(-age / _REPORT_TIME_CONSTANT)
         return (
             self.held
@@ -118,7 +118,7 @@
             return
         self._last_report = report
         reported = report.running + report.queued
-        own = self._held_at(report.taken_at)
+        own = self._held_at(report.valid_at)
         self.other_requests = max(0, reported - own)
         self.limit.apply_report(report, now)
 
--- a/src/balsamreach/targets/announcements.py
+++ b/src/balsamreach/targets/announcements.py
@@ -9,7 +9,7 @@
 
 from balsamreach.clock import Clock
 from balsamreach.retry_after import read_retry_after
-from balsamreach.targets.marks import FROM_ANSWER, Marks
+from balsamreach.targets.leaving_marks import FROM_ANSWER, LeavingMarks
 from balsamreach.targets.poller import LoadPoller
 from balsamreach.targets.registry import Target
 from balsamreach.telemetry.logs import log_event
@@ -32,9 +32,9 @@
 
     Parameters
     ----------
-    marks : Marks
+    marks : LeavingMarks
         Sets leaving marks and sends them to peers.
-    loads : LoadPoller
+    poller : LoadPoller
         Polls a target whose announcement has to be confirmed.
     clock : Clock
         Source of the current time.
@@ -42,8 +42,8 @@
         Counts announcements.
     """
 
-    marks: Marks
-    loads: LoadPoller
+    marks: LeavingMarks
+    poller: LoadPoller
     clock: Clock
     metrics: Metrics
     _polled_at: WeakKeyDictionary[Target, float] = attrs.field(
@@ -51,7 +51,7 @@
     )
     _polls: set[asyncio.Task] = attrs.field(factory=set)
 
-    def take(
+    def apply(
         self,
         target: Target,
         status: int,
@@ -77,7 +77,7 @@
         for target in (
             self.marks.targets.at_address(address) if announces else ()
         ):
-            self.take(target, status, headers)
+            self.apply(target, status, headers)
 
     def _back_off(self, target: Target, retry_after: float) -> None:
         now = self.clock.now()
@@ -128,7 +128,7 @@
         polling.add_done_callback(self._polls.discard)
 
     async def _poll(self, target: Target, named: str) -> None:
-        await self.loads.poll(target)
+        await self.poller.poll(target)
         # Before its first poll of a target a router knows no incarnation. If
         # the announcement were dropped then, a target that announces its
         # leaving only in responses, and gets no further request from this
--- a/src/balsamreach/targets/cache_feed.py
+++ b/src/balsamreach/targets/cache_feed.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class CacheNews:
+class CacheChanges:
     """Changes of a target's cache since the last request for events.
 
     Parameters
@@ -15,13 +15,13 @@
         New events.
     missing : int
         Number of events in between that were not received.
-    anew : bool
+    reset : bool
         Whether everything known about the cache before is invalid.
     """
 
     events: tuple[CacheEvent, ...] = ()
     missing: int = 0
-    anew: bool = False
+    reset: bool = False
 
 
 @attrs.define
@@ -47,14 +47,14 @@
         """Reset the position, for example after the target's restart."""
         self.next_seq = 0
 
-    def take(self, received: CacheEvents) -> CacheNews:
+    def advance(self, received: CacheEvents) -> CacheChanges:
         """Return the new events of a response, and advance the position."""
         # Lower sequence numbers than the known ones mean that the target has
         # restarted, with an empty cache.
-        anew = not self.next_seq or received.next_seq < self.next_seq
-        since = 0 if anew else self.next_seq
+        reset = not self.next_seq or received.next_seq < self.next_seq
+        since = 0 if reset else self.next_seq
         fresh = tuple(event for event in received.events if event.seq >= since)
-        missing = 0 if anew else received.next_seq - since - len(fresh)
+        missing = 0 if reset else received.next_seq - since - len(fresh)
         self.next_seq = received.next_seq
         self.gaps += missing > 0
-        return CacheNews(fresh, max(0, missing), anew)
+        return CacheChanges(fresh, max(0, missing), reset)
--- a/src/balsamreach/targets/cache_follower.py
+++ b/src/balsamreach/targets/cache_follower.py
@@ -8,7 +8,7 @@
 from balsamreach.clock import Clock
 from balsamreach.config.settings import Settings
 from balsamreach.table.rows import ENGINE
-from balsamreach.targets.cache_feed import CacheNews
+from balsamreach.targets.cache_feed import CacheChanges
 from balsamreach.targets.client import CacheEvents, TargetClient
 from balsamreach.targets.registry import Target, Targets
 from balsamreach.telemetry.metrics import Metrics
@@ -18,7 +18,7 @@
 _MAX_ROUND_S = 30
 
 #: Called with a target's name and the changes of its cache.
-CacheWatcher = Callable[[str, CacheNews], None]
+CacheWatcher = Callable[[str, CacheChanges], None]
 
 
 @attrs.define(eq=False)
@@ -70,7 +70,7 @@
             # The response may be of the earlier incarnation, whose cache is
             # gone.
             return
-        changes = feed.take(received)
+        changes = feed.advance(received)
         if changes.missing:
             self.metrics.count('balsamreach_cache_event_gaps_total')
         for watcher in self.watchers:
--- a/src/balsamreach/targets/health.py
+++ b/src/balsamreach/targets/health.py
@@ -55,7 +55,7 @@
             return
         target.failures = 0
         target.suspended_until = 0
-        target.warm_from = self.clock.now()
+        target.warm_up_started = self.clock.now()
         _log(target, logging.INFO, 'target_recovered')
 
 
--- a/src/balsamreach/targets/host_follower.py
+++ b/src/balsamreach/targets/host_follower.py
@@ -9,7 +9,7 @@
 from balsamreach.peers.base import PeerNet
 from balsamreach.services.base import HostEntry, HostList
 from balsamreach.services.faults import PlatformFault
-from balsamreach.targets.marks import Marks
+from balsamreach.targets.leaving_marks import LeavingMarks
 from balsamreach.telemetry.logs import log_event
 
 _HOME_KEY = 'host-list'
@@ -24,7 +24,7 @@
     ----------
     hosts : HostList
         The platform's host list.
-    marks : Marks
+    marks : LeavingMarks
         Sets leaving marks.
     net : PeerNet
         Chooses the responsible router.
@@ -34,7 +34,7 @@
 
     cfg: Settings
     hosts: HostList
-    marks: Marks
+    marks: LeavingMarks
     net: PeerNet
     clock: Clock
     latest: tuple[HostEntry, ...] = ()
--- a/src/balsamreach/targets/marks.py
+++ b/src/balsamreach/targets/leaving_marks.py
@@ -24,7 +24,7 @@
 
 
 @attrs.define(eq=False)
-class Marks:
+class LeavingMarks:
     """Marks incarnations of targets as leaving and informs peers at once.
 
     Parameters
@@ -68,7 +68,7 @@
                 incarnation = leaving[target.row.address]
                 self.mark(target, incarnation, FROM_HOST_LIST)
 
-    def catch_up(self) -> None:
+    def send_to_new_neighbours(self) -> None:
         """Send all marks to new neighbours.
 
         A router that restarts while the host list is outdated and the
@@ -88,16 +88,16 @@
             return InFlight(mark.target, 0, closed=False)
         if self._apply(target, mark.incarnation, FROM_PEER):
             self.net.spread(mark, besides=member.incarnation)
-        return self.count(target, mark.incarnation)
+        return self.requests_in_flight(target, mark.incarnation)
 
     async def receive_ask(self, member: Member, ask: InFlightAsk) -> InFlight:
         """Reply with the requests in flight at a target."""
         target = self.targets.by_name.get(ask.target)
         if target is None:
             return InFlight(ask.target, 0, closed=False)
-        return self.count(target, target.report.incarnation)
+        return self.requests_in_flight(target, target.report.incarnation)
 
-    def count(self, target: Target, incarnation: str) -> InFlight:
+    def requests_in_flight(self, target: Target, incarnation: str) -> InFlight:
         """Return this router's requests at a host, and whether it is closed.
 
         Closed means that this router sends no more requests to the host. That
@@ -135,5 +135,5 @@
         return True
 
     def _send_all(self, peer: str, target: Target) -> None:
-        for incarnation in target.left:
+        for incarnation in target.leaving_incarnations:
             self.net.tell(peer, TargetMark(target.name, incarnation))
--- a/src/balsamreach/targets/poller.py
+++ b/src/balsamreach/targets/poller.py
@@ -10,7 +10,7 @@
 from balsamreach.targets.client import TargetClient
 from balsamreach.targets.faults import UNHEALTHY, TargetFault
 from balsamreach.targets.health import Health
-from balsamreach.targets.marks import FROM_TARGET, Marks
+from balsamreach.targets.leaving_marks import FROM_TARGET, LeavingMarks
 from balsamreach.targets.registry import Target
 from balsamreach.targets.report_sharing import REPORTS_TOTAL, ReportSharing
 from balsamreach.targets.reports import LoadReport
@@ -41,7 +41,7 @@
     client: TargetClient
     clock: Clock
     health: Health
-    marks: Marks
+    marks: LeavingMarks
     metrics: Metrics
     sharing: ReportSharing
 
@@ -64,7 +64,7 @@
         """Poll in rounds, until cancelled."""
         while True:
             await self.poll_once()
-            self.parts.marks.catch_up()
+            self.parts.marks.send_to_new_neighbours()
             await self.parts.clock.sleep(self.round_interval())
 
     def round_interval(self) -> float:
@@ -104,7 +104,7 @@
         due = [target for target in self._all() if self._is_due(target, now)]
         self.parts.sharing.to_poll.clear()
         for target in due:
-            target.used = False
+            target.used_since_poll = False
             local = self._is_local(target)
             if self._is_home(target) and (local or target.marked):
                 self._unshared[target.name] = target
@@ -166,7 +166,9 @@
             return False
         if target.hold is not None and target.hold.down:
             return False
-        unknown = bool(target.left) and not target.report.incarnation
+        unknown = (
+            bool(target.leaving_incarnations) and not target.report.incarnation
+        )
         to_confirm = target.name in self.parts.sharing.to_poll
         if target.failures or unknown or to_confirm:
             return True
@@ -178,8 +180,8 @@
         # it has restarted, and this zone would never use it again.
         local = self._is_local(target)
         if local or (target.marked and self._is_home(target)):
-            return now - target.report.taken_at > cfg.report_age
-        return target.in_flight > 0 or target.used
+            return now - target.report.valid_at > cfg.report_age
+        return target.in_flight > 0 or target.used_since_poll
 
     async def _ask(
         self,
@@ -198,7 +200,7 @@
             # send requests.
             self.parts.marks.mark(target, report.incarnation, FROM_TARGET)
         now = self.parts.clock.now()
-        if not target.take_report(report, now):
+        if not target.apply_report(report, now):
             self.parts.metrics.count('balsamreach_target_late_reports_total')
             return
         self.parts.metrics.count(REPORTS_TOTAL, source='own')
--- a/src/balsamreach/targets/holds.py
+++ b/src/balsamreach/targets/power_holds.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class Hold:
+class PowerHold:
     """The state of a host that is not simply on.
 
     Parameters
--- a/src/balsamreach/targets/registry.py
+++ b/src/balsamreach/targets/registry.py
@@ -6,7 +6,7 @@
 
 from balsamreach.table.rows import ACTIVE, TargetRow
 from balsamreach.targets.cache_feed import CacheFeed
-from balsamreach.targets.holds import LEAVING_STATES, UNREAD, Hold
+from balsamreach.targets.power_holds import LEAVING_STATES, UNREAD, PowerHold
 from balsamreach.targets.reports import LoadReport
 
 _MIN_SHARE = 0.1
@@ -46,21 +46,21 @@
         Monotonic seconds at which its warm-up began.
     warm_time : float
         Duration of the warm-up, in seconds.
-    hold : Hold or None
+    hold : PowerHold or None
         Restriction by the power row of its host; None if it has none.
     """
 
     row: TargetRow
     in_flight: int = 0
     report: LoadReport = _NO_REPORT
-    left: Set[str] = _NO_INCARNATIONS
+    leaving_incarnations: Set[str] = _NO_INCARNATIONS
     suspended_until: float = 0
     retry_at: float = 0
     failures: int = 0
-    warm_from: float = float('-inf')
+    warm_up_started: float = float('-inf')
     warm_time: float = _WARM_TIME
-    hold: Hold | None = None
-    used: bool = False
+    hold: PowerHold | None = None
+    used_since_poll: bool = False
     _cache: CacheFeed | None = None
     _past_incarnations: tuple[str, ...] = ()
 
@@ -90,16 +90,19 @@
             # With marks but no report yet, this router, which may have just
             # restarted, can't tell which incarnation runs there. Any mark
             # counts until the first report, which is about a second away.
-            return self.report.leaving or bool(self.left)
-        return self.report.leaving or self.report.incarnation in self.left
+            return self.report.leaving or bool(self.leaving_incarnations)
+        return (
+            self.report.leaving
+            or self.report.incarnation in self.leaving_incarnations
+        )
 
     def mark_leaving(self, incarnation: str) -> bool:
         """Mark an incarnation as leaving; return whether the mark is new."""
-        if not incarnation or incarnation in self.left:
+        if not incarnation or incarnation in self.leaving_incarnations:
             return False
-        self.left |= {incarnation}
-        if len(self.left) > 2 * _MAX_PAST:
-            self.left &= {
+        self.leaving_incarnations |= {incarnation}
+        if len(self.leaving_incarnations) > 2 * _MAX_PAST:
+            self.leaving_incarnations &= {
                 self.report.incarnation,
                 incarnation,
                 *self._past_incarnations,
@@ -109,15 +112,15 @@
     def is_closed_for(self, incarnation: str) -> bool:
         """Return whether an incarnation gets no more requests from here."""
         is_known = self.report.incarnation == incarnation
-        return is_known and incarnation in self.left
+        return is_known and incarnation in self.leaving_incarnations
 
-    def apply_hold(self, hold: Hold | None) -> None:
+    def apply_hold(self, hold: PowerHold | None) -> None:
         """Apply the restriction by the power row of the host."""
         self.hold = hold
         if hold is not None and hold.state in LEAVING_STATES:
             self.mark_leaving(hold.incarnation)
 
-    def take_report(self, report: LoadReport, now: float) -> bool:
+    def apply_report(self, report: LoadReport, now: float) -> bool:
         """Apply a report; return False if it is outdated.
 
         A late report of an earlier incarnation, for example from a peer that
@@ -130,7 +133,7 @@
             return False
         if report.incarnation != known.incarnation:
             self._start_incarnation(known.incarnation, now)
-        elif report.taken_at < known.taken_at:
+        elif report.valid_at < known.valid_at:
             return False
         self.report = report
         if report.leaving:
@@ -145,7 +148,7 @@
         """Return the share of its capacity that may be used, at most 1."""
         if self.warm_time <= 0:
             return 1
-        share = (now - self.warm_from) / self.warm_time
+        share = (now - self.warm_up_started) / self.warm_time
         return min(1, max(_MIN_SHARE, share))
 
     def _start_incarnation(self, incarnation: str, now: float) -> None:
@@ -158,7 +161,7 @@
         # show how long the target has been running.
         held = self.hold is not None and self.hold.state != UNREAD
         if incarnation or held:
-            self.warm_from = now
+            self.warm_up_started = now
         if self._cache is not None:
             self._cache.restart()
 
@@ -185,21 +188,21 @@
     warm_time: float = _WARM_TIME
     watchers: list[Watcher] = attrs.field(factory=list)
     _retired: list[Target] = attrs.field(factory=list)
-    _holds: dict[str, Hold] = attrs.field(factory=dict)
-    _default_hold: Hold | None = None
+    _holds: dict[str, PowerHold] = attrs.field(factory=dict)
+    _default_hold: PowerHold | None = None
 
     def hold_all(self) -> None:
         """Withhold requests from all targets until ``release`` is called."""
-        self._default_hold = Hold(UNREAD)
+        self._default_hold = PowerHold(UNREAD)
         self.apply_holds({})
 
-    def release(self, holds: dict[str, Hold]) -> None:
+    def release(self, holds: dict[str, PowerHold]) -> None:
         """Stop withholding requests, except from targets in ``holds``."""
         if self._default_hold is not None:
             self._default_hold = None
             self.apply_holds(holds)
 
-    def apply_holds(self, holds: dict[str, Hold]) -> None:
+    def apply_holds(self, holds: dict[str, PowerHold]) -> None:
         """Apply the restrictions by power rows, by target name."""
         self._holds = holds
         for target in self.by_name.values():
@@ -224,7 +227,7 @@
                     watcher(before, target)
         self._drop_retired()
 
-    def among(self, rows: Iterable[TargetRow]) -> Iterator[Target]:
+    def usable(self, rows: Iterable[TargetRow]) -> Iterator[Target]:
         """Yield the targets of some rows that may get new requests."""
         for row in rows:
             target = self.by_name.get(row.name)
@@ -281,6 +284,6 @@
         # bring requests back to an incarnation that leaves or backs off.
         for old in self._retired:
             if old.row.address == row.address:
-                made.left |= old.left
+                made.leaving_incarnations |= old.leaving_incarnations
                 made.retry_at = max(made.retry_at, old.retry_at)
         return made
--- a/src/balsamreach/targets/report_sharing.py
+++ b/src/balsamreach/targets/report_sharing.py
@@ -71,9 +71,9 @@
             queued=load.queued,
             slots=load.slots,
             leaving=load.leaving or target.report.leaving,
-            taken_at=now - max(0, load.age),
+            valid_at=now - max(0, load.age),
         )
-        if target.take_report(report, now):
+        if target.apply_report(report, now):
             self.metrics.count(REPORTS_TOTAL, source='peer')
 
 
@@ -87,6 +87,6 @@
         queued=report.queued,
         slots=report.slots,
         leaving=report.leaving,
-        age=now - report.taken_at,
+        age=now - report.valid_at,
         reachable=not target.failures,
     )
--- a/src/balsamreach/targets/reports.py
+++ b/src/balsamreach/targets/reports.py
@@ -21,7 +21,7 @@
         Incarnation of the target that reports; empty if it gives none.
     leaving : bool
         Whether the target says that it is leaving.
-    taken_at : float
+    valid_at : float
         Monotonic seconds at which the report was valid.
     models : tuple of str
         Models and adapters that it has loaded.
@@ -32,7 +32,7 @@
     slots: int = 0
     incarnation: str = ''
     leaving: bool = False
-    taken_at: float = 0
+    valid_at: float = 0
     models: tuple[str, ...] = ()
 
     @property
@@ -70,7 +70,7 @@
             slots=max(0, int(body.get('slots', 0))),
             incarnation=str(body.get('incarnation', '')),
             leaving=bool(body.get('leaving', False)),
-            taken_at=asked_at - max(0, float(body.get('age_s', 0))),
+            valid_at=asked_at - max(0, float(body.get('age_s', 0))),
             models=tuple(map(str, body.get('models') or ())),
         )
     except (KeyError, TypeError, ValueError) as exc:
--- a/src/balsamreach/targets/watch.py
+++ b/src/balsamreach/targets/watch.py
@@ -14,7 +14,7 @@
 from balsamreach.targets.client import TargetClient
 from balsamreach.targets.health import Health
 from balsamreach.targets.host_follower import HostFollower
-from balsamreach.targets.marks import Marks
+from balsamreach.targets.leaving_marks import LeavingMarks
 from balsamreach.targets.poller import LoadPoller, PollerParts
 from balsamreach.targets.registry import Targets
 from balsamreach.targets.report_sharing import ReportSharing
@@ -41,9 +41,9 @@
 
     Parameters
     ----------
-    marks : Marks
+    marks : LeavingMarks
         Sets leaving marks.
-    loads : LoadPoller
+    poller : LoadPoller
         Polls load reports and checks health.
     cache : CacheFollower
         Requests cache events.
@@ -53,8 +53,8 @@
         Applies what targets announce in response headers.
     """
 
-    marks: Marks
-    loads: LoadPoller
+    marks: LeavingMarks
+    poller: LoadPoller
     cache: CacheFollower
     hosts: HostFollower
     announcements: Announcements
@@ -62,7 +62,7 @@
     async def run(self) -> None:
         """Run all watchers until cancelled."""
         await asyncio.gather(
-            self.loads.run(),
+            self.poller.run(),
             self.cache.run(),
             self.hosts.run(),
         )
@@ -72,8 +72,8 @@
     """Return the watchers of one set of targets."""
     cfg, targets, net = parts.cfg, parts.targets, parts.net
     clock, metrics = parts.clock, parts.metrics
-    marks = Marks(targets, net, metrics)
-    loads = LoadPoller(
+    marks = LeavingMarks(targets, net, metrics)
+    poller = LoadPoller(
         PollerParts(
             cfg=cfg,
             client=parts.client,
@@ -84,11 +84,11 @@
             sharing=ReportSharing(targets, net, clock, metrics),
         ),
     )
-    announcements = Announcements(marks, loads, clock, metrics)
+    announcements = Announcements(marks, poller, clock, metrics)
     parts.client.on_head = announcements.take_by_address
     return TargetWatch(
         marks=marks,
-        loads=loads,
+        poller=poller,
         cache=CacheFollower(cfg, targets, parts.client, clock, metrics),
         hosts=HostFollower(cfg, parts.hosts, marks, net, clock),
         announcements=announcements,
--- a/tests/fake_targets.py
+++ b/tests/fake_targets.py
@@ -66,9 +66,9 @@
     honours_fences: bool = False
     checks_incarnation: bool = True
     obeys_leave: bool = True
-    blind: bool = False
+    reports_idle: bool = False
     fence: int = 0
-    cut: int = 0
+    aborted_requests: int = 0
     orders: list[Order] = attrs.field(factory=list)
 
     @property
@@ -84,7 +84,7 @@
             self.running = 0
             self.queued = 0
         if not on:
-            self.cut += self.running + self.queued
+            self.aborted_requests += self.running + self.queued
             self.running = 0
             self.queued = 0
         self.up = on
@@ -135,12 +135,12 @@
         if address in self.stale and not fresh:
             return NO_ANSWER
         return LoadReport(
-            running=0 if host.blind else host.running,
-            queued=0 if host.blind else host.queued,
+            running=0 if host.reports_idle else host.running,
+            queued=0 if host.reports_idle else host.queued,
             slots=host.slots,
             incarnation=host.incarnation,
             leaving=host.leaving,
-            taken_at=self.clock.now(),
+            valid_at=self.clock.now(),
             models=host.models,
         )
 
--- a/tests/power_world.py
+++ b/tests/power_world.py
@@ -176,14 +176,14 @@
     async def poll_all(self) -> None:
         """Poll every target from this router."""
         for target in tuple(self.targets.by_name.values()):
-            await self.watch.loads.poll(target)
+            await self.watch.poller.poll(target)
 
 
 @attrs.define(eq=False)
 class World:
     """Simulated routers and the hosts of one service in one zone.
 
-    ``cut`` counts requests that ended because a host was switched off.
+    ``aborted_requests`` counts requests that a power-off ended.
     """
 
     count: int = 6
@@ -227,9 +227,9 @@
         return list(self.client.hosts.values())
 
     @property
-    def cut(self) -> int:
+    def aborted_requests(self) -> int:
         """Number of requests cut by switching a host off."""
-        return sum(host.cut for host in self.hosts)
+        return sum(host.aborted_requests for host in self.hosts)
 
     def add_router(self, name: str, zone: str = ZONE) -> RouterNode:
         """Start a router."""
@@ -272,8 +272,8 @@
         """Let all routers poll targets and power rows once."""
         for router in self._running_routers():
             await router.power.follower.update_once()
-            await router.watch.loads.poll_once()
-            router.watch.marks.catch_up()
+            await router.watch.poller.poll_once()
+            router.watch.marks.send_to_new_neighbours()
         await self.net.settle()
 
     async def round(self, seconds: float = 5) -> None:
@@ -300,7 +300,7 @@
         """Send one request to a target that the router would choose."""
         available = [
             target
-            for target in router.targets.among(self.rows)
+            for target in router.targets.usable(self.rows)
             if target.suspended_until <= self.clock.now()
         ]
         if not available:
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -9,21 +9,21 @@
 from balsamreach.daemon.placing_parts import make_chooser, make_notices
 from balsamreach.placement.evacuations import Evacuations
 from balsamreach.platform.requests import PlatformCodec
+from balsamreach.relay.attempt_results import AttemptClassifier
+from balsamreach.relay.attempts import RelayAttemptParts
 from balsamreach.relay.call import RelayCall
 from balsamreach.relay.chooser import Chooser
 from balsamreach.relay.host_link import HostLink
-from balsamreach.relay.journal import RequestLog
-from balsamreach.relay.repeats import Repeats
+from balsamreach.relay.quarantine import make_quarantine
+from balsamreach.relay.request_log import RequestLog
+from balsamreach.relay.retry_budget import RelayRetryBudget
 from balsamreach.relay.retry_jitter import RetryJitter
-from balsamreach.relay.run import RelayRun, RunParts
+from balsamreach.relay.run import RelayRun, RelayRunParts
 from balsamreach.relay.spending import Spending, UnmeteredSpending
-from balsamreach.relay.suspects import make_suspects
-from balsamreach.relay.tries import TryParts
-from balsamreach.relay.verdicts import Judge
 from balsamreach.telemetry.metrics import Metrics
 from tests.fake_net import FakeNet
 from tests.relay_samples import CATALOGUE, DESK, ENGINES, entry
-from tests.relay_scripts import RecordingOutlet, Script, ScriptedExchange
+from tests.relay_scripts import RecordingResponse, Script, ScriptedExchange
 from tests.support import FakeClock
 
 
@@ -38,9 +38,9 @@
     view: CatalogueView = attrs.field(factory=CatalogueView)
     evacuations: Evacuations = attrs.field(init=False)
     chooser: Chooser = attrs.field(init=False)
-    repeats: Repeats = attrs.field(init=False)
+    retry_budget: RelayRetryBudget = attrs.field(init=False)
     link: HostLink = attrs.field(init=False)
-    parts: RunParts = attrs.field(init=False)
+    parts: RelayRunParts = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Create the parts, with two targets of each service."""
@@ -57,16 +57,16 @@
             for number in (1, 2):
                 new = entry(f'{service}-{number}', service)
                 self.chooser.places.put(new)
-        suspects = make_suspects(2, self.clock, self.metrics)
-        self.repeats = Repeats(1, 16, 10, self.clock, int)
+        quarantine = make_quarantine(2, self.clock, self.metrics)
+        self.retry_budget = RelayRetryBudget(1, 16, 10, self.clock, int)
         self.link = HostLink(0, self.clock)
         codec = PlatformCodec(random.Random(1))
-        tries = TryParts(
+        attempt_parts = RelayAttemptParts(
             codec=codec,
             chooser=self.chooser,
             exchange=self.exchange,
-            repeats=self.repeats,
-            judge=Judge(self.chooser, suspects),
+            retry_budget=self.retry_budget,
+            classifier=AttemptClassifier(self.chooser, quarantine),
             notices=make_notices(
                 self.chooser.places,
                 self.clock,
@@ -76,20 +76,20 @@
             link=self.link,
             stream_gap=2,
         )
-        self.parts = RunParts(
+        self.parts = RelayRunParts(
             codec=codec,
             spending=self.spending,
-            suspects=suspects,
+            quarantine=quarantine,
             link=self.link,
-            tries=tries,
+            attempt_parts=attempt_parts,
             clock=self.clock,
             log=RequestLog(self.clock, self.metrics),
-            returns=RetryJitter(random.Random(1)),
+            retry_jitter=RetryJitter(random.Random(1)),
         )
 
-    def run(self, call: RelayCall, *scripts: Script) -> RecordingOutlet:
+    def run(self, call: RelayCall, *scripts: Script) -> RecordingResponse:
         """Process one request, and return the caller's response."""
         self.exchange.scripts = list(scripts)
-        outlet = RecordingOutlet()
-        asyncio.run(RelayRun(self.parts, call, outlet).run())
-        return outlet
+        caller_response = RecordingResponse()
+        asyncio.run(RelayRun(self.parts, call, caller_response).run())
+        return caller_response
--- a/tests/relay_samples.py
+++ b/tests/relay_samples.py
@@ -10,8 +10,8 @@
     Split,
     Team,
 )
-from balsamreach.placement.places import TargetEntry
 from balsamreach.placement.prompts import Part, Prompt
+from balsamreach.placement.relay_targets import TargetEntry
 from balsamreach.relay.call import RelayCall
 from tests.support import FakeClock
 
@@ -93,7 +93,7 @@
         prompt = Prompt(
             model='m',
             tokens=100,
-            most_output=50,
+            max_output_tokens=50,
             parts=(Part('a', 60), Part('b', 40)),
         )
     return RelayCall(
--- a/tests/relay_scripts.py
+++ b/tests/relay_scripts.py
@@ -1,4 +1,4 @@
-"""Scripted targets and a recording outlet for tests of the relay."""
+"""Scripted targets and a recording response for tests of the relay."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,8 +6,8 @@
 import attrs
 
 from balsamreach.dispatch.upstream import Intake, UpstreamFault
+from balsamreach.relay.caller_response import CallerResponse
 from balsamreach.relay.exchange import Exchange, Outgoing
-from balsamreach.relay.outlet import Outlet
 from tests.relay_samples import SIGNED
 
 #: What a target does with an attempt.
@@ -90,7 +90,7 @@
         return self.scripts.pop(0)(outgoing, intake)
 
 
-class RecordingOutlet(Outlet):
+class RecordingResponse(CallerResponse):
     """Records the response that a caller gets."""
 
     def __init__(self) -> None:
@@ -102,7 +102,7 @@
         self.aborted = False
 
     @property
-    def full(self) -> bool:
+    def should_pause(self) -> bool:
         """Always False: the caller is never slow."""
         return False
 
--- a/tests/test_catalogue_exchange.py
+++ b/tests/test_catalogue_exchange.py
@@ -12,7 +12,7 @@
 from balsamreach.catalogue.known import Known
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.placement.evacuations import Evacuation, Evacuations
-from balsamreach.placement.places import Places
+from balsamreach.placement.relay_targets import RelayTargets
 from balsamreach.telemetry.metrics import Metrics
 from balsamreach.wire.membership import Heartbeat
 from balsamreach.wire.tables import TableAsk, TableRows
@@ -32,7 +32,9 @@
     net: object
     clock: VirtualClock
     view: CatalogueView = attrs.field(factory=CatalogueView)
-    places: Places = attrs.field(factory=lambda: Places(random.Random(1)))
+    places: RelayTargets = attrs.field(
+        factory=lambda: RelayTargets(random.Random(1))
+    )
     evacuations: Evacuations = attrs.field(init=False)
     exchange: CatalogueExchange = attrs.field(init=False)
 
--- a/tests/test_dispatch_crashes.py
+++ b/tests/test_dispatch_crashes.py
@@ -87,9 +87,9 @@
             crashed = target.name in self.engines.crashed
             incarnation = start if crashed else 'first'
             report = LoadReport(
-                incarnation=incarnation, taken_at=self.clock.now()
+                incarnation=incarnation, valid_at=self.clock.now()
             )
-            target.take_report(report, self.clock.now())
+            target.apply_report(report, self.clock.now())
 
     def quarantine(self, router):
         """Return a router's quarantine."""
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -13,10 +13,10 @@
 from balsamreach.dispatch.upstream import BROKEN, NOT_SENT, SILENT
 from balsamreach.gateway.relay_curl import RelayCurl
 from balsamreach.gateway.relay_server import RelayServer
-from balsamreach.placement.places import TargetEntry
+from balsamreach.placement.relay_targets import TargetEntry
 from balsamreach.platform.requests import PlatformCodec
 from balsamreach.relay.exchange import Outgoing
-from balsamreach.relay.intakes import AnswerIntake
+from balsamreach.relay.response_intakes import AnswerIntake
 from tests.relay_samples import REQUEST
 
 _GET = b'GET /a HTTP/1.1\r\nHost: x\r\n\r\n'
@@ -29,16 +29,16 @@
     return stream
 
 
-def _whole(outlet):
-    outlet.start(200, [('Content-Length', '2')])
-    outlet.write(b'ok')
-    outlet.finish()
+def _whole(caller_response):
+    caller_response.start(200, [('Content-Length', '2')])
+    caller_response.write(b'ok')
+    caller_response.finish()
 
 
-def _half(outlet):
-    outlet.start(200, [])
-    outlet.write(b'half')
-    outlet.abort()
+def _half(caller_response):
+    caller_response.start(200, [])
+    caller_response.write(b'half')
+    caller_response.abort()
 
 
 class RelayServerTest(AsyncTestCase):
@@ -60,12 +60,12 @@
         self.http.stop()
         super().tearDown()
 
-    async def answer(self, request, outlet):
+    async def answer(self, request, caller_response):
         self.seen.append(request)
         self.begun.set()
         if self.work is None:
             await self.wait()
-        self.work(outlet)
+        self.work(caller_response)
 
     async def wait(self):
         try:
@@ -259,9 +259,9 @@
         self.serve(one + one, two, two)
         _end, first = await self.send()
         end, second = await self.send()
-        self.assertEqual(bytes(first.held), b'one')
+        self.assertEqual(bytes(first.body), b'one')
         self.assertIsNone(end)
-        self.assertEqual(bytes(second.held), b'two')
+        self.assertEqual(bytes(second.body), b'two')
 
     @gen_test
     async def test_time_to_come_back_that_is_given_twice(self):
@@ -299,7 +299,7 @@
     @gen_test
     async def test_a_target_that_says_nothing(self):
         self.serve(b'', b'')
-        end, intake = await self.send(gap=0.05)
+        end, intake = await self.send(silence_timeout=0.05)
         self.assertEqual(end, SILENT)
         self.assertTrue(intake.sent)
 
@@ -313,5 +313,5 @@
         empty = b'HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n'
         self.serve(empty, empty)
         await self.send()
-        await self.send(fresh=True)
+        await self.send(new_connection=True)
         self.assertEqual(self.target.connections, 2)
--- a/tests/test_placement_engines.py
+++ b/tests/test_placement_engines.py
@@ -7,8 +7,8 @@
 from parameterized import parameterized
 
 from balsamreach.placement.engines import EngineChooser
-from balsamreach.placement.places import Places
 from balsamreach.placement.prompts import CacheEstimate, Part, Prompt
+from balsamreach.placement.relay_targets import RelayTargets
 from tests.relay_samples import ENGINES, entry
 
 _ENGINES = 6
@@ -17,7 +17,7 @@
 
 
 def _places():
-    places = Places(random.Random(1))
+    places = RelayTargets(random.Random(1))
     for number in range(_ENGINES):
         places.put(entry(f'engine-{number}', ENGINES, zone=f'z{number % 2}'))
     return places
@@ -27,7 +27,7 @@
     return Prompt(
         model='m',
         tokens=500 + shared + own,
-        most_output=300,
+        max_output_tokens=300,
         parts=(
             Part('system', 500),
             Part(part, shared),
--- a/tests/test_placement_evacuations.py
+++ b/tests/test_placement_evacuations.py
@@ -61,14 +61,14 @@
         """
         self.put(5)
         self.put(6, zone='zone-b')
-        ended = self.known.lift_besides({'zone-b'}, 20, 'test')
+        ended = self.known.end_missing({'zone-b'}, 20, 'test')
         self.assertEqual([order.zone for order in ended], ['zone-a'])
         self.assertFalse(self.known.covers('zone-a'))
         self.assertTrue(self.known.covers('zone-b'))
 
     def test_complete_list_older_than_order(self):
         self.put(25)
-        self.assertEqual(self.known.lift_besides(set(), 20, 'test'), ())
+        self.assertEqual(self.known.end_missing(set(), 20, 'test'), ())
         self.assertTrue(self.known.covers('zone-a'))
 
     def test_lifted_at(self):
--- a/tests/test_placement_notices.py
+++ b/tests/test_placement_notices.py
@@ -4,7 +4,7 @@
 import unittest
 
 from balsamreach.placement.notices import Notices, TargetNotice
-from balsamreach.placement.places import Places
+from balsamreach.placement.relay_targets import RelayTargets
 from balsamreach.telemetry.metrics import Metrics
 from tests.relay_samples import entry
 from tests.support import FakeClock
@@ -15,7 +15,7 @@
 
     def setUp(self):
         self.clock = FakeClock()
-        self.places = Places(random.Random(1))
+        self.places = RelayTargets(random.Random(1))
         self.announced = []
         self.notices = Notices(
             self.places,
--- a/tests/test_placement_places.py
+++ b/tests/test_placement_places.py
@@ -5,8 +5,8 @@
 
 from parameterized import parameterized
 
-from balsamreach.placement.places import Places
 from balsamreach.placement.prompts import CacheEstimate
+from balsamreach.placement.relay_targets import RelayTargets
 from tests.relay_samples import entry
 
 
@@ -14,7 +14,7 @@
     """Entries of targets arrive from several sources and out of order."""
 
     def setUp(self):
-        self.places = Places(random.Random(1))
+        self.places = RelayTargets(random.Random(1))
         self.put('one', version=5)
 
     def put(self, name, **fields):
@@ -132,10 +132,12 @@
     def test_missing_from_incomplete_list(self):
         self.put('two', version=6)
         self.put('later', version=10)
-        self.places.miss(self.places.besides({'two'}, 9), gone_at=103)
-        self.assertEqual(self.places.expire(102), ())
+        self.places.mark_missing(
+            self.places.missing_from({'two'}, 9), gone_at=103
+        )
+        self.assertEqual(self.places.remove_expired(102), ())
         self.assertEqual(len(self.places.of_service('desk')), 3)
-        self.assertEqual(self.places.expire(103), ('one',))
+        self.assertEqual(self.places.remove_expired(103), ('one',))
 
     @parameterized.expand((('same', 5, ('one',)), ('later', 6, ())))
     def test_entry_of_missing_target(self, _, version, gone):
@@ -145,6 +147,6 @@
         moment; a peer that has not seen this sends all entries it knows. If
         any entry counted as a return, the target would stay for ever.
         """
-        self.places.miss({'one'}, gone_at=103)
+        self.places.mark_missing({'one'}, gone_at=103)
         self.put('one', version=version)
-        self.assertEqual(self.places.expire(200), gone)
+        self.assertEqual(self.places.remove_expired(200), gone)
--- a/tests/test_placement_sharing.py
+++ b/tests/test_placement_sharing.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from balsamreach.placement.places import Places
+from balsamreach.placement.relay_targets import RelayTargets
 from balsamreach.placement.sharing import LoadSharing
 from balsamreach.wire.loads import TargetLoads
 from tests.fake_net import FakeNet
@@ -21,7 +21,7 @@
         self.two = self.join('two')
 
     def join(self, name):
-        places = Places(random.Random(1))
+        places = RelayTargets(random.Random(1))
         places.put(entry('engine', ENGINES))
         sharing = LoadSharing(self.net.join(name), places, self.clock)
         sharing.start()
@@ -65,22 +65,22 @@
         """
         self.place(self.one).running = 1
         self.place(self.one).unread = 20_000
-        self.one.sent(20_000)
+        self.one.on_request_sent(20_000)
         await self.net.settle()
         self.assertEqual(self.place(self.two).queued, 20_000)
         # More of them at once cause no more messages than a round would.
         for number in range(2, 40):
             self.place(self.one).unread = 20_000 * number
-            self.one.sent(20_000)
+            self.one.on_request_sent(20_000)
         self.assertEqual(len(self.reports()), 1)
         self.clock.advance(0.02)
-        self.one.sent(20_000)
+        self.one.on_request_sent(20_000)
         self.assertEqual(len(self.reports()), 2)
 
     async def test_short_prompt_is_reported_in_next_round(self):
         self.place(self.one).running = 1
         self.place(self.one).unread = 3000
-        self.one.sent(3000)
+        self.one.on_request_sent(3000)
         self.assertEqual(self.reports(), [])
 
     def reports(self):
--- a/tests/test_placement_warming.py
+++ b/tests/test_placement_warming.py
@@ -8,9 +8,9 @@
 from parameterized import parameterized
 
 from balsamreach.catalogue.entries import Service
+from balsamreach.placement.cold_targets import MAX_SENDERS, ColdTargetLimiter
 from balsamreach.placement.evacuations import Evacuation, Evacuations
-from balsamreach.placement.places import Place
-from balsamreach.placement.warming import MAX_SENDERS, Warming
+from balsamreach.placement.relay_targets import RelayTarget
 from balsamreach.wire.membership import Member
 from tests.relay_samples import entry
 from tests.support import FakeClock
@@ -41,11 +41,11 @@
     clock: FakeClock
     known: list
     places: list
-    warming: Warming = attrs.field(init=False)
+    cold_targets: ColdTargetLimiter = attrs.field(init=False)
 
     def __attrs_post_init__(self):
         """Create the limiter that is tested."""
-        self.warming = Warming(
+        self.cold_targets = ColdTargetLimiter(
             lambda: self.member.address,
             lambda: self.known,
             Evacuations(self.clock),
@@ -55,7 +55,9 @@
     def usable(self):
         """Return the targets that the router may send to."""
         return [
-            place for place in self.places if self.warming.allows(place, _COLD)
+            place
+            for place in self.places
+            if self.cold_targets.allows(place, _COLD)
         ]
 
 
@@ -75,7 +77,7 @@
 
     def start(self, member, known=None):
         places = [
-            Place(
+            RelayTarget(
                 entry(
                     f'target-{number}',
                     'engines',
@@ -99,7 +101,7 @@
         if not usable:
             return
         place = self.rng.choice(usable)
-        router.warming.record_sent(place)
+        router.cold_targets.record_sent(place)
         self.record_arrival(router.places.index(place))
 
     def record_arrival(self, number):
@@ -212,7 +214,7 @@
         fleet.clock.advance(4)
         cold = [router.places[0] for router in fleet.routers]
         allowed = [
-            router.warming.allows(place, _COLD)
+            router.cold_targets.allows(place, _COLD)
             for router, place in zip(fleet.routers, cold, strict=True)
         ]
         self.assertEqual(sum(allowed), min(MAX_SENDERS, len(fleet.members)))
@@ -224,22 +226,24 @@
     def setUp(self):
         self.clock = FakeClock()
         self.evacuations = Evacuations(self.clock)
-        self.warming = Warming(str, tuple, self.evacuations, self.clock)
+        self.cold_targets = ColdTargetLimiter(
+            str, tuple, self.evacuations, self.clock
+        )
         self.clock.advance(10)
 
     def allows(self, place, service=_COLD):
-        return self.warming.allows(place, service)
+        return self.cold_targets.allows(place, service)
 
     def test_warm(self):
-        self.assertTrue(self.allows(Place(entry('one', 'engines'))))
+        self.assertTrue(self.allows(RelayTarget(entry('one', 'engines'))))
 
     def test_service_without_cold_rate(self):
-        place = Place(entry('one', 'engines', cold_for=3))
+        place = RelayTarget(entry('one', 'engines', cold_for=3))
         self.assertTrue(self.allows(place, Service(name='desk')))
         self.assertTrue(self.allows(place, None))
 
     def test_cold_for_its_time(self):
-        place = Place(entry('one', 'engines', cold_for=3))
+        place = RelayTarget(entry('one', 'engines', cold_for=3))
         self.assertFalse(self.allows(place))
         self.clock.advance(2.9)
         self.assertFalse(self.allows(place))
@@ -247,7 +251,7 @@
         self.assertTrue(self.allows(place))
 
     def test_cold_again_by_later_entry(self):
-        place = Place(entry('one', 'engines', version=5))
+        place = RelayTarget(entry('one', 'engines', version=5))
         self.assertTrue(self.allows(place))
         place.entry = attrs.evolve(place.entry, version=6, cold_for=3)
         self.assertFalse(self.allows(place))
@@ -258,7 +262,7 @@
         No further entry follows. If its cold time began again at each check,
         the target would get hardly any requests for good.
         """
-        place = Place(entry('one', 'engines', cold_for=3))
+        place = RelayTarget(entry('one', 'engines', cold_for=3))
         for _ in range(4):
             self.allows(place)
             self.clock.advance(1)
@@ -271,7 +275,7 @@
         a second after the zone is back. Taken for warm until then, all of
         them would crash.
         """
-        place = Place(entry('one', 'engines'))
+        place = RelayTarget(entry('one', 'engines'))
         self.put(5, in_force=True)
         self.put(6, in_force=False)
         self.assertFalse(self.allows(place))
--- a/tests/test_placement_windows.py
+++ b/tests/test_placement_windows.py
@@ -11,7 +11,7 @@
 
 from balsamreach.placement import notices, windows
 from balsamreach.placement.notices import TargetNotice
-from balsamreach.placement.places import Place
+from balsamreach.placement.relay_targets import RelayTarget
 from balsamreach.placement.restrictions import Window
 from tests import relay_samples
 from tests.relay_harness import RelayHarness
@@ -38,14 +38,16 @@
         )
     )
     def test_narrow(self, _, running, peak, limit, fast_until):
-        place = Place(entry('one', DESK), running=running, peak_running=peak)
+        place = RelayTarget(
+            entry('one', DESK), running=running, peak_running=peak
+        )
         window = windows.narrow(place, None, 3, 100)
         self.assertEqual(window.limit, limit)
         self.assertEqual(window.fast_until, fast_until)
 
     def test_target_that_rejected_everything(self):
         """A target that takes requests again is soon in full use."""
-        place = Place(entry('one', DESK), running=9, peak_running=20)
+        place = RelayTarget(entry('one', DESK), running=9, peak_running=20)
         window = windows.narrow(place, None, 3, 100)
         place.running = 1
         for now in (103, 106):
@@ -72,11 +74,11 @@
             for _ in range(4):
                 harness.chooser.begin(call, place)
             notice = TargetNotice(retry_after=3)
-            harness.parts.tries.notices.apply(place, notice)
+            harness.parts.attempt_parts.notices.apply(place, notice)
         harness.clock.advance(3)
-        outlet = harness.run(call)
-        self.assertEqual(outlet.status, 503)
-        self.assertIn(b'targets_full', outlet.body)
+        caller_response = harness.run(call)
+        self.assertEqual(caller_response.status, 503)
+        self.assertIn(b'targets_full', caller_response.body)
         first.running = 2
         self.assertIs(harness.chooser.choose(call, set()), first)
 
@@ -135,7 +137,7 @@
             return
         target = self.targets[place.entry.target_id]
         in_flight = router.chooser.begin(call, place)
-        target_notices = router.parts.tries.notices
+        target_notices = router.parts.attempt_parts.notices
         if target.running >= _SLOTS:
             target_notices.apply(place, TargetNotice(retry_after=_BACK_OFF_S))
             in_flight.end()
--- a/tests/test_placement_zone_loads.py
+++ b/tests/test_placement_zone_loads.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from balsamreach.placement.places import Places
+from balsamreach.placement.relay_targets import RelayTargets
 from balsamreach.placement.sharing import LoadSharing
 from balsamreach.wire.loads import LoadWords
 from tests.fake_net import FakeNet
@@ -27,7 +27,7 @@
         }
 
     def join(self, name, zone):
-        places = Places(random.Random(1))
+        places = RelayTargets(random.Random(1))
         places.put(entry('engine', ENGINES))
         places.put(entry('other', ENGINES))
         net = self.net.join(name, zone)
@@ -103,7 +103,7 @@
         self.clock.advance(1)
         self.place(one).running = 1
         self.place(one).unread = 20_000
-        self.fleet[one].sent(20_000)
+        self.fleet[one].on_request_sent(20_000)
         await self.net.settle()
         self.assertEqual(self.place(two).queued, 20_000)
 
--- a/tests/test_platform_reading.py
+++ b/tests/test_platform_reading.py
@@ -8,7 +8,7 @@
 
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.placement.evacuations import Evacuations
-from balsamreach.placement.places import Places
+from balsamreach.placement.relay_targets import RelayTargets
 from balsamreach.platform.feed import Feed, FeedParts
 from balsamreach.platform.feeds import ConfigurationFeed, TargetsFeed
 from balsamreach.platform.pages import PageSharing
@@ -25,7 +25,7 @@
 @attrs.define(eq=False)
 class _Router:
     feed: Feed
-    places: Places
+    places: RelayTargets
 
     def targets(self):
         listed = [place.entry for place in self.places]
@@ -52,7 +52,7 @@
     def join(self, name):
         pages = PageSharing(self.network.join(name), self.clock)
         pages.start()
-        places = Places(random.Random(1))
+        places = RelayTargets(random.Random(1))
         targets = TargetsFeed(places, self.clock, _discard, _discard)
         parts = FeedParts(
             store=self.store,
--- a/tests/test_platform_requests.py
+++ b/tests/test_platform_requests.py
@@ -143,7 +143,7 @@
         call = self.read()
         self.assertEqual(call.request_id, 'a1')
         self.assertEqual(call.prompt.tokens, 1460)
-        self.assertEqual(call.prompt.most_output, 80)
+        self.assertEqual(call.prompt.max_output_tokens, 80)
         self.assertEqual(call.prompt.parts[0].part_id, '5c1e')
         self.assertEqual(call.deadline, 102)
         self.assertEqual(call.priority, 1)
@@ -161,12 +161,12 @@
     @parameterized.expand(
         (
             ('no_route', '/z/', {}, faults.NO_ROUTE),
-            ('no_key', '/a/b/', {'Authorization': ''}, faults.NO_TEAM),
+            ('no_key', '/a/b/', {'Authorization': ''}, faults.UNKNOWN_KEY),
             (
                 'wrong_key',
                 '/a/b/',
                 {'Authorization': 'Bearer k2'},
-                faults.NO_TEAM,
+                faults.UNKNOWN_KEY,
             ),
             ('no_id', '/a/b/', {'Attempt_Id': ''}, faults.MALFORMED),
             ('time', '/a/b/', {'Deadline_Ms': '-5'}, faults.MALFORMED),
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -9,7 +9,7 @@
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.clock import SystemClock
 from balsamreach.placement.evacuations import Evacuations
-from balsamreach.placement.places import Places
+from balsamreach.placement.relay_targets import RelayTargets
 from balsamreach.platform.feed import FeedParts
 from balsamreach.platform.feeds import ConfigurationFeed, TargetsFeed
 from balsamreach.platform.pages import PageSharing
@@ -103,7 +103,7 @@
         super().setUp()
         self.clock = FakeClock()
         self.view = CatalogueView()
-        self.places = Places(random.Random(1))
+        self.places = RelayTargets(random.Random(1))
         self.announced = []
         self.evacuations = Evacuations(self.clock)
         self.configuration = ConfigurationFeed(
@@ -309,7 +309,7 @@
         self.assertEqual(len(self.places), 1)
         self.assertFalse(self.places.find('i-1').entry.leaving)
         self.clock.advance(3)
-        self.targets.expire()
+        self.targets.remove_expired()
         self.assertEqual(len(self.places), 0)
 
     @gen_test
@@ -328,7 +328,7 @@
         await self.step(self.targets.feed)
         self.assertEqual(len(self.places), 1)
         self.clock.advance(0.5)
-        self.targets.expire()
+        self.targets.remove_expired()
         self.assertEqual(len(self.places), 0)
 
     @gen_test
@@ -348,7 +348,7 @@
         self.state.write('servers', 'i-2', _TARGET | {'slots': 2})
         await self.step(self.targets.feed)
         self.clock.advance(3)
-        self.targets.expire()
+        self.targets.remove_expired()
         self.assertIsNone(self.places.find('i-1'))
         self.assertIsNotNone(self.places.find('i-2'))
 
--- a/tests/test_platform_targets.py
+++ b/tests/test_platform_targets.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from parameterized import parameterized
 
-from balsamreach.placement.places import TargetEntry
+from balsamreach.placement.relay_targets import TargetEntry
 from balsamreach.platform.targets import read_target
 
 _VALID = {
--- a/tests/test_power_decider.py
+++ b/tests/test_power_decider.py
@@ -62,7 +62,7 @@
         self.world.finish_all()
         await self.until(lambda: self.count_on() == 1)
         self.assertIsNotNone(busiest)
-        self.assertEqual(self.world.cut, 0)
+        self.assertEqual(self.world.aborted_requests, 0)
 
     async def test_tripled_demand_starts_hosts(self):
         self.start(up=2)
@@ -76,7 +76,7 @@
         await self.until(lambda: self.count_on() == 6, rounds=10)
         self.world.finish_all()
         await self.until(lambda: self.count_on() == 1)
-        self.assertEqual(self.world.cut, 0)
+        self.assertEqual(self.world.aborted_requests, 0)
 
     async def test_repeated_off_order_does_not_hit_a_restarted_host(self):
         """Guards against cut requests on a host that was just switched on.
@@ -95,7 +95,7 @@
         self.world.switch.redeliver_kept()
         await self.until(lambda: self.count_on() > 1)
         self.assertGreater(self.world.clock.now() - off_at, 60)
-        self.assertEqual(self.world.cut, 0)
+        self.assertEqual(self.world.aborted_requests, 0)
 
     async def test_decider_paused_after_its_commit_gives_no_orders(self):
         """Guards against switching off a host that is in use again.
@@ -145,7 +145,7 @@
             await other.step()
             await self.world.round()
             self.world.finish_one()
-        self.assertEqual(self.world.cut, 0)
+        self.assertEqual(self.world.aborted_requests, 0)
 
     async def test_unreachable_router_keeps_hosts_on(self):
         """Guards against cut requests of a zone that is cut off.
@@ -159,7 +159,7 @@
         await self.world.rounds(2)
         far = self.world.add_router('far', 'zone-b')
         await self.world.rounds(2)
-        await far.watch.loads.poll_once()
+        await far.watch.poller.poll_once()
         await far.poll_all()
         self.assertTrue(self.world.send(far))
         served = self.world.running[0][1]
@@ -172,7 +172,7 @@
         self.world.net.nets['far'] = held_for_dead
         self.world.routers.append(far)
         await self.until(lambda: self.count_on() == 1)
-        self.assertEqual(self.world.cut, 0)
+        self.assertEqual(self.world.aborted_requests, 0)
 
     async def test_router_missing_from_the_list_still_counts(self):
         """Guards against cut requests of a router omitted by the host list.
@@ -239,7 +239,7 @@
         self.world.switch.down = False
         self.world.platform.weather.down = False
         await self.until(lambda: self.count_on() < 6)
-        self.assertEqual(self.world.cut, 0)
+        self.assertEqual(self.world.aborted_requests, 0)
 
     async def test_lost_answers_of_commits_and_orders(self):
         """Guards against a decider that gives up its own row or guesses.
@@ -261,7 +261,7 @@
                 code=code,
             )
             self.assertEqual(faults, 0, code)
-        self.assertEqual(self.world.cut, 0)
+        self.assertEqual(self.world.aborted_requests, 0)
 
     async def test_fencing_numbers_increase(self):
         await self.until(lambda: self.count_on() == 1)
@@ -280,11 +280,11 @@
         fresh = self.world.add_router('fresh')
         self.world.net.cut(['fresh'], ['r0', 'r1'])
         await fresh.power.follower.update_once()
-        await fresh.watch.loads.poll_once()
+        await fresh.watch.poller.poll_once()
         self.assertFalse(self.world.send(fresh))
         self.world.net.heal()
         await self.world.poll()
-        able = [one.name for one in fresh.targets.among(self.world.rows)]
+        able = [one.name for one in fresh.targets.usable(self.world.rows)]
         self.assertEqual(len(able), 1)
 
     async def test_operator_edits_are_not_overridden(self):
--- a/tests/test_power_histories.py
+++ b/tests/test_power_histories.py
@@ -80,7 +80,7 @@
         self.world.switch.delay = 4
         for number, host in enumerate(self.world.hosts):
             host.obeys_leave = number not in disobedient
-            host.blind = number in disobedient
+            host.reports_idle = number in disobedient
             host.checks_incarnation = number % 2 == 0
         self.world.add_router('r0')
         self.world.add_router('r1')
@@ -93,7 +93,7 @@
         await self.world.rounds(2)
         for name, choice in events:
             await getattr(self, f'do_{name}')(choice)
-            assert self.world.cut == 0, name
+            assert self.world.aborted_requests == 0, name
         await self.do_resume(0)
         ORDERS_SEEN.update(on for _, on, _ in self.world.switch.orders)
 
--- a/tests/test_relay_host_link.py
+++ b/tests/test_relay_host_link.py
@@ -46,7 +46,9 @@
         body = b'a' * 30_000
         call = attrs.evolve(relay_samples.call(PLAIN), body=body)
         harness.run(call, answer(200, body))
-        self.assertGreater(harness.link.wait(), 4 * len(body) / _BYTES_A_SECOND)
+        self.assertGreater(
+            harness.link.backlog_seconds(), 4 * len(body) / _BYTES_A_SECOND
+        )
 
 
 if __name__ == '__main__':
--- a/tests/test_relay_metered.py
+++ b/tests/test_relay_metered.py
@@ -8,7 +8,7 @@
 from balsamreach.budget import faults as budget_faults
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.relay import faults
-from balsamreach.relay.metered import MeteredSpending
+from balsamreach.relay.prepaid_spending import PrepaidSpending
 from tests.relay_samples import CATALOGUE, STREAM, TEAM, call
 
 
@@ -67,7 +67,7 @@
         """A caller gets no 402 because a top-up hasn't reached its router."""
         view = CatalogueView()
         view.offer(_configuration(5, 1000), 'store')
-        spending = MeteredSpending(
+        spending = PrepaidSpending(
             _Holdings(used),
             view,
             _Currency(view, confirms, prepaid),
--- a/tests/test_relay_repeats.py
+++ b/tests/test_relay_repeats.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from balsamreach.relay.repeats import Repeats
+from balsamreach.relay.retry_budget import RelayRetryBudget
 from tests.support import FakeClock
 
 _WINDOW = 10
@@ -14,7 +14,7 @@
     def setUp(self):
         self.clock = FakeClock()
         self.routers = 0
-        self.repeats = Repeats(
+        self.retry_budget = RelayRetryBudget(
             0.2,
             32,
             _WINDOW,
@@ -23,11 +23,13 @@
         )
 
     def count_allowed(self, attempts):
-        return sum(self.repeats.allow_retry('engines') for _ in range(attempts))
+        return sum(
+            self.retry_budget.allow_retry('engines') for _ in range(attempts)
+        )
 
     def test_share_and_own_part_of_slack(self):
         for _ in range(100):
-            self.repeats.record_first('engines')
+            self.retry_budget.record_first('engines')
         # Two of the slack of 32, as at least sixteen routers share it.
         self.assertEqual(self.count_allowed(50), 22)
 
@@ -39,7 +41,7 @@
         burst of retries.
         """
         for _ in range(3600):
-            self.repeats.record_first('engines')
+            self.retry_budget.record_first('engines')
             self.clock.advance(1)
         self.assertLessEqual(self.count_allowed(500), 2 + 0.2 * (_WINDOW + 1))
 
@@ -50,7 +52,7 @@
 
     def test_services_are_independent(self):
         self.assertEqual(self.count_allowed(5), 2)
-        self.assertTrue(self.repeats.allow_retry('desk'))
+        self.assertTrue(self.retry_budget.allow_retry('desk'))
 
     def test_slack_is_shared_by_all_routers_ever_known(self):
         """A partitioned fleet of 64 doesn't send twice the allowed retries.
--- a/tests/test_relay_retry_jitter.py
+++ b/tests/test_relay_retry_jitter.py
@@ -22,7 +22,7 @@
         and be refused again.
         """
         fault = faults.TARGETS_FULL.because('no room')
-        waits = [self.jitter.spread(fault).retry_after for _ in range(300)]
+        waits = [self.jitter.add_jitter(fault).retry_after for _ in range(300)]
         bins = dict.fromkeys(range(10), 0)
         for wait in waits:
             least = fault.retry_after
@@ -32,7 +32,7 @@
 
     def test_only_retry_time_changes(self):
         fault = faults.BUDGET_UNREACHABLE.because('away')
-        spread = self.jitter.spread(fault)
+        spread = self.jitter.add_jitter(fault)
         same = attrs.evolve(spread, retry_after=fault.retry_after)
         self.assertEqual(same.reason, 'away')
         self.assertEqual(spread, fault)
@@ -40,11 +40,11 @@
 
     def test_long_waits_grow_little(self):
         fault = faults.TARGETS_BACK_OFF.with_retry_after(20, 'all')
-        waits = [self.jitter.spread(fault).retry_after for _ in range(300)]
+        waits = [self.jitter.add_jitter(fault).retry_after for _ in range(300)]
         self.assertGreaterEqual(min(waits), 20)
         self.assertLessEqual(max(waits), 21)
         self.assertGreater(max(waits) - min(waits), 0.9)
 
     def test_no_retry_time(self):
         fault = faults.NO_ROUTE.because('none')
-        self.assertEqual(self.jitter.spread(fault).retry_after, 0)
+        self.assertEqual(self.jitter.add_jitter(fault).retry_after, 0)
--- a/tests/test_relay_run.py
+++ b/tests/test_relay_run.py
@@ -9,7 +9,7 @@
 
 from balsamreach.dispatch.upstream import BROKEN, NOT_SENT, SILENT
 from balsamreach.placement.evacuations import Evacuation
-from balsamreach.placement.places import Places, TargetEntry
+from balsamreach.placement.relay_targets import RelayTargets, TargetEntry
 from balsamreach.relay.faults import BUDGET_EXHAUSTED
 from balsamreach.relay.run import RelayRun
 from balsamreach.relay.spending import Reservation, Spending
@@ -26,7 +26,7 @@
     event,
 )
 from tests.relay_scripts import (
-    RecordingOutlet,
+    RecordingResponse,
     Responding,
     Script,
     Unresponsive,
@@ -59,7 +59,7 @@
     """A target that records leaving targets between its head and its body."""
 
     script: Responding
-    places: Places
+    places: RelayTargets
     leaving: list[TargetEntry]
 
     def __call__(self, _outgoing, intake):
@@ -72,8 +72,8 @@
             intake.write(chunk)
 
 
-def _status(outlet):
-    return 'aborted' if outlet.aborted else outlet.status
+def _status(caller_response):
+    return 'aborted' if caller_response.aborted else caller_response.status
 
 
 class RelayRunTest(unittest.TestCase):
@@ -101,8 +101,8 @@
         )
     )
     def test_plain(self, _, route, scripts, status, sent):
-        outlet = self.harness.run(relay_samples.call(route), *scripts)
-        self.assertEqual(_status(outlet), status)
+        caller_response = self.harness.run(relay_samples.call(route), *scripts)
+        self.assertEqual(_status(caller_response), status)
         self.assertEqual(len(self.harness.exchange.sent), sent)
 
     @parameterized.expand(
@@ -119,9 +119,9 @@
         A target responds late, or breaks off in the body. Bytes must not be
         forwarded before the response is known to be valid.
         """
-        outlet = self.harness.run(relay_samples.call(UNSAFE), script)
-        self.assertEqual(outlet.status, 502)
-        self.assertNotEqual(outlet.body, b'x')
+        caller_response = self.harness.run(relay_samples.call(UNSAFE), script)
+        self.assertEqual(caller_response.status, 502)
+        self.assertNotEqual(caller_response.body, b'x')
 
     def evacuate(self, zone, *, in_force=True, version=5):
         order = Evacuation(zone=zone, version=version, in_force=in_force)
@@ -142,15 +142,15 @@
         themselves have not announced anything.
         """
         self.evacuate('zone-a')
-        outlet = self.harness.run(relay_samples.call(PLAIN))
-        self.assertEqual(outlet.status, 503)
-        self.assertIn('retry-after', outlet.headers)
+        caller_response = self.harness.run(relay_samples.call(PLAIN))
+        self.assertEqual(caller_response.status, 503)
+        self.assertIn('retry-after', caller_response.headers)
         self.assertEqual(self.harness.exchange.sent, [])
         away = entry('away', DESK, zone='zone-b')
         chooser = self.harness.chooser
         chooser.places.put(away)
-        outlet = self.harness.run(relay_samples.call(PLAIN), _OK)
-        self.assertEqual(outlet.status, 200)
+        caller_response = self.harness.run(relay_samples.call(PLAIN), _OK)
+        self.assertEqual(caller_response.status, 200)
         self.assertEqual(self.last_target(), away)
         self.evacuate('zone-a', in_force=False, version=6)
         self.harness.run(relay_samples.call(PLAIN), _OK)
@@ -159,18 +159,18 @@
     def test_stream_does_not_resume_in_evacuated_zone(self):
         broken = answer(200, event(1), end=BROKEN)
         script = _After(lambda: self.evacuate('zone-a'), broken)
-        outlet = self.harness.run(relay_samples.call(STREAM), script)
-        self.assertTrue(outlet.aborted)
+        caller_response = self.harness.run(relay_samples.call(STREAM), script)
+        self.assertTrue(caller_response.aborted)
         self.assertEqual(len(self.harness.exchange.sent), 1)
 
     def test_stream_resumes_at_another_target(self):
-        outlet = self.harness.run(
+        caller_response = self.harness.run(
             relay_samples.call(STREAM),
             answer(200, event(1) + event(2)[:5], end=BROKEN),
             answer(200, event(2) + event(3)),
         )
-        self.assertEqual(outlet.body, event(1) + event(2) + event(3))
-        self.assertTrue(outlet.complete)
+        self.assertEqual(caller_response.body, event(1) + event(2) + event(3))
+        self.assertTrue(caller_response.complete)
         second = self.harness.exchange.sent[1]
         self.assertEqual(dict(second.headers)['Last-Event-Id'], '1')
 
@@ -200,10 +200,10 @@
         A stream breaks and can't resume, so the response must be aborted
         instead of ended normally.
         """
-        outlet = self.harness.run(relay_samples.call(route), *scripts)
-        self.assertEqual(outlet.body, event(1))
-        self.assertTrue(outlet.aborted)
-        self.assertFalse(outlet.complete)
+        caller_response = self.harness.run(relay_samples.call(route), *scripts)
+        self.assertEqual(caller_response.body, event(1))
+        self.assertTrue(caller_response.aborted)
+        self.assertFalse(caller_response.complete)
 
     def test_target_with_reassigned_address_is_removed(self):
         """Retries after a crash stay within the users' share.
@@ -214,14 +214,16 @@
         as a retry.
         """
         misdirected = answer(421)
-        outlet = self.harness.run(relay_samples.call(PLAIN), misdirected, _OK)
-        self.assertEqual(outlet.status, 200)
+        caller_response = self.harness.run(
+            relay_samples.call(PLAIN), misdirected, _OK
+        )
+        self.assertEqual(caller_response.status, 200)
         sent = self.harness.exchange.sent
         gone = sent[0].target.incarnation
         left = [place.incarnation for place in self.harness.chooser.places]
         self.assertNotIn(gone, left)
-        repeats = self.harness.repeats
-        self.assertEqual(repeats._steps['desk'][0].retries, 1)
+        retry_budget = self.harness.retry_budget
+        self.assertEqual(retry_budget._steps['desk'][0].retries, 1)
 
     def test_failed_probe_opens_breaker_again(self):
         """A dead target doesn't get every request after its first pause.
@@ -279,9 +281,9 @@
         places = self.harness.chooser.places
         for place in places.of_service('desk'):
             place.entry = attrs.evolve(place.entry, leaving=True)
-        outlet = self.harness.run(relay_samples.call(PLAIN))
-        self.assertEqual(outlet.status, 503)
-        self.assertIn('retry-after', outlet.headers)
+        caller_response = self.harness.run(relay_samples.call(PLAIN))
+        self.assertEqual(caller_response.status, 503)
+        self.assertIn('retry-after', caller_response.headers)
         self.assertEqual(self.harness.exchange.sent, [])
 
     def test_target_that_backs_off_gets_no_requests(self):
@@ -305,25 +307,27 @@
         self.harness.run(call, _BACK_OFF, shorter)
         self.harness.run(call, _BACK_OFF)
         self.harness.clock.advance(2)
-        outlet = self.harness.run(call, shorter)
-        self.assertEqual(outlet.status, 503)
+        caller_response = self.harness.run(call, shorter)
+        self.assertEqual(caller_response.status, 503)
         self.assertEqual(len(self.harness.exchange.sent), 3)
 
     def test_request_while_all_targets_back_off(self):
         """A request is refused before it waits for tokens."""
         call = relay_samples.call(STREAM, seconds=60)
-        outlet = self.harness.run(call, _BACK_OFF, _LONG_BACK_OFF)
-        self.assertEqual(outlet.status, 503)
-        self.assertGreaterEqual(float(outlet.headers['retry-after']), 3)
+        caller_response = self.harness.run(call, _BACK_OFF, _LONG_BACK_OFF)
+        self.assertEqual(caller_response.status, 503)
+        self.assertGreaterEqual(
+            float(caller_response.headers['retry-after']), 3
+        )
         self.harness.parts = attrs.evolve(
             self.harness.parts,
             spending=_UnusedSpending(),
         )
         self.harness.clock.advance(1)
-        outlet = self.harness.run(call)
-        self.assertEqual(outlet.status, 503)
-        self.assertIn(b'targets_back_off', outlet.body)
-        wait = float(outlet.headers['retry-after'])
+        caller_response = self.harness.run(call)
+        self.assertEqual(caller_response.status, 503)
+        self.assertIn(b'targets_back_off', caller_response.body)
+        wait = float(caller_response.headers['retry-after'])
         self.assertTrue(2 <= wait <= 3, wait)
 
     def test_retry_time_ignores_leaving_targets(self):
@@ -333,8 +337,8 @@
         self.harness.run(call, leaves, _LONG_BACK_OFF)
         places = self.harness.chooser.places
         places.put(attrs.evolve(self.first_target(), leaving=True))
-        outlet = self.harness.run(call)
-        wait = float(outlet.headers['retry-after'])
+        caller_response = self.harness.run(call)
+        wait = float(caller_response.headers['retry-after'])
         self.assertTrue(9 <= wait <= 10, wait)
 
     @parameterized.expand(
@@ -361,8 +365,8 @@
         """
         crash = [Unresponsive(BROKEN), Unresponsive(BROKEN)]
         self.harness.run(relay_samples.call(STREAM), *crash)
-        outlet = self.harness.run(relay_samples.call(STREAM), _OK)
-        self.assertEqual(outlet.status, 503)
+        caller_response = self.harness.run(relay_samples.call(STREAM), _OK)
+        self.assertEqual(caller_response.status, 503)
         self.assertEqual(len(self.harness.exchange.sent), 2)
 
     @parameterized.expand((('sent', True, 504), ('unsent', False, 503)))
@@ -370,13 +374,13 @@
         """A request that may have run is never reported as not run."""
         self.harness.exchange.hang = hangs
         call = relay_samples.call(UNSAFE, seconds=0.01 if hangs else -1)
-        outlet = self.harness.run(call, _OK)
-        self.assertEqual(outlet.status, status)
+        caller_response = self.harness.run(call, _OK)
+        self.assertEqual(caller_response.status, status)
 
     def test_exhausted_budget(self):
         harness = RelayHarness(_EmptySpending())
-        outlet = harness.run(relay_samples.call(STREAM))
-        self.assertEqual(outlet.status, 402)
+        caller_response = harness.run(relay_samples.call(STREAM))
+        self.assertEqual(caller_response.status, 402)
         self.assertEqual(harness.exchange.sent, [])
 
     def test_charges_forwarded_events(self):
@@ -408,7 +412,7 @@
         run = RelayRun(
             self.harness.parts,
             relay_samples.call(STREAM),
-            RecordingOutlet(),
+            RecordingResponse(),
         )
         task = asyncio.ensure_future(run.run())
         await asyncio.sleep(0)
--- a/tests/test_routing_choice.py
+++ b/tests/test_routing_choice.py
@@ -40,7 +40,7 @@
         rows = make_rows(4, concurrency=3)
         node = Node(rows, options=(f'routing.policy={policy}',))
         node.targets.by_name[rows[0].name].mark_leaving('start-1')
-        report = LoadReport(incarnation='start-1', taken_at=node.clock.now())
+        report = LoadReport(incarnation='start-1', valid_at=node.clock.now())
         node.targets.by_name[rows[0].name].report = report
         counts = Counter()
         for number in range(9):
@@ -84,7 +84,7 @@
         for slot in slots:
             node.end(slot)
         node.clock.advance(1)
-        state.target.report = LoadReport(running=6, slots=8, taken_at=taken_at)
+        state.target.report = LoadReport(running=6, slots=8, valid_at=taken_at)
         self.assertEqual(state.load(node.clock.now()), 2)
 
     async def test_old_reports_have_less_weight(self):
@@ -97,7 +97,7 @@
         now = node.clock.now()
         for name, running in (('zone-a-engine-0', 0), ('zone-a-engine-1', 8)):
             node.targets.by_name[name].report = LoadReport(
-                running=running, slots=20, taken_at=now
+                running=running, slots=20, valid_at=now
             )
         pools = node.picker.pools
         group = pools.find(node.ask().pool).everyone
@@ -115,7 +115,7 @@
         """
         node = Node(make_rows(8), options=('routing.policy=two_choices',))
         target = node.targets.by_name['zone-a-engine-0']
-        target.warm_from = node.clock.now() - target.warm_time / 4
+        target.warm_up_started = node.clock.now() - target.warm_time / 4
         for number in range(32):
             await node.send(fingerprint=f'f{number}')
         held = node.state('zone-a-engine-0').held
--- a/tests/test_routing_hints.py
+++ b/tests/test_routing_hints.py
@@ -10,7 +10,7 @@
 from balsamreach.routing.hints import CacheHints, hash_blocks, parse_block_hash
 from balsamreach.standins.engine_cache import blocks_of
 from balsamreach.standins.engine_text import cached_text_of
-from balsamreach.targets.cache_feed import CacheFeed, CacheNews
+from balsamreach.targets.cache_feed import CacheChanges, CacheFeed
 from balsamreach.targets.cache_follower import CacheFollower
 from balsamreach.targets.client import CacheEvent, CacheEvents
 from balsamreach.targets.registry import LoadReport
@@ -55,7 +55,7 @@
     def test_unknown_name_formats_are_ignored(self, name):
         self.assertIsNone(parse_block_hash(name))
         hints = CacheHints()
-        hints.apply('engine-0', CacheNews(_events([name])))
+        hints.apply('engine-0', CacheChanges(_events([name])))
         self.assertEqual(hints.deepest_holders([0, 1, 17]), ())
 
 
@@ -64,13 +64,13 @@
 
     def test_store_evict_and_bound(self):
         hints = CacheHints(max_blocks=2)
-        hints.apply('a', CacheNews(_events('123')))
-        hints.apply('b', CacheNews(_events('3')))
+        hints.apply('a', CacheChanges(_events('123')))
+        hints.apply('b', CacheChanges(_events('3')))
         self.assertEqual(hints.holders(1), ())
         self.assertEqual(hints.deepest_holders([2, 3, 4]), ('b', 'a'))
-        hints.apply('b', CacheNews(_events('3', stored=False)))
+        hints.apply('b', CacheChanges(_events('3', stored=False)))
         self.assertEqual(hints.holders(3), ('a',))
-        hints.apply('b', CacheNews(_events('2', stored=False)))
+        hints.apply('b', CacheChanges(_events('2', stored=False)))
         self.assertEqual(hints.holders(2), ('a',))
 
     def test_gap_drops_as_many_of_the_oldest_hints(self):
@@ -82,8 +82,8 @@
         """
         hints, feed = CacheHints(), CacheFeed()
         reported = CacheEvents(4, _events('123'))
-        hints.apply('a', feed.take(reported))
-        gap = feed.take(CacheEvents(7, _events('4', start=6)))
+        hints.apply('a', feed.advance(reported))
+        gap = feed.advance(CacheEvents(7, _events('4', start=6)))
         hints.apply('a', gap)
         held = [bool(hints.holders(block)) for block in (1, 2, 3, 4)]
         self.assertEqual(held, [False, False, True, True])
@@ -97,19 +97,19 @@
         until it has filled again.
         """
         hints, feed = CacheHints(), CacheFeed()
-        hints.apply('a', feed.take(CacheEvents(9, _events('123'))))
+        hints.apply('a', feed.advance(CacheEvents(9, _events('123'))))
         hints.add(1, 'b')
         if cause == 'restart seen':
             feed.restart()
-        hints.apply('a', feed.take(CacheEvents(2, _events('5'))))
+        hints.apply('a', feed.advance(CacheEvents(2, _events('5'))))
         held = [hints.holders(block) for block in (1, 2, 5)]
         self.assertEqual(held, [('b',), (), ('a',)])
 
     def test_duplicate_events_are_ignored(self):
         feed = CacheFeed()
         reported = CacheEvents(3, _events('12'))
-        feed.take(reported)
-        self.assertEqual(feed.take(reported), CacheNews())
+        feed.advance(reported)
+        self.assertEqual(feed.advance(reported), CacheChanges())
 
 
 class CacheFollowerTest(unittest.IsolatedAsyncioTestCase):
@@ -159,7 +159,7 @@
         )
         follower.watchers.append(node.routing.learn_cache)
         for target in node.targets.by_name.values():
-            target.report = LoadReport(taken_at=node.clock.now())
+            target.report = LoadReport(valid_at=node.clock.now())
         for _ in rows:
             await follower.ask_next()
         longer = prefix + b'and what the wind does to it ' * 20
--- a/tests/test_routing_retries.py
+++ b/tests/test_routing_retries.py
@@ -128,7 +128,7 @@
         """
         limit = AdaptiveLimit()
         for second in range(1, 5):
-            report = LoadReport(running=8, queued=8, slots=8, taken_at=second)
+            report = LoadReport(running=8, queued=8, slots=8, valid_at=second)
             limit.apply_report(report, second + 5)
         self.assertEqual(limit.limit, 8)
 
--- a/tests/test_targets_announcements.py
+++ b/tests/test_targets_announcements.py
@@ -58,7 +58,7 @@
         """Let a router apply the headers of a response."""
         headers = {'x-leaving': header} if header else {}
         announcements = self.watches[router].announcements
-        announcements.take(self.target(router), 200, headers)
+        announcements.apply(self.target(router), 200, headers)
         await settle()
         await self.net.settle()
 
@@ -75,21 +75,21 @@
         other one.
         """
         for router, watch in enumerate(self.watches):
-            await watch.loads.poll(self.target(router))
+            await watch.poller.poll(self.target(router))
         await self.answer(self.host.incarnation, router=1)
         self.assertTrue(self.target(0).leaving)
         self.assertTrue(self.target(1).leaving)
         name = 'balsamreach_target_marks_total'
         self.assertEqual(self.metrics.counted(name, source='answer'), 1)
-        await self.watches[0].loads.poll(self.target(0))
+        await self.watches[0].poller.poll(self.target(0))
         self.assertTrue(self.target(0).leaving)
         self.host.start = 2
-        await self.watches[0].loads.poll(self.target(0))
+        await self.watches[0].poller.poll(self.target(0))
         self.assertFalse(self.target(0).leaving)
 
     async def test_back_off(self):
         """The retry time of a rejection applies to all requests."""
-        take = self.watches[0].announcements.take
+        take = self.watches[0].announcements.apply
         for status, seconds in ((200, '9'), (503, '3'), (429, '2')):
             take(self.target(), status, {'retry-after': seconds})
         wait = self.target().retry_at - self.clock.now()
@@ -111,7 +111,7 @@
         targets = self.watches[0].marks.targets
         targets.update([_ROW, attrs.evolve(_ROW, name='other')])
         announcements = self.watches[0].announcements
-        announcements.take(self.target(), 503, {'retry-after': '3'})
+        announcements.apply(self.target(), 503, {'retry-after': '3'})
         other = targets.by_name['other']
         self.assertEqual(other.retry_at, self.target().retry_at)
         targets.update([_ROW])
@@ -135,12 +135,12 @@
         must not mark the current incarnation.
         """
         self.host.start = 2
-        await self.watches[0].loads.poll(self.target())
+        await self.watches[0].poller.poll(self.target())
         self.client.asked.clear()
         for _ in range(3):
             await self.answer(header)
         self.assertFalse(self.target().leaving)
-        self.assertEqual(self.target().left, set())
+        self.assertEqual(self.target().leaving_incarnations, set())
         self.assertEqual(len(self.client.asked), polls)
 
     @parameterized.expand(
@@ -159,7 +159,7 @@
         next round of polls.
         """
         if start > 1:
-            await self.watches[0].loads.poll(self.target())
+            await self.watches[0].poller.poll(self.target())
         self.host.start = start
         self.host.leaving = reports
         await self.answer(self.host.incarnation)
--- a/tests/test_targets_poller.py
+++ b/tests/test_targets_poller.py
@@ -78,7 +78,7 @@
 
     async def run_round(self, seconds=1):
         for watch in self.watches:
-            await self.poll(watch.loads.poll_once())
+            await self.poll(watch.poller.poll_once())
         await self.net.settle()
         await self.clock.advance(seconds)
 
@@ -114,7 +114,7 @@
             self.add_row(number)
         watch = self.open('alone', 'zone-c')
         targets = tuple(watch.marks.targets.by_name.values())
-        seen = [0, *await self.poll(watch.loads.poll_all(targets))]
+        seen = [0, *await self.poll(watch.poller.poll_all(targets))]
         started = [after - before for before, after in itertools.pairwise(seen)]
         self.assertEqual(sum(started), 40)
         self.assertLessEqual(max(started), 8)
@@ -166,7 +166,7 @@
         watch = self.watches[0]
         stale = TargetLoad('engine-0', '127.0.0.1:8000-1', 9, reachable=True)
         peer = self.net.nets['r1'].me
-        sharing = watch.loads.parts.sharing
+        sharing = watch.poller.parts.sharing
         await sharing.receive_loads(peer, TargetLoads((stale,)))
         report = self.target(0).report
         self.assertEqual(report.incarnation, '127.0.0.1:8000-2')
@@ -217,7 +217,7 @@
         self.watches.append(self.open('r4', 'zone-b'))
         host = self.client.hosts['127.0.0.1:8002']
         for router, watch in enumerate(self.watches):
-            await watch.loads.poll(self.target(router, 2))
+            await watch.poller.poll(self.target(router, 2))
         host.leaving = True
         await self.run_round()
         self.assertTrue(self.target(3, 2).leaving)
@@ -255,14 +255,14 @@
         memory, so its neighbours have to send them again.
         """
         await self.run_round()
-        self.watches[0].marks.catch_up()
+        self.watches[0].marks.send_to_new_neighbours()
         self.watches[0].marks.mark(self.target(0), '127.0.0.1:8000-1', 'test')
         self.net.kill('r1')
         await self.net.settle()
-        self.watches[0].marks.catch_up()
+        self.watches[0].marks.send_to_new_neighbours()
         self.watches[1] = self.open('r1-again', 'zone-a')
         self.assertFalse(self.target(1).leaving)
-        self.watches[0].marks.catch_up()
+        self.watches[0].marks.send_to_new_neighbours()
         await self.net.settle()
         self.assertTrue(self.target(1).leaving)
         await self.run_round()
@@ -306,7 +306,7 @@
         running = []
         for watch in self.watches:
             watch.marks.targets.update(self.rows)
-            running.append(asyncio.create_task(watch.loads.run()))
+            running.append(asyncio.create_task(watch.poller.run()))
         await self.clock.advance(20)
         self.net.cut(('r0', 'r1', 'r2'), ('r3',))
         host = self.client.hosts['127.0.0.1:8005']
@@ -325,13 +325,13 @@
 
     @parameterized.expand([(1, 1.0), (11, 1.43), (370, 1.5)])
     def test_round_interval_is_bounded(self, own, interval):
-        loads = self.watches[3].loads
+        loads = self.watches[3].poller
         rows = [attrs.evolve(_row(n), zone='zone-b') for n in range(own)]
         loads.parts.marks.targets.update(rows)
         self.assertAlmostEqual(loads.round_interval(), interval)
 
     def test_share_interval_grows_with_zone(self):
-        loads = self.watches[0].loads
+        loads = self.watches[0].poller
         self.assertEqual(loads.share_interval(), 1)
         rows = [_row(number) for number in range(370)]
         targets = self.watches[0].marks.targets
--- a/tests/test_targets_registry.py
+++ b/tests/test_targets_registry.py
@@ -6,7 +6,13 @@
 from parameterized import parameterized
 
 from balsamreach.table.rows import TargetRow
-from balsamreach.targets.holds import LEAVING, OFF, STARTING, STOPPING, Hold
+from balsamreach.targets.power_holds import (
+    LEAVING,
+    OFF,
+    STARTING,
+    STOPPING,
+    PowerHold,
+)
 from balsamreach.targets.registry import Target, Targets
 from balsamreach.targets.reports import LoadReport
 
@@ -19,7 +25,7 @@
 
 
 def _report(start, taken_at, **more):
-    return LoadReport(incarnation=start, taken_at=taken_at, **more)
+    return LoadReport(incarnation=start, valid_at=taken_at, **more)
 
 
 class LeavingTest(unittest.TestCase):
@@ -33,12 +39,12 @@
         would replace the report of b.
         """
         target = Target(_ROW)
-        target.take_report(_report('a', 10, leaving=True), 10)
+        target.apply_report(_report('a', 10, leaving=True), 10)
         self.assertTrue(target.leaving)
-        self.assertTrue(target.take_report(_report('b', 20), 20))
+        self.assertTrue(target.apply_report(_report('b', 20), 20))
         self.assertFalse(target.leaving)
         late = _report('a', 30, leaving=True)
-        self.assertFalse(target.take_report(late, 30))
+        self.assertFalse(target.apply_report(late, 30))
         self.assertFalse(target.mark_leaving('a'))
         self.assertFalse(target.leaving)
 
@@ -47,9 +53,9 @@
         """The back-off of the earlier incarnation ends with a restart."""
         target = Target(_ROW)
         if start:
-            target.take_report(_report('a', 10), 10)
+            target.apply_report(_report('a', 10), 10)
         target.retry_at = 99
-        target.take_report(_report(start or 'a', 20), 20)
+        target.apply_report(_report(start or 'a', 20), 20)
         self.assertEqual(target.retry_at, 0 if name == 'later' else 99)
 
     def test_report_does_not_undo_mark(self):
@@ -59,34 +65,34 @@
         leaving yet. Each source may be outdated, so a mark is permanent.
         """
         target = Target(_ROW)
-        target.take_report(_report('a', 10), 10)
+        target.apply_report(_report('a', 10), 10)
         target.mark_leaving('a')
-        target.take_report(_report('a', 11), 11)
-        target.take_report(_report('a', 12, leaving=True), 12)
-        target.take_report(_report('a', 13), 13)
+        target.apply_report(_report('a', 11), 11)
+        target.apply_report(_report('a', 12, leaving=True), 12)
+        target.apply_report(_report('a', 13), 13)
         self.assertTrue(target.leaving)
 
     def test_mark_without_report(self):
         target = Target(_ROW)
         target.mark_leaving('a')
         self.assertTrue(target.leaving)
-        target.take_report(_report('b', 5), 5)
+        target.apply_report(_report('b', 5), 5)
         self.assertFalse(target.leaving)
 
     @parameterized.expand(
         (
-            ('off', Hold(OFF, 'a'), 'b', True),
-            ('stopping', Hold(STOPPING, 'a'), 'b', True),
-            ('old incarnation', Hold(STARTING, 'a'), 'a', True),
-            ('no incarnation', Hold(STARTING, 'a'), '', True),
-            ('new incarnation', Hold(STARTING, 'a'), 'b', False),
-            ('not loaded', Hold(STARTING, 'a', ('model-b',)), 'b', True),
-            ('other incarnation', Hold(LEAVING, 'a'), 'b', False),
+            ('off', PowerHold(OFF, 'a'), 'b', True),
+            ('stopping', PowerHold(STOPPING, 'a'), 'b', True),
+            ('old incarnation', PowerHold(STARTING, 'a'), 'a', True),
+            ('no incarnation', PowerHold(STARTING, 'a'), '', True),
+            ('new incarnation', PowerHold(STARTING, 'a'), 'b', False),
+            ('not loaded', PowerHold(STARTING, 'a', ('model-b',)), 'b', True),
+            ('other incarnation', PowerHold(LEAVING, 'a'), 'b', False),
         )
     )
     def test_hold(self, _name, hold, start, leaving):
         target = Target(_ROW, hold=hold)
-        target.take_report(_report(start, 1, models=('model-a',)), 1)
+        target.apply_report(_report(start, 1, models=('model-a',)), 1)
         self.assertEqual(target.leaving, leaving)
 
     def test_rewritten_row_keeps_marks_and_counts(self):
@@ -105,11 +111,13 @@
         targets.update([_ROW])
         new = targets.by_name['engine-0']
         self.assertIsNot(new, old)
-        self.assertIn('a', new.left)
+        self.assertIn('a', new.leaving_incarnations)
         self.assertEqual(targets.in_flight_at(_ROW.address), 1)
         moved = attrs.evolve(_ROW, address='127.0.0.1:9001')
         targets.update([moved])
-        self.assertEqual(targets.by_name['engine-0'].left, set())
+        self.assertEqual(
+            targets.by_name['engine-0'].leaving_incarnations, set()
+        )
 
 
 class WeightTest(unittest.TestCase):
@@ -117,8 +125,8 @@
 
     def test_weight(self):
         target = Target(attrs.evolve(_ROW, weight=2), warm_time=10)
-        target.take_report(_report('a', 0), 0)
+        target.apply_report(_report('a', 0), 0)
         self.assertEqual(target.effective_weight(0), 2)
-        target.take_report(_report('b', 100), 100)
+        target.apply_report(_report('b', 100), 100)
         grown = [target.effective_weight(100 + age) for age in (0, 5, 10, 20)]
         self.assertEqual(grown, [0.2, 1, 2, 2])
