--- a/bench/routing_hedges.py
+++ b/bench/routing_hedges.py
@@ -10,7 +10,10 @@
 from balsamreach.config.reader import read_settings
 from balsamreach.dispatch.call import Call
 from balsamreach.dispatch.faults import DispatchFault
-from balsamreach.dispatch.tries import Tries, make_try_parts
+from balsamreach.dispatch.request_attempts import (
+    RequestAttempts,
+    make_attempt_parts,
+)
 from balsamreach.dispatch.upstream import Attempt, Intake, Upstream
 from balsamreach.requests.answers import Output
 from balsamreach.requests.identity import RequestId
@@ -48,7 +51,7 @@
 
     async def send(self, attempt: Attempt, intake: Intake) -> None:
         """Answer a request; a cancel needs no answer."""
-        if attempt.call.method == 'DELETE' or not intake.before_send():
+        if attempt.call.method == 'DELETE' or not intake.may_send():
             return
         self.sent += 1
         name = attempt.target.name
@@ -132,7 +135,7 @@
     rng = random.Random(seed)
     routing = make_routing(cfg, targets, LoopClock(), rng, Metrics())
     engines = _Engines(rng, slow)
-    parts = make_try_parts(cfg.requests, routing, engines)
+    parts = make_attempt_parts(cfg.requests, routing, engines)
     reporting = asyncio.create_task(engines.report(targets))
     whole = await _run_all(parts, rng, rate)
     reporting.cancel()
@@ -167,11 +170,11 @@
 async def _run(parts, number: int) -> float | None:
     began = parts.clock.now()
     call = _call(number, began)
-    slot = await parts.placer.place(call)
+    slot = await parts.placer.acquire_slot(call)
     if isinstance(slot, DispatchFault):
         return None
     caller = _Caller()
-    fault = await Tries(parts, call, caller).run(slot)
+    fault = await RequestAttempts(parts, call, caller).run(slot)
     if fault:
         return None
     return caller.first_at - began
@@ -189,7 +192,7 @@
         body=b'{}',
         stream=True,
         idempotent=True,
-        most_tokens=100,
+        reserved_tokens=100,
         deadline=now + 60,
         prefix=f'{number:064}'.encode(),
     )
--- a/bench/slopes_memory.py
+++ b/bench/slopes_memory.py
@@ -9,9 +9,9 @@
 from balsamreach.budget.budgets import Budgets
 from balsamreach.clock import Clock, SystemClock
 from balsamreach.config.reader import read_settings
-from balsamreach.requests.answers import End
+from balsamreach.requests.answers import AnswerEnd
 from balsamreach.requests.identity import RequestId
-from balsamreach.requests.registry import Answers
+from balsamreach.requests.registry import AnswerRegistry
 from balsamreach.services.base import Commit, Write
 from balsamreach.standins.memory import MemoryPlatform
 from bench import table_size
@@ -94,16 +94,16 @@
     return {'kept_answer_bytes_beyond_body': each - len(_ANSWER)}
 
 
-async def _with_answers(count: int) -> Answers:
+async def _with_answers(count: int) -> AnswerRegistry:
     cfg = read_settings(None, ('host.zone=zone-a',))
-    answers = Answers(cfg.requests, SystemClock())
+    answers = AnswerRegistry(cfg.requests, SystemClock())
     for number in range(count):
         key = f'key-{number:032}'
         answer = answers.open(RequestId('team', key, False, f'{number:064x}'))
         answer.start(200, {'Content-Type': f'text/event-stream; n={number}'})
         # Each body is text of its own, as it comes from a target.
         answer.write(bytes(bytearray(_ANSWER)))
-        answers.finish(answer, End(whole=True))
+        answers.finish(answer, AnswerEnd(is_complete=True))
     await asyncio.sleep(0)
     return answers
 
--- a/src/balsamreach/catalogue/catalogue.py
+++ b/src/balsamreach/catalogue/catalogue.py
@@ -31,7 +31,7 @@
         """Build the index of some routes."""
         return cls(routes, _group_by_host(routes))
 
-    def changed_to(self, routes: tuple[Route, ...]) -> Self:
+    def with_routes(self, routes: tuple[Route, ...]) -> Self:
         """Return the index of a changed tuple of routes.
 
         Hosts whose routes are the same objects in the same order are reused:
--- a/src/balsamreach/catalogue/exchange.py
+++ b/src/balsamreach/catalogue/exchange.py
@@ -9,7 +9,7 @@
 import attrs
 
 from balsamreach.catalogue import serialization
-from balsamreach.catalogue.known import Known
+from balsamreach.catalogue.router_state import RouterState
 from balsamreach.clock import Clock
 from balsamreach.peers.base import FETCH_GAPS, PeerNet
 from balsamreach.placement.evacuations import Evacuation
@@ -31,14 +31,14 @@
     ----------
     net : PeerNet
         The other routers.
-    known : Known
+    known : RouterState
         What this router knows.
     clock : Clock
         Clock of the wait for the store.
     """
 
     net: PeerNet
-    known: Known
+    known: RouterState
     clock: Clock
     _catch_up_task: asyncio.Task | None = None
     _neighbours: frozenset[str] = frozenset()
@@ -49,19 +49,19 @@
         self.net.on(TableAsk, self._on_table_ask)
         self.net.on(TableRows, self._on_table_rows)
 
-    def tell_target(self, entry: TargetEntry) -> None:
+    def send_target(self, entry: TargetEntry) -> None:
         """Send a target that is new or is leaving to all peers."""
         self._spread(serialization.target_row(entry))
 
-    def tell_gone(self, target_id: str, version: int) -> None:
+    def send_removed_target(self, target_id: str, version: int) -> None:
         """Send the removal of a target from the list to all peers."""
         self._spread(serialization.removed_target_row(target_id, version))
 
-    def tell_evacuation(self, evacuation: Evacuation) -> None:
+    def send_evacuation(self, evacuation: Evacuation) -> None:
         """Send an evacuation, or the end of one, to all peers."""
         self._spread(serialization.evacuation_row(evacuation))
 
-    def catch_up(self) -> None:
+    def send_leaving_targets(self) -> None:
         """Send the leaving targets to new neighbours.
 
         A target may report that it is leaving to one router only, while the
@@ -84,7 +84,7 @@
         self.net.spread(TableRows(0, 0, (row,)), exclude)
 
     async def _on_heartbeat(self, member: Member, beat: Heartbeat) -> None:
-        self.known.view.hear(beat.table_version)
+        self.known.view.record_version(beat.table_version)
         # One query at a time: all neighbours get a new version at the same
         # moment, and as many complete configurations would saturate a small
         # host's link for seconds, so that heartbeats are late and links are
--- a/src/balsamreach/catalogue/currency.py
+++ b/src/balsamreach/catalogue/freshness.py
@@ -26,7 +26,7 @@
     """Source of newer configurations."""
 
     @abc.abstractmethod
-    def is_away(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Return whether the source is unavailable to this router."""
 
     @abc.abstractmethod
@@ -44,7 +44,7 @@
 class NullSource(ConfigurationSource):
     """Placeholder until a source is set."""
 
-    def is_away(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Return True."""
         return True
 
@@ -57,7 +57,7 @@
 
 
 @attrs.define(eq=False)
-class Currency:
+class FreshnessCheck:
     """Checks the configuration in force against its source.
 
     Parameters
@@ -81,7 +81,7 @@
         If the last answer of the source is too old, it is queried, and a newer
         configuration is put into force. Concurrent callers share one query.
         """
-        if self.view.is_behind or self.source.is_away():
+        if self.view.is_behind or self.source.is_unavailable():
             return False
         if not self._is_fresh():
             await self._check_source()
--- a/src/balsamreach/catalogue/known.py
+++ b/src/balsamreach/catalogue/router_state.py
@@ -24,7 +24,7 @@
 
 
 @attrs.define(eq=False)
-class Known:
+class RouterState:
     """Configuration, targets and evacuations known to this router.
 
     Parameters
@@ -113,7 +113,9 @@
         if row.version <= self.view.version:
             return
         catalogue = self.decode(serialization.read_document(row))
-        if catalogue is not None and self.view.offer(catalogue, source):
+        if catalogue is not None and self.view.update_if_newer(
+            catalogue, source
+        ):
             self.metrics.count(LEARNT, what='configuration')
 
     def _apply_evacuation(self, source: str, row: TableRow) -> list[TableRow]:
--- a/src/balsamreach/catalogue/view.py
+++ b/src/balsamreach/catalogue/view.py
@@ -23,7 +23,7 @@
     """
 
     current: Catalogue | None = None
-    heard: int = 0
+    newest_known: int = 0
 
     @property
     def version(self) -> int:
@@ -33,11 +33,11 @@
     @property
     def is_behind(self) -> bool:
         """Whether another router has a newer configuration."""
-        return self.version < self.heard
+        return self.version < self.newest_known
 
-    def hear(self, version: int) -> None:
+    def record_version(self, version: int) -> None:
         """Record the version that another router has."""
-        self.heard = max(self.heard, version)
+        self.newest_known = max(self.newest_known, version)
 
     def prepaid(self, team: str) -> int | None:
         """Return a team's prepaid tokens, None if it is not metered."""
@@ -52,7 +52,7 @@
         teams = self.current.teams.items()
         return tuple(name for name, team in teams if team.prepaid is not None)
 
-    def offer(self, catalogue: Catalogue, source: str) -> bool:
+    def update_if_newer(self, catalogue: Catalogue, source: str) -> bool:
         """Put a configuration into force if it is newer.
 
         Configurations from several sources can arrive out of order. If an
--- a/src/balsamreach/daemon/parts.py
+++ b/src/balsamreach/daemon/parts.py
@@ -21,14 +21,17 @@
     open_watch,
 )
 from balsamreach.dispatch.dispatcher import Dispatcher
-from balsamreach.dispatch.elsewhere import make_others
+from balsamreach.dispatch.remote_runs import make_remote_run_parts
+from balsamreach.dispatch.request_attempts import (
+    AttemptParts,
+    make_attempt_parts,
+)
 from balsamreach.dispatch.run import RunParts
-from balsamreach.dispatch.tries import TryParts, make_try_parts
 from balsamreach.gateway.curl_upstream import CurlUpstream
 from balsamreach.gateway.traced_upstream import TracedUpstream
 from balsamreach.peers.net import TcpPeerNet
 from balsamreach.requests.claims import Claims
-from balsamreach.requests.registry import Answers
+from balsamreach.requests.registry import AnswerRegistry
 from balsamreach.routing.routing import Routing, make_routing
 from balsamreach.services.base import TableService
 from balsamreach.services.hosts_http import HttpHostList, HttpWeightStore
@@ -95,7 +98,7 @@
     routing = make_routing(cfg, targets, clock, net.rng, net.metrics, net)
     watch = _make_watch(cfg, net, service, targets, routing)
     upstream = CurlUpstream(cfg)
-    tries = make_try_parts(
+    attempt_parts = make_attempt_parts(
         cfg.requests,
         routing,
         TracedUpstream(upstream, net.metrics, clock),
@@ -114,7 +117,7 @@
         routing=routing,
         budgets=budgets,
         upstream=upstream,
-        dispatcher=_make_dispatcher(cfg, net, budgets, targets, tries),
+        dispatcher=_make_dispatcher(cfg, net, budgets, targets, attempt_parts),
         watch=watch,
     )
 
@@ -188,20 +191,22 @@
     net: TcpPeerNet,
     budgets: Budgets,
     targets: Targets,
-    tries: TryParts,
+    attempt_parts: AttemptParts,
 ) -> Dispatcher:
     clock, metrics = net.clock, net.metrics
-    answers = Answers(cfg.requests, clock, metrics)
+    answers = AnswerRegistry(cfg.requests, clock, metrics)
     claims = Claims(budgets.service, net.me.incarnation, clock, metrics)
-    others = make_others(net, answers, tries, targets, cfg)
+    remote_runs = make_remote_run_parts(
+        net, answers, attempt_parts, targets, cfg
+    )
     registration = budgets.book.registration
-    others.sharing.is_first = lambda: registration.is_new_address
+    remote_runs.directory.is_new_address = lambda: registration.is_new_address
     return Dispatcher(
         RunParts(
             budgets=budgets,
             claims=claims,
             answers=answers,
-            tries=tries,
-            others=others,
+            attempt_parts=attempt_parts,
+            remote_runs=remote_runs,
         ),
     )
--- a/src/balsamreach/daemon/relay_parts.py
+++ b/src/balsamreach/daemon/relay_parts.py
@@ -6,7 +6,7 @@
 import attrs
 
 from balsamreach.budget.holdings import Holdings
-from balsamreach.catalogue.currency import Currency
+from balsamreach.catalogue.freshness import FreshnessCheck
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.clock import Clock, SystemClock
 from balsamreach.config.settings import Settings
@@ -43,7 +43,7 @@
     metrics: Metrics
     net: TcpPeerNet
     view: CatalogueView
-    currency: Currency
+    freshness_check: FreshnessCheck
     places: RelayTargets
     chooser: Chooser
     exchange: RelayCurl
@@ -85,7 +85,7 @@
         metrics=core.metrics,
         net=core.net,
         view=core.view,
-        currency=core.currency,
+        freshness_check=core.freshness_check,
         places=chooser.places,
         chooser=chooser,
         exchange=exchange,
@@ -114,11 +114,11 @@
     rng: random.Random
     metrics: Metrics
     view: CatalogueView = attrs.field(factory=CatalogueView)
-    currency: Currency = attrs.field(init=False)
+    freshness_check: FreshnessCheck = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Confirm the configuration by the source that is set later."""
-        self.currency = Currency(self.view, self.clock)
+        self.freshness_check = FreshnessCheck(self.view, self.clock)
 
     def make_holdings(self, outside: Outside) -> Holdings:
         """Make what keeps the budgets."""
@@ -173,7 +173,7 @@
         )
         return RelayRunParts(
             codec=codec,
-            spending=PrepaidSpending(holdings, self.view, self.currency),
+            spending=PrepaidSpending(holdings, self.view, self.freshness_check),
             quarantine=quarantine,
             link=link,
             attempt_parts=attempt_parts,
--- a/src/balsamreach/daemon/relay_router.py
+++ b/src/balsamreach/daemon/relay_router.py
@@ -167,7 +167,7 @@
             return call
         # A route or key that this router doesn't know may be in a version
         # that it lacks. Told that there is none, a caller would not come back.
-        if not await parts.currency.confirm():
+        if not await parts.freshness_check.confirm():
             return faults.NOT_READY.because('a newer configuration may exist')
         return codec.read_request(request, parts.view.current)
 
@@ -181,8 +181,8 @@
             reason=fault.reason,
             outcome=fault.code,
             configuration=self.parts.view.version,
-            heard=self.parts.view.heard,
-            confirmed_ms=_as_ms(self.parts.currency.age()),
+            heard=self.parts.view.newest_known,
+            confirmed_ms=_as_ms(self.parts.freshness_check.age()),
         )
         run = self.parts.run
         answer = run.codec.refuse(run.retry_jitter.add_jitter(fault))
--- a/src/balsamreach/dispatch/answer_copier.py
+++ b/src/balsamreach/dispatch/answer_copier.py
@@ -11,7 +11,7 @@
 from balsamreach.dispatch.faults import DispatchFault
 from balsamreach.peers.base import PeerNet
 from balsamreach.requests.answers import Answer, Sink
-from balsamreach.requests.registry import JOINED_REQUESTS, Answers
+from balsamreach.requests.registry import JOINED_REQUESTS, AnswerRegistry
 from balsamreach.telemetry.metrics import Metrics
 from balsamreach.wire.answers import AnswerAsk, AnswerPart
 from balsamreach.wire.membership import Member
@@ -43,7 +43,7 @@
     ----------
     net : PeerNet
         The other routers.
-    answers : Answers
+    answers : AnswerRegistry
         Answers of this router.
     clock : Clock
         Clock of the deadlines.
@@ -52,7 +52,7 @@
     """
 
     net: PeerNet
-    answers: Answers
+    answers: AnswerRegistry
     clock: Clock
     metrics: Metrics
 
@@ -126,7 +126,7 @@
     async def _on_answer_ask(
         self, _member: Member, ask: AnswerAsk
     ) -> AnswerPart:
-        answer = self.answers.known(ask.team, ask.key)
+        answer = self.answers.get(ask.team, ask.key)
         if answer is None or answer.req.fingerprint != ask.fingerprint:
             return AnswerPart(known=False)
         # Two routers that are each told that the other one runs a request
@@ -168,7 +168,7 @@
         """Signal the change."""
         self.changed.set()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Signal that the answer can no longer be shared."""
         self.changed.set()
 
@@ -182,7 +182,7 @@
     fault = end.fault
     if not isinstance(fault, DispatchFault):
         return attrs.evolve(
-            _unfinished_part(answer, body), ended=True, whole=end.whole
+            _unfinished_part(answer, body), ended=True, whole=end.is_complete
         )
     return attrs.evolve(
         _unfinished_part(answer, body),
--- a/src/balsamreach/dispatch/attempts.py
+++ b/src/balsamreach/dispatch/attempt_sender.py
@@ -27,7 +27,7 @@
 
 
 @attrs.define
-class Attempts:
+class AttemptSender:
     """Sends attempts and classifies how they ended.
 
     Parameters
@@ -118,7 +118,7 @@
             output,
             attempt_id,
             wants_usage=call.wants_usage,
-            max_tokens=call.most_completion,
+            max_tokens=call.max_completion_tokens,
         )
     return PlainReply(output, attempt_id, check_json=call.kind == ENGINE)
 
--- a/src/balsamreach/dispatch/billing.py
+++ b/src/balsamreach/dispatch/billing.py
@@ -33,7 +33,7 @@
     claimed = not (call.idempotent or call.req.minted)
     claim_flags = (CLAIMED,) if claimed else ()
     if call.kind != ENGINE:
-        tokens = 0 if is_failure(reply.status) else call.most_tokens
+        tokens = 0 if is_failure(reply.status) else call.reserved_tokens
         return Bill(call.req.team, call.req.key, tokens, claim_flags)
     if reply.status >= _FIRST_ERROR_STATUS:
         return Bill(call.req.team, call.req.key, 0, claim_flags)
@@ -48,11 +48,11 @@
 ) -> tuple[int, tuple[str, ...]]:
     estimate = call.prompt_tokens + events
     if usage is None:
-        return min(estimate, call.most_tokens), (USAGE_MISSING,)
+        return min(estimate, call.reserved_tokens), (USAGE_MISSING,)
     if usage.prompt < 0 or usage.completion < 0:
-        return min(estimate, call.most_tokens), (USAGE_NEGATIVE,)
+        return min(estimate, call.reserved_tokens), (USAGE_NEGATIVE,)
     # Only the reserved tokens were set aside; billing more could exceed the
     # prepaid budget.
-    if usage.total > call.most_tokens:
-        return call.most_tokens, (USAGE_TOO_LARGE,)
+    if usage.total > call.reserved_tokens:
+        return call.reserved_tokens, (USAGE_TOO_LARGE,)
     return usage.total, ()
--- a/src/balsamreach/dispatch/call.py
+++ b/src/balsamreach/dispatch/call.py
@@ -36,9 +36,9 @@
         Whether the request may run more than once.
     prefix : bytes
         Leading part of the prompt, for cache affinity.
-    most_tokens : int
+    reserved_tokens : int
         Maximum number of tokens the request can use; reserved up front.
-    most_completion : int
+    max_completion_tokens : int
         Maximum number of completion tokens among them; 0 for no limit.
     prompt_tokens : int
         Estimated prompt tokens, billed if the target reports no usage.
@@ -58,10 +58,10 @@
     body: bytes
     stream: bool
     idempotent: bool
-    most_tokens: int
+    reserved_tokens: int
     deadline: float
     wants_usage: bool = False
     prefix: bytes = b''
-    most_completion: int = 0
+    max_completion_tokens: int = 0
     prompt_tokens: int = 0
     trace: Any = None
--- a/src/balsamreach/dispatch/dispatcher.py
+++ b/src/balsamreach/dispatch/dispatcher.py
@@ -60,7 +60,7 @@
         task.add_done_callback(lambda _done: self.running.pop(answer, None))
         return answer
 
-    def abandon(self, answer: Answer) -> None:
+    def cancel_if_unattended(self, answer: Answer) -> None:
         """Cancel a request whose caller left and cannot come back."""
         task = self.running.get(answer)
         if task is not None and answer.req.minted and not answer.listeners:
@@ -70,7 +70,7 @@
         """Run periodic maintenance, once a second, until cancelled."""
         while True:
             await self.parts.claims.clock.sleep(_MAINTENANCE_INTERVAL_S)
-            self.parts.others.sharing.update_members()
+            self.parts.remote_runs.directory.update_members()
             await self.parts.claims.release_all()
 
     async def drain(self) -> None:
--- a/src/balsamreach/dispatch/not_run_confirmer.py
+++ b/src/balsamreach/dispatch/not_run_confirmer.py
@@ -8,7 +8,7 @@
 from balsamreach.dispatch.run_directory import RunDirectory
 from balsamreach.peers.base import PeerNet
 from balsamreach.requests.identity import RequestId
-from balsamreach.requests.registry import Answers
+from balsamreach.requests.registry import AnswerRegistry
 from balsamreach.telemetry.metrics import Metrics
 from balsamreach.wire.membership import Member
 from balsamreach.wire.runs import RunAsk, RunsAsk, RunsKnown
@@ -36,17 +36,17 @@
     ----------
     net : PeerNet
         The other routers.
-    sharing : RunDirectory
+    directory : RunDirectory
         Runs that this router was told of.
-    answers : Answers
+    answers : AnswerRegistry
         Runs of this router, in progress and kept.
     metrics : Metrics
         Counts confirmations by outcome.
     """
 
     net: PeerNet
-    sharing: RunDirectory
-    answers: Answers
+    directory: RunDirectory
+    answers: AnswerRegistry
     metrics: Metrics
     _waiting: dict[asyncio.Future, RunAsk] = attrs.field(factory=dict)
     _query_task: asyncio.Task | None = None
@@ -103,15 +103,15 @@
         self,
         runs: tuple[RunAsk, ...],
     ) -> frozenset[RunAsk]:
-        members = self.sharing.home_routers.members()
-        me = self.sharing.me
+        members = self.directory.home_routers.members()
+        me = self.directory.me
         others = [one for one in members if one.incarnation != me]
         asks = (self._ask(one, RunsAsk(runs)) for one in others)
         answers = await asyncio.gather(*asks)
         # Checked after the queries, to include notes that arrived meanwhile.
         noted = self._noted_runs(me, runs)
-        members_hash = self.sharing.home_routers.members_hash()
-        if not self.sharing.is_complete():
+        members_hash = self.directory.home_routers.members_hash()
+        if not self.directory.is_complete():
             return frozenset(runs)
         known = set(noted)
         for answer in answers:
@@ -126,7 +126,7 @@
 
     async def _ask(self, member: Member, ask: RunsAsk) -> RunsKnown | None:
         try:
-            async with asyncio.timeout(self.sharing.cfg.ask_timeout):
+            async with asyncio.timeout(self.directory.cfg.ask_timeout):
                 answer = await self.net.ask(member.incarnation, ask)
         except TimeoutError:
             return None
@@ -139,14 +139,16 @@
             # A request in progress counts even though it may still be refused:
             # it may run after the asking router's caller was told that it did
             # not.
-            if self.answers.known(run.team, run.key) is not None
+            if self.answers.get(run.team, run.key) is not None
         ]
         known.extend(self._noted_runs(member.incarnation, ask.runs))
         return RunsKnown(
             tuple(known),
-            self.sharing.is_complete(),
-            self.sharing.home_routers.members_hash(),
+            self.directory.is_complete(),
+            self.directory.home_routers.members_hash(),
         )
 
     def _noted_runs(self, asker: str, runs: tuple[RunAsk, ...]) -> list[RunAsk]:
-        return [run for run in runs if self.sharing.knows_other_run(asker, run)]
+        return [
+            run for run in runs if self.directory.knows_other_run(asker, run)
+        ]
--- a/src/balsamreach/dispatch/placing.py
+++ b/src/balsamreach/dispatch/placing.py
@@ -43,19 +43,19 @@
 
         Each admitted call must be passed to `finish` once it has ended.
         """
-        refusal = self.routing.limits.enter(call.team, call.most_tokens)
+        refusal = self.routing.limits.enter(call.team, call.reserved_tokens)
         return None if refusal is None else _translate(refusal)
 
     def finish(self, call: Call, used_tokens: int) -> None:
         """Stop counting a call; unused reserved tokens are returned."""
-        self.routing.limits.leave(call.team, call.most_tokens, used_tokens)
+        self.routing.limits.leave(call.team, call.reserved_tokens, used_tokens)
 
     def check_available(self, call: Call) -> DispatchFault | None:
         """Return why no target accepts the call now, None if one may."""
         refusal = self.routing.refuse(_pool_of(call))
         return None if refusal is None else _translate(refusal)
 
-    async def place(self, call: Call) -> Slot | DispatchFault:
+    async def acquire_slot(self, call: Call) -> Slot | DispatchFault:
         """Wait in the fair queue and return a slot for the first attempt."""
         with hops.hop('queue'):
             slot = await self.routing.enter(_make_ask(call))
@@ -109,7 +109,7 @@
         deadline=call.deadline,
         prefix=call.prefix if call.kind == ENGINE else b'',
         weight=weight,
-        cost=max(1, call.most_tokens),
+        cost=max(1, call.reserved_tokens),
         idempotent=call.idempotent,
     )
 
--- a/src/balsamreach/dispatch/elsewhere.py
+++ b/src/balsamreach/dispatch/remote_runs.py
@@ -7,19 +7,19 @@
 from balsamreach.config.settings import Settings
 from balsamreach.dispatch import faults
 from balsamreach.dispatch.answer_copier import AnswerCopier, CopyResult
-from balsamreach.dispatch.attempts import make_reply
+from balsamreach.dispatch.attempt_sender import make_reply
 from balsamreach.dispatch.call import Call
 from balsamreach.dispatch.faults import DispatchFault
 from balsamreach.dispatch.not_run_confirmer import NotRunConfirmer
 from balsamreach.dispatch.replay import Replay, can_replay
 from balsamreach.dispatch.replies import GENERATION_HEADER
+from balsamreach.dispatch.request_attempts import AttemptParts, RequestAttempts
 from balsamreach.dispatch.resuming import Resumer, ResumeResult
 from balsamreach.dispatch.run_directory import RunDirectory, RunLookup
-from balsamreach.dispatch.tries import Tries, TryParts
 from balsamreach.dispatch.upstream import Attempt
 from balsamreach.peers.base import PeerNet
 from balsamreach.requests.answers import Answer
-from balsamreach.requests.registry import Answers
+from balsamreach.requests.registry import AnswerRegistry
 from balsamreach.targets.registry import Targets
 
 _NO_OTHER_RUN = RunLookup(home_complete=True, registered=True)
@@ -31,7 +31,7 @@
 
     Parameters
     ----------
-    sharing : RunDirectory
+    directory : RunDirectory
         Finds the router that runs a request.
     confirmer : NotRunConfirmer
         Asks all routers whether any of them ran a request.
@@ -43,23 +43,23 @@
         Targets that hold generations.
     """
 
-    sharing: RunDirectory
+    directory: RunDirectory
     confirmer: NotRunConfirmer
     copier: AnswerCopier
     resumer: Resumer
     targets: Targets
 
 
-def make_others(
+def make_remote_run_parts(
     net: PeerNet,
-    answers: Answers,
-    tries: TryParts,
+    answers: AnswerRegistry,
+    attempt_parts: AttemptParts,
     targets: Targets,
     cfg: Settings,
 ) -> RemoteRunParts:
     """Build the components that give access to runs at other routers."""
-    clock, metrics = tries.clock, tries.metrics
-    sharing = RunDirectory(
+    clock, metrics = attempt_parts.clock, attempt_parts.metrics
+    directory = RunDirectory(
         net,
         cfg.requests,
         cfg.peers.max_peers,
@@ -67,10 +67,10 @@
         metrics,
     )
     return RemoteRunParts(
-        sharing=sharing,
-        confirmer=NotRunConfirmer(net, sharing, answers, metrics),
+        directory=directory,
+        confirmer=NotRunConfirmer(net, directory, answers, metrics),
         copier=AnswerCopier(net, answers, clock, metrics),
-        resumer=tries.resumer,
+        resumer=attempt_parts.resumer,
         targets=targets,
     )
 
@@ -101,7 +101,7 @@
         if self.call.req.minted:
             return None
         self._not_run_is_certain = False
-        self._lookup = await self.parts.sharing.look_up(self.call.req)
+        self._lookup = await self.parts.directory.look_up(self.call.req)
         note = self._lookup.note
         if note is None or note.fingerprint == self.call.req.fingerprint:
             return None
@@ -124,7 +124,7 @@
         note = self._lookup.note
         if not holder and note is not None:
             holder = note.incarnation
-        if not holder or holder == self.parts.sharing.me:
+        if not holder or holder == self.parts.directory.me:
             return None
         copied = await self.parts.copier.copy(
             holder,
@@ -200,14 +200,16 @@
         # run, even one of this router. Without the note the next refusal would
         # wrongly be reported as certain.
         if self._lookup.registered and not self.call.req.minted:
-            self.parts.sharing.retract(self.call.req)
+            self.parts.directory.retract(self.call.req)
 
-    def publish_generation(self, tries: Tries, headers: dict[str, str]) -> None:
+    def publish_generation(
+        self, attempts: RequestAttempts, headers: dict[str, str]
+    ) -> None:
         """Send the generation that answers the request to the home router."""
         generation = headers.get(GENERATION_HEADER, '')
         if self.call.stream and generation:
-            self.parts.sharing.publish_generation(
+            self.parts.directory.publish_generation(
                 self.call.req,
-                tries.target,
+                attempts.target,
                 generation,
             )
--- a/src/balsamreach/dispatch/replies.py
+++ b/src/balsamreach/dispatch/replies.py
@@ -72,7 +72,7 @@
         self._is_forwarding = False
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether every attached caller is far behind."""
         # If a caller reads slowly, or stops reading without closing, its whole
         # answer would pile up in its connection's buffer.
--- a/src/balsamreach/dispatch/tries.py
+++ b/src/balsamreach/dispatch/request_attempts.py
@@ -10,8 +10,8 @@
 from balsamreach.clock import Clock
 from balsamreach.config.settings import RequestsSettings
 from balsamreach.dispatch import faults
-from balsamreach.dispatch.attempts import (
-    Attempts,
+from balsamreach.dispatch.attempt_sender import (
+    AttemptSender,
     first_byte_shows_queueing,
     make_reply,
 )
@@ -44,31 +44,31 @@
 
 
 @attrs.frozen(kw_only=True)
-class TryParts:
+class AttemptParts:
     """Components shared by the attempts of all requests."""
 
     cfg: RequestsSettings
     placer: Placer
-    attempts: Attempts
+    attempts: AttemptSender
     resumer: Resumer
     clock: Clock
     metrics: Metrics
 
 
-def make_try_parts(
+def make_attempt_parts(
     cfg: RequestsSettings,
     routing: Routing,
     upstream: Upstream,
     announcements: Announcements | None = None,
-) -> TryParts:
+) -> AttemptParts:
     """Build the components that one router's attempts share."""
-    attempts = Attempts(
+    attempts = AttemptSender(
         upstream,
         routing.clock,
         routing.feedback,
         announcements,
     )
-    return TryParts(
+    return AttemptParts(
         cfg=cfg,
         placer=Placer(routing),
         attempts=attempts,
@@ -79,12 +79,12 @@
 
 
 @attrs.define(eq=False)
-class Tries:
+class RequestAttempts:
     """The attempts of one request.
 
     Parameters
     ----------
-    parts : TryParts
+    parts : AttemptParts
         Shared components.
     call : Call
         The request.
@@ -99,7 +99,7 @@
         Whether any attempt may have reached a target that ran the request.
     """
 
-    parts: TryParts
+    parts: AttemptParts
     call: Call
     answer: Answer
     reply: Reply | None = None
--- a/src/balsamreach/dispatch/reserving.py
+++ b/src/balsamreach/dispatch/reserving.py
@@ -29,8 +29,10 @@
     Reservation or DispatchFault
         With a fault, nothing was reserved.
     """
-    with hops.hop('allotment', tokens=call.most_tokens):
-        reservation = await budgets.reserve(call.team.name, call.most_tokens)
+    with hops.hop('allotment', tokens=call.reserved_tokens):
+        reservation = await budgets.reserve(
+            call.team.name, call.reserved_tokens
+        )
     if isinstance(reservation, BudgetFault):
         return _translate(reservation)
     return reservation
--- a/src/balsamreach/dispatch/resuming.py
+++ b/src/balsamreach/dispatch/resuming.py
@@ -6,7 +6,7 @@
 
 from balsamreach.clock import Clock
 from balsamreach.dispatch import faults
-from balsamreach.dispatch.attempts import Attempts
+from balsamreach.dispatch.attempt_sender import AttemptSender
 from balsamreach.dispatch.call import Call
 from balsamreach.dispatch.faults import DispatchFault
 from balsamreach.dispatch.replies import PlainReply, Reply
@@ -45,7 +45,7 @@
 
     Parameters
     ----------
-    attempts : Attempts
+    attempts : AttemptSender
         Sends the requests to the engine.
     clock : Clock
         Clock of retries and of the cancel deadline.
@@ -53,7 +53,7 @@
         Counts resumed streams and cancelled generations.
     """
 
-    attempts: Attempts
+    attempts: AttemptSender
     clock: Clock
     metrics: Metrics
     _cancels: set[asyncio.Task] = attrs.field(factory=set)
--- a/src/balsamreach/dispatch/run.py
+++ b/src/balsamreach/dispatch/run.py
@@ -12,17 +12,17 @@
 from balsamreach.dispatch import faults
 from balsamreach.dispatch.billing import make_bill
 from balsamreach.dispatch.call import Call
-from balsamreach.dispatch.elsewhere import RemoteRun, RemoteRunParts
 from balsamreach.dispatch.faults import DispatchFault
 from balsamreach.dispatch.placing import Placer
+from balsamreach.dispatch.remote_runs import RemoteRun, RemoteRunParts
 from balsamreach.dispatch.replies import PlainReply, Reply
+from balsamreach.dispatch.request_attempts import AttemptParts, RequestAttempts
 from balsamreach.dispatch.reserving import reserve
-from balsamreach.dispatch.tries import Tries, TryParts
 from balsamreach.requests import faults as request_faults
-from balsamreach.requests.answers import Answer, End
+from balsamreach.requests.answers import Answer, AnswerEnd
 from balsamreach.requests.claims import Claim, Claims, HeldClaim
 from balsamreach.requests.faults import RequestFault
-from balsamreach.requests.registry import Answers
+from balsamreach.requests.registry import AnswerRegistry
 from balsamreach.routing.slot import Slot
 from balsamreach.table.rows import ENGINE
 from balsamreach.telemetry.logs import log_event
@@ -39,19 +39,19 @@
 
     budgets: Budgets
     claims: Claims
-    answers: Answers
-    tries: TryParts
-    others: RemoteRunParts
+    answers: AnswerRegistry
+    attempt_parts: AttemptParts
+    remote_runs: RemoteRunParts
 
     @property
     def placer(self) -> Placer:
         """Checks team limits and allocates target slots."""
-        return self.tries.placer
+        return self.attempt_parts.placer
 
     @property
     def metrics(self) -> Metrics:
         """Metrics registry."""
-        return self.tries.metrics
+        return self.attempt_parts.metrics
 
 
 @attrs.define(eq=False)
@@ -80,7 +80,7 @@
     def __attrs_post_init__(self) -> None:
         """Create the view of runs at other routers."""
         self._remote = RemoteRun(
-            self.parts.others,
+            self.parts.remote_runs,
             self.call,
             self.answer,
         )
@@ -152,7 +152,7 @@
         # The slot is taken after the reservation: drawing tokens from the
         # platform can take seconds, and a slot held meanwhile would leave its
         # target idle.
-        slot = await self.parts.placer.place(self.call)
+        slot = await self.parts.placer.acquire_slot(self.call)
         if isinstance(slot, DispatchFault):
             return slot
         claim = await self._claim(slot)
@@ -192,21 +192,23 @@
         claim: Claim | None,
         reservation: Reservation,
     ) -> DispatchFault | None:
-        tries = Tries(self.parts.tries, self.call, self.answer)
+        attempts = RequestAttempts(
+            self.parts.attempt_parts, self.call, self.answer
+        )
         if not self.call.req.minted:
             self.answer.on_start = functools.partial(
                 self._remote.publish_generation,
-                tries,
+                attempts,
             )
         try:
-            fault = await tries.run(slot)
+            fault = await attempts.run(slot)
         except asyncio.CancelledError:
-            if tries.may_have_run:
-                self._bill(tries.reply, reservation)
+            if attempts.may_have_run:
+                self._bill(attempts.reply, reservation)
             raise
-        buffered = self._is_buffered_answer(tries.reply, fault)
+        buffered = self._is_buffered_answer(attempts.reply, fault)
         if buffered or fault is None or self.answer.status:
-            self._bill(tries.reply, reservation)
+            self._bill(attempts.reply, reservation)
         if buffered or fault is None:
             # The bill is secured before the end of the answer is delivered.
             # Otherwise a caller could have the complete answer unbilled if
@@ -214,8 +216,8 @@
             await self.parts.budgets.wait_for_copies()
             fault = None
         if buffered:
-            tries.reply.deliver()
-        if tries.may_have_run:
+            attempts.reply.deliver()
+        if attempts.may_have_run:
             return _as_maybe_run(self.call, fault)
         if claim is not None:
             self.parts.claims.schedule_release(claim)
@@ -247,16 +249,18 @@
     def _finish(self, fault: DispatchFault | None) -> None:
         answers = self.parts.answers
         if fault is None:
-            answers.finish(self.answer, End(whole=True))
+            answers.finish(self.answer, AnswerEnd(is_complete=True))
             return
         if self._was_refused:
             # A refused request must leave no trace, so that its key can be
             # used again.
             self._remote.retract()
-            answers.finish(self.answer, End(whole=False, fault=fault))
+            answers.finish(
+                self.answer, AnswerEnd(is_complete=False, fault=fault)
+            )
             answers.drop(self.answer)
             return
-        answers.finish(self.answer, End(whole=False, fault=fault))
+        answers.finish(self.answer, AnswerEnd(is_complete=False, fault=fault))
         self.parts.metrics.count(UNKNOWN_OUTCOMES, code=fault.code)
         log_event(
             _logger,
--- a/src/balsamreach/dispatch/run_directory.py
+++ b/src/balsamreach/dispatch/run_directory.py
@@ -71,7 +71,7 @@
     max_peers: int
     clock: Clock
     metrics: Metrics
-    is_first: Callable[[], bool] = _always
+    is_new_address: Callable[[], bool] = _always
     me: str = attrs.field(init=False)
     notes: RunNotes = attrs.field(init=False)
     home_routers: HomeRouters = attrs.field(init=False)
@@ -136,7 +136,9 @@
         outlived_notes = (
             self.clock.now() >= self._started_at + self.cfg.keep_answers
         )
-        return self.notes.is_complete and (outlived_notes or self.is_first())
+        return self.notes.is_complete and (
+            outlived_notes or self.is_new_address()
+        )
 
     def knows_other_run(self, asker: str, ask: RunAsk) -> bool:
         """Return whether a run other than the asker's is noted."""
--- a/src/balsamreach/dispatch/upstream.py
+++ b/src/balsamreach/dispatch/upstream.py
@@ -34,7 +34,7 @@
 
 
 #: Called with the status and headers of an answer, header names in lower case.
-HeadTaker = Callable[[int, dict[str, str]], None]
+HeadCallback = Callable[[int, dict[str, str]], None]
 
 
 @attrs.frozen
@@ -72,19 +72,19 @@
     def __init__(self) -> None:
         self.sent = False
         self.closed = False
-        self.on_head: HeadTaker | None = None
+        self.on_head: HeadCallback | None = None
 
     def close(self) -> None:
         """End the attempt permanently.
 
-        If the transport is still waiting for a connection, `before_send` now
+        If the transport is still waiting for a connection, `may_send` now
         forbids sending. Otherwise the request could be sent after its caller
         was told that it did not run.
         """
         self.closed = True
         self.on_head = None
 
-    def before_send(self) -> bool:
+    def may_send(self) -> bool:
         """Record that the request is about to be sent, once.
 
         Returns
@@ -100,7 +100,7 @@
         return True
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether to pause reading until callers have caught up."""
         return False
 
@@ -128,11 +128,11 @@
         -------
         UpstreamFault or None
             None if the HTTP exchange completed, with any status. NOT_SENT only
-            if ``intake.before_send`` never returned True.
+            if ``intake.may_send`` never returned True.
 
         Notes
         -----
-        An implementation calls ``intake.before_send`` each time right before
+        An implementation calls ``intake.may_send`` each time right before
         the first byte of the request can be sent, and sends nothing if that
         returns False. Whether callers are told that their request ran depends
         on this. Cancelling the task closes the connection.
--- a/src/balsamreach/gateway/caller_handler.py
+++ b/src/balsamreach/gateway/caller_handler.py
@@ -10,7 +10,7 @@
 from balsamreach.gateway.base import ObservedHandler
 from balsamreach.gateway.call_headers import CallTerms, read_terms
 from balsamreach.gateway.refusals import Refusal, error_event, from_fault
-from balsamreach.requests.answers import End
+from balsamreach.requests.answers import AnswerEnd
 from balsamreach.requests.faults import RequestFault
 from balsamreach.requests.identity import RequestId, check_key, fingerprint
 from balsamreach.table.rows import PAUSED, TeamRow
@@ -105,9 +105,9 @@
         super().on_connection_close()
         if self.answer is not None:
             self.answer.detach(self.sink)
-            self.context.dispatcher.abandon(self.answer)
+            self.context.dispatcher.cancel_if_unattended(self.answer)
 
-    def _finish_with(self, end: End) -> None:
+    def _finish_with(self, end: AnswerEnd) -> None:
         try:
             self._finish_checked(end)
         except StreamClosedError:
@@ -121,9 +121,9 @@
             return attrs.evolve(refusal, repeatable=False)
         return refusal
 
-    def _finish_checked(self, end: End) -> None:
+    def _finish_checked(self, end: AnswerEnd) -> None:
         self.sink.flush()
-        if end.whole:
+        if end.is_complete:
             self.finish()
             return
         assert isinstance(end.fault, DispatchFault)
@@ -137,7 +137,7 @@
         else:
             # An error added to a half body would pass for a part of it. A
             # connection that closes early is what tells the caller.
-            self.sink.cut()
+            self.sink.abort()
 
     def _sends_events(self) -> bool:
         kind = str(self._headers.get('Content-Type', ''))
--- a/src/balsamreach/gateway/curl_transfer.py
+++ b/src/balsamreach/gateway/curl_transfer.py
@@ -49,7 +49,7 @@
         # closes without an answer. A certificate would be made twice, and
         # a request that crashes its target would hit it again unseen by
         # the retry budget. The intake allows the first sending only.
-        if self.intake.before_send():
+        if self.intake.may_send():
             return pycurl.PREREQFUNC_OK
         self.problem = 'the target closed a reused connection'
         return pycurl.PREREQFUNC_ABORT
@@ -68,7 +68,7 @@
 
     def take_body(self, chunk: bytes) -> int | None:
         """Take bytes of the body, or pause where the callers are behind."""
-        if self.intake.full:
+        if self.intake.is_full:
             self._pause()
             return pycurl.WRITEFUNC_PAUSE
         self.heard = True
--- a/src/balsamreach/gateway/curl_watch.py
+++ b/src/balsamreach/gateway/curl_watch.py
@@ -76,7 +76,7 @@
         self._resume = loop.call_later(_PAUSE_S, self._ask_callers)
 
     def _ask_callers(self) -> None:
-        if self.transfer.intake.full:
+        if self.transfer.intake.is_full:
             self._wait_for_callers()
             return
         self.transfer.paused = False
--- a/src/balsamreach/gateway/service_handler.py
+++ b/src/balsamreach/gateway/service_handler.py
@@ -76,7 +76,7 @@
             body=self.request.body,
             stream=False,
             idempotent=terms.idempotent and not _runs_once(workers, path),
-            most_tokens=max(row.price for row in workers),
+            reserved_tokens=max(row.price for row in workers),
             deadline=self.received + terms.timeout,
             trace=self.span,
         )
--- a/src/balsamreach/gateway/sinks.py
+++ b/src/balsamreach/gateway/sinks.py
@@ -67,7 +67,7 @@
         else:
             self._send(framed)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Close the connection of a caller that reads too slowly."""
         connection = self._handler.request.connection
         if isinstance(connection, HTTP1Connection):
--- a/src/balsamreach/platform/configuration.py
+++ b/src/balsamreach/platform/configuration.py
@@ -154,7 +154,7 @@
         services = self._services.read(fields['services'])
         teams = self._teams.read(fields.get('tenants') or ())
         routes = self._routes.read(fields['routes'])
-        self._index = self._index.changed_to(routes)
+        self._index = self._index.with_routes(routes)
         return Catalogue(
             version=int(fields['version']),
             routes=routes,
--- a/src/balsamreach/platform/feed.py
+++ b/src/balsamreach/platform/feed.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from balsamreach.catalogue.currency import ConfigurationSource
+from balsamreach.catalogue.freshness import ConfigurationSource
 from balsamreach.clock import Clock
 from balsamreach.platform.feed_reader import FeedReader
 from balsamreach.platform.pages import PageSharing, newest_rows
@@ -131,7 +131,7 @@
         """Return the send time of the last call that the store answered."""
         return self._confirmed_at
 
-    def is_away(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Return whether the store is unreachable from this router."""
         return self._away
 
--- a/src/balsamreach/platform/feeds.py
+++ b/src/balsamreach/platform/feeds.py
@@ -99,13 +99,13 @@
             )
             self._note_unread_version(row)
             return
-        self.view.offer(catalogue, _SOURCE)
+        self.view.update_if_newer(catalogue, _SOURCE)
 
     def _note_unread_version(self, row: StoredRow) -> None:
         # The configuration in force is now known to be outdated.
         version = row.fields.get('version')
         if isinstance(version, int):
-            self.view.hear(version)
+            self.view.record_version(version)
 
 
 @attrs.define
--- a/src/balsamreach/platform/router.py
+++ b/src/balsamreach/platform/router.py
@@ -4,7 +4,7 @@
 from functools import partial
 
 from balsamreach.catalogue.exchange import CatalogueExchange
-from balsamreach.catalogue.known import Known
+from balsamreach.catalogue.router_state import RouterState
 from balsamreach.clock import SystemClock
 from balsamreach.config.settings import Settings
 from balsamreach.daemon.relay_parts import RelayParts, make_relay_parts
@@ -57,9 +57,9 @@
         exchange,
         times,
     )
-    parts.holdings.book.is_away = configuration.feed.is_away
-    parts.currency.source = configuration.feed
-    parts.run.attempt_parts.notices.tell = exchange.tell_target
+    parts.holdings.book.is_away = configuration.feed.is_unavailable
+    parts.freshness_check.source = configuration.feed
+    parts.run.attempt_parts.notices.tell = exchange.send_target
     address = f'{cfg.peers.address}:{cfg.peers.port}'
     return RelayRouter(
         parts,
@@ -69,12 +69,12 @@
             targets.feed.run,
             partial(hosts.register, address, cfg.host.zone),
         ),
-        (targets.remove_expired, exchange.catch_up),
+        (targets.remove_expired, exchange.send_leaving_targets),
     )
 
 
 def _make_exchange(parts: RelayParts) -> CatalogueExchange:
-    known = Known(
+    known = RouterState(
         parts.view,
         parts.places,
         parts.chooser.evacuations,
@@ -105,14 +105,14 @@
     configuration = ConfigurationFeed(
         parts.view,
         parts.chooser.evacuations,
-        exchange.tell_evacuation,
+        exchange.send_evacuation,
     )
     configuration.create_feed(feeds)
     targets = TargetsFeed(
         parts.places,
         parts.clock,
-        exchange.tell_target,
-        exchange.tell_gone,
+        exchange.send_target,
+        exchange.send_removed_target,
     )
     targets.create_feed(feeds)
     return configuration, targets
--- a/src/balsamreach/relay/prepaid_spending.py
+++ b/src/balsamreach/relay/prepaid_spending.py
@@ -4,7 +4,7 @@
 
 from balsamreach.budget.faults import EXHAUSTED, BudgetFault
 from balsamreach.budget.holdings import Holdings
-from balsamreach.catalogue.currency import Currency
+from balsamreach.catalogue.freshness import FreshnessCheck
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.relay import faults
 from balsamreach.relay.call import RelayCall
@@ -22,13 +22,13 @@
         Tokens that this router may spend.
     view : CatalogueView
         Prepaid tokens of each team.
-    currency : Currency
+    freshness_check : FreshnessCheck
         Confirms that the view is up to date.
     """
 
     holdings: Holdings
     view: CatalogueView
-    currency: Currency
+    freshness_check: FreshnessCheck
 
     async def reserve(self, call: RelayCall) -> Reservation | RelayFault:
         """Reserve the maximum number of tokens that the request may use."""
@@ -39,7 +39,7 @@
         reserved = await self.holdings.reserve(call.team_name, tokens)
         if reserved == EXHAUSTED and self._exceeds_balance(call):
             # A newer version of the configuration may have raised the budget.
-            if not await self.currency.confirm():
+            if not await self.freshness_check.confirm():
                 return _unreachable(reserved)
             if self._exceeds_balance(call):
                 return faults.BUDGET_EXHAUSTED.because(reserved.reason)
--- a/src/balsamreach/relay/response_intakes.py
+++ b/src/balsamreach/relay/response_intakes.py
@@ -116,7 +116,7 @@
         self.on_events = on_events
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether reading should pause until the caller has caught up."""
         return self.caller_response.should_pause
 
--- a/src/balsamreach/requests/answers.py
+++ b/src/balsamreach/requests/answers.py
@@ -47,12 +47,12 @@
         """Receive the next bytes of the body."""
 
     @abc.abstractmethod
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort because the caller is too far behind."""
 
 
 @attrs.frozen
-class End:
+class AnswerEnd:
     """How an answer ended.
 
     Parameters
@@ -63,7 +63,7 @@
         The dispatch fault if it is incomplete.
     """
 
-    whole: bool
+    is_complete: bool
     fault: object = None
 
 
@@ -110,7 +110,7 @@
         self._end = asyncio.get_running_loop().create_future()
 
     @property
-    def end(self) -> End | None:
+    def end(self) -> AnswerEnd | None:
         """How it ended; None while in progress."""
         return self._end.result() if self._end.done() else None
 
@@ -165,14 +165,14 @@
         if forwarded:
             self._publish(forwarded)
 
-    def finish(self, end: End, now: float) -> None:
+    def finish(self, end: AnswerEnd, now: float) -> None:
         """End the answer; called once."""
-        if end.whole and self._end_marker.held:
+        if end.is_complete and self._end_marker.held:
             self._publish(self._end_marker.held)
         self.ended_at = now
         self._end.set_result(end)
 
-    async def wait(self) -> End:
+    async def wait(self) -> AnswerEnd:
         """Wait for the end and return how the answer ended."""
         return await asyncio.shield(self._end)
 
@@ -192,4 +192,4 @@
         for sink in tuple(self._sinks):
             if sink.backlog > limit:
                 self._sinks.remove(sink)
-                sink.cut()
+                sink.abort()
--- a/src/balsamreach/requests/registry.py
+++ b/src/balsamreach/requests/registry.py
@@ -6,7 +6,7 @@
 
 from balsamreach.clock import Clock
 from balsamreach.config.settings import RequestsSettings
-from balsamreach.requests.answers import Answer, End
+from balsamreach.requests.answers import Answer, AnswerEnd
 from balsamreach.requests.body import AnswerMemory, Body
 from balsamreach.requests.faults import (
     ANSWER_NOT_KEPT,
@@ -27,7 +27,7 @@
 
 
 @attrs.define(eq=False)
-class Answers(AnswerMemory):
+class AnswerRegistry(AnswerMemory):
     """Answers by request, of which duplicates get a copy.
 
     Parameters
@@ -54,7 +54,7 @@
         """Maximum bytes of one answer."""
         return self.cfg.answer_bytes
 
-    def known(self, team: str, key: str) -> Answer | None:
+    def get(self, team: str, key: str) -> Answer | None:
         """Return a request's answer, in progress or kept."""
         known = self._in_progress.get((team, key))
         return known or self._kept.get((team, key))
@@ -74,7 +74,7 @@
             None if the request is to run.
         """
         self._expire()
-        known = self.known(req.team, req.key)
+        known = self.get(req.team, req.key)
         if known is None:
             return None
         if known.req.fingerprint != req.fingerprint:
@@ -107,7 +107,7 @@
         self._update_gauges()
         return answer
 
-    def finish(self, answer: Answer, end: End) -> None:
+    def finish(self, answer: Answer, end: AnswerEnd) -> None:
         """End an answer and keep it for later duplicates."""
         key = (answer.req.team, answer.req.key)
         self._in_progress.pop(key, None)
@@ -157,7 +157,7 @@
         self.metrics.gauge(_IN_PROGRESS_GAUGE, len(self._in_progress))
 
 
-def _must_run_again(answer: Answer, end: End) -> bool:
+def _must_run_again(answer: Answer, end: AnswerEnd) -> bool:
     # A broken answer must not stay under its key: every retry would get the
     # same error until the key expires, although another target could answer.
-    return answer.idempotent and not (end.whole and answer.joinable)
+    return answer.idempotent and not (end.is_complete and answer.joinable)
--- a/tests/fake_upstream.py
+++ b/tests/fake_upstream.py
@@ -68,7 +68,7 @@
         if is_run and self.coming:
             planned = self.coming
         fault = planned.popleft() if planned and is_run else ''
-        if name in self.dead or fault == REFUSE or not intake.before_send():
+        if name in self.dead or fault == REFUSE or not intake.may_send():
             return NOT_SENT
         if not is_run:
             return await self._resume(attempt, intake)
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -44,7 +44,7 @@
 
     def __attrs_post_init__(self) -> None:
         """Create the parts, with two targets of each service."""
-        self.view.offer(CATALOGUE, 'test')
+        self.view.update_if_newer(CATALOGUE, 'test')
         self.chooser = make_chooser(
             'zone-a',
             FakeNet().join('router'),
--- a/tests/relay_scripts.py
+++ b/tests/relay_scripts.py
@@ -29,7 +29,7 @@
         intake: Intake,
     ) -> UpstreamFault | None:
         """Send the response."""
-        assert intake.before_send()
+        assert intake.may_send()
         intake.start(self.status, self.headers)
         for chunk in self.chunks:
             intake.write(chunk)
@@ -65,7 +65,7 @@
         intake: Intake,
     ) -> UpstreamFault | None:
         """Receive the request."""
-        assert intake.before_send()
+        assert intake.may_send()
         return self.fault
 
 
@@ -85,7 +85,7 @@
         """Run the next script."""
         self.sent.append(outgoing)
         if self.hang:
-            assert intake.before_send()
+            assert intake.may_send()
             await asyncio.get_running_loop().create_future()
         return self.scripts.pop(0)(outgoing, intake)
 
--- a/tests/small_router.py
+++ b/tests/small_router.py
@@ -9,13 +9,13 @@
 from balsamreach.config.reader import read_settings
 from balsamreach.dispatch.call import Call
 from balsamreach.dispatch.dispatcher import Dispatcher
-from balsamreach.dispatch.elsewhere import make_others
+from balsamreach.dispatch.remote_runs import make_remote_run_parts
+from balsamreach.dispatch.request_attempts import make_attempt_parts
 from balsamreach.dispatch.run import RunParts
-from balsamreach.dispatch.tries import make_try_parts
 from balsamreach.requests.answers import Sink
 from balsamreach.requests.claims import Claims
 from balsamreach.requests.identity import RequestId, mint_key
-from balsamreach.requests.registry import Answers
+from balsamreach.requests.registry import AnswerRegistry
 from balsamreach.routing.routing import Routing, make_routing
 from balsamreach.services.base import Commit, Write
 from balsamreach.table.rows import TargetRow, TeamRow
@@ -55,7 +55,7 @@
         self.body += chunk
         self.came.set()
 
-    def cut(self):
+    def abort(self):
         """Never meant to happen here."""
         raise AssertionError('the caller was cut off')
 
@@ -100,14 +100,18 @@
             net,
         )
         service = self.platform.table
-        answers = Answers(cfg.requests, self.clock, metrics)
-        tries = make_try_parts(cfg.requests, self.routing, self.upstream)
+        answers = AnswerRegistry(cfg.requests, self.clock, metrics)
+        attempt_parts = make_attempt_parts(
+            cfg.requests, self.routing, self.upstream
+        )
         parts = RunParts(
             budgets=Budgets(service, self.name, cfg.budget, self.clock),
             claims=Claims(service, self.name, self.clock, metrics),
             answers=answers,
-            tries=tries,
-            others=make_others(net, answers, tries, self.targets, cfg),
+            attempt_parts=attempt_parts,
+            remote_runs=make_remote_run_parts(
+                net, answers, attempt_parts, self.targets, cfg
+            ),
         )
         self.dispatcher = Dispatcher(parts)
 
@@ -147,8 +151,8 @@
             body=b'{}',
             stream=True,
             idempotent=True,
-            most_tokens=100,
-            most_completion=50,
+            reserved_tokens=100,
+            max_completion_tokens=50,
             prompt_tokens=2,
             deadline=_in_a_minute(self.clock),
         )
@@ -166,8 +170,8 @@
         'name': 'desk',
         'path': '/book',
         'stream': False,
-        'most_tokens': 1,
-        'most_completion': 0,
+        'reserved_tokens': 1,
+        'max_completion_tokens': 0,
     }
     return plain | changes
 
--- a/tests/test_catalogue_currency.py
+++ b/tests/test_catalogue_currency.py
@@ -6,7 +6,7 @@
 import attrs
 from parameterized import parameterized
 
-from balsamreach.catalogue.currency import ConfigurationSource, Currency
+from balsamreach.catalogue.freshness import ConfigurationSource, FreshnessCheck
 from balsamreach.catalogue.view import CatalogueView
 from tests.relay_samples import CATALOGUE
 from tests.support import FakeClock
@@ -22,7 +22,7 @@
     answers: bool = True
     query_count: int = 0
 
-    def is_away(self):
+    def is_unavailable(self):
         return self.away
 
     def confirmed_at(self):
@@ -42,8 +42,10 @@
         self.clock = FakeClock()
         self.source = _Source(self.clock)
         self.view = CatalogueView()
-        self.view.offer(CATALOGUE, 'store')
-        self.currency = Currency(self.view, self.clock, self.source)
+        self.view.update_if_newer(CATALOGUE, 'store')
+        self.freshness_check = FreshnessCheck(
+            self.view, self.clock, self.source
+        )
 
     @parameterized.expand(
         [
@@ -64,16 +66,16 @@
     ):
         for name, value in state.items():
             setattr(self.source, name, value)
-        self.assertEqual(await self.currency.confirm(), confirmed)
+        self.assertEqual(await self.freshness_check.confirm(), confirmed)
         self.assertEqual(self.source.query_count, query_count)
 
     async def test_not_confirmed_if_a_peer_has_a_newer_version(self):
         self.source.answered_at = self.clock.now()
-        self.view.hear(CATALOGUE.version + 1)
-        self.assertFalse(await self.currency.confirm())
+        self.view.record_version(CATALOGUE.version + 1)
+        self.assertFalse(await self.freshness_check.confirm())
 
     async def test_concurrent_confirmations_share_a_query(self):
         """Guards against a call to the store for each unknown key."""
-        asks = (self.currency.confirm() for _ in range(50))
+        asks = (self.freshness_check.confirm() for _ in range(50))
         self.assertEqual(set(await asyncio.gather(*asks)), {True})
         self.assertEqual(self.source.query_count, 1)
--- a/tests/test_catalogue_exchange.py
+++ b/tests/test_catalogue_exchange.py
@@ -9,7 +9,7 @@
 
 from balsamreach.catalogue import serialization
 from balsamreach.catalogue.exchange import CatalogueExchange
-from balsamreach.catalogue.known import Known
+from balsamreach.catalogue.router_state import RouterState
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.placement.evacuations import Evacuation, Evacuations
 from balsamreach.placement.relay_targets import RelayTargets
@@ -41,7 +41,7 @@
     def __attrs_post_init__(self) -> None:
         """Register the message handlers."""
         self.evacuations = Evacuations(self.clock)
-        known = Known(
+        known = RouterState(
             self.view,
             self.places,
             self.evacuations,
@@ -93,8 +93,8 @@
         Without another way to learn of the version, that router would accept a
         removed key for seconds.
         """
-        self.two.view.offer(_version(5), 'store')
-        self.one.view.offer(_version(6), 'store')
+        self.two.view.update_if_newer(_version(5), 'store')
+        self.one.view.update_if_newer(_version(6), 'store')
         await self.beat(self.one, self.two)
         self.assertEqual(self.two.view.version, 6)
 
@@ -105,7 +105,9 @@
         """
         written = []
         write = partial(_record_and_write, written)
-        self.one.view.offer(attrs.evolve(_version(6), write=write), 'store')
+        self.one.view.update_if_newer(
+            attrs.evolve(_version(6), write=write), 'store'
+        )
         for name in ('three', 'four'):
             late = Router(self.fabric.join(name), self.clock)
             await self.beat(self.one, late)
@@ -114,23 +116,23 @@
 
     async def test_version_from_the_store_is_not_fetched(self):
         """A version that the store delivers meanwhile is not fetched."""
-        self.two.view.offer(_version(5), 'store')
-        self.one.view.offer(_version(6), 'store')
+        self.two.view.update_if_newer(_version(5), 'store')
+        self.one.view.update_if_newer(_version(6), 'store')
         self.one.net.tell('two', Heartbeat(6))
         await self.fabric.settle()
-        self.two.view.offer(_version(6), 'store')
+        self.two.view.update_if_newer(_version(6), 'store')
         await self.catch_up(self.two)
         asked = [one for one in self.fabric.sent if isinstance(one, TableAsk)]
         self.assertEqual(asked, [])
 
     async def test_older_version_is_not_put_into_force(self):
-        self.one.view.offer(_version(6), 'store')
-        self.two.view.offer(_version(7), 'store')
+        self.one.view.update_if_newer(_version(6), 'store')
+        self.two.view.update_if_newer(_version(7), 'store')
         await self.beat(self.one, self.two)
         self.assertEqual(self.two.view.version, 7)
 
     async def test_router_starts_without_the_store(self):
-        self.one.view.offer(_version(6), 'store')
+        self.one.view.update_if_newer(_version(6), 'store')
         self.one.places.put(entry('target', 'desk', version=3))
         await self.beat(self.one, self.two)
         self.assertEqual(self.two.view.version, 6)
@@ -145,10 +147,10 @@
         for router in (self.one, self.two):
             router.places.put(entry('leaves', 'desk', version=3))
             router.places.put(entry('goes', 'desk', version=4))
-        self.one.exchange.tell_target(
+        self.one.exchange.send_target(
             entry('leaves', 'desk', version=8, leaving=True),
         )
-        self.one.exchange.tell_gone('goes', 9)
+        self.one.exchange.send_removed_target('goes', 9)
         await self.fabric.settle()
         self.assertTrue(self.two.places.find('leaves').entry.leaving)
         self.assertIsNone(self.two.places.find('goes'))
@@ -157,7 +159,7 @@
         """Let a router learn from a target that it is leaving."""
         leaving_entry = entry('leaves', 'desk', leaving=True, **fields)
         router.places.put(leaving_entry)
-        router.exchange.tell_target(leaving_entry)
+        router.exchange.send_target(leaving_entry)
 
     def is_leaving(self, router):
         return router.places.find('leaves').entry.leaving
@@ -188,25 +190,25 @@
         """
         for router in (self.one, self.two):
             router.places.put(entry('leaves', 'desk', version=3))
-            router.exchange.catch_up()
+            router.exchange.send_leaving_targets()
         self.fabric.cut(['one'], ['two'])
         self.report_leaving(self.one, version=3)
-        self.one.exchange.catch_up()
+        self.one.exchange.send_leaving_targets()
         await self.fabric.settle()
         self.assertFalse(self.is_leaving(self.two))
         self.fabric.heal()
-        self.one.exchange.catch_up()
+        self.one.exchange.send_leaving_targets()
         await self.fabric.settle()
         self.assertTrue(self.is_leaving(self.two))
         sent = len(self.fabric.sent)
-        self.one.exchange.catch_up()
+        self.one.exchange.send_leaving_targets()
         await self.fabric.settle()
         self.assertEqual(len(self.fabric.sent), sent)
 
     def evacuate(self, router, version, *, in_force=True):
         order = Evacuation(zone='zone-a', version=version, in_force=in_force)
         router.evacuations.put(order, 'store')
-        router.exchange.tell_evacuation(order)
+        router.exchange.send_evacuation(order)
 
     async def test_evacuation_reaches_routers_without_the_store(self):
         """Guards against work for an evacuated zone.
@@ -241,7 +243,7 @@
         something.
         """
         for router in (self.one, self.two):
-            router.view.offer(_version(5), 'store')
+            router.view.update_if_newer(_version(5), 'store')
         self.fabric.cut(['one'], ['two'])
         self.evacuate(self.one, 7)
         await self.fabric.settle()
@@ -259,12 +261,12 @@
         asked for the complete configuration, a small host would be seconds
         behind and lose its peers.
         """
-        self.two.view.offer(_version(5), 'store')
+        self.two.view.update_if_newer(_version(5), 'store')
         names = ('three', 'four')
         nets = map(self.fabric.join, names)
         others = [self.one, *(Router(net, self.clock) for net in nets)]
         for other in others:
-            other.view.offer(_version(6), 'store')
+            other.view.update_if_newer(_version(6), 'store')
             other.net.tell('two', Heartbeat(6))
         await self.fabric.settle()
         await self.catch_up(self.two)
@@ -275,7 +277,7 @@
     async def test_known_configuration_is_not_sent(self):
         """A router that lacks only an evacuation gets no configuration."""
         for router in (self.one, self.two):
-            router.view.offer(_version(5), 'store')
+            router.view.update_if_newer(_version(5), 'store')
         answer = await self.one.exchange._on_table_ask(None, TableAsk(5))
         self.assertEqual(answer.rows, ())
         answer = await self.one.exchange._on_table_ask(None, TableAsk(4))
@@ -287,18 +289,18 @@
         A router that knows of a newer version must not treat its own as the
         newest.
         """
-        self.two.view.offer(_version(5), 'store')
+        self.two.view.update_if_newer(_version(5), 'store')
         self.assertFalse(self.two.view.is_behind)
         self.one.net.tell('two', Heartbeat(6))
         await self.fabric.settle()
         self.assertTrue(self.two.view.is_behind)
-        self.two.view.offer(_version(6), 'store')
+        self.two.view.update_if_newer(_version(6), 'store')
         self.assertFalse(self.two.view.is_behind)
         await self.catch_up(self.two)
 
     async def test_unreadable_document_is_ignored(self):
         broken = attrs.evolve(CATALOGUE, version=9, write=lambda: 'rubbish')
-        self.one.view.offer(broken, 'store')
+        self.one.view.update_if_newer(broken, 'store')
         await self.beat(self.one, self.two)
         await asyncio.sleep(0)
         self.assertEqual(self.two.view.version, 0)
--- a/tests/test_dispatch_crashes.py
+++ b/tests/test_dispatch_crashes.py
@@ -33,7 +33,7 @@
         """Run a request until it ends or its engine crashes."""
         name = attempt.target.name
         await asyncio.sleep(0)
-        if name in self.dead or not intake.before_send():
+        if name in self.dead or not intake.may_send():
             return NOT_SENT
         fingerprint = attempt.call.req.fingerprint
         self.started.append((name, fingerprint))
--- a/tests/test_dispatch_hedging.py
+++ b/tests/test_dispatch_hedging.py
@@ -52,8 +52,8 @@
         await open_account(platform)
         self.upstream = FakeUpstream()
         self.router = SmallRouter('router-a', platform, self.upstream, clock)
-        self.tries = self.router.parts.tries
-        self.routing = self.tries.placer.routing
+        self.attempt_parts = self.router.parts.attempt_parts
+        self.routing = self.attempt_parts.placer.routing
         self.routing.hedges.enabled = True
         for pool in (_ENGINE, _DESK):
             for _ in range(20):
@@ -65,7 +65,7 @@
 
     def hedges(self, outcome):
         """Return the number of hedges with an outcome."""
-        return self.tries.metrics.counted(HEDGES, outcome=outcome)
+        return self.attempt_parts.metrics.counted(HEDGES, outcome=outcome)
 
     async def settle(self):
         """Run all tasks that need no further time."""
@@ -86,7 +86,7 @@
         """
         self.plan_first(HANG)
         caller = await self.router.call(**changes)
-        self.assertTrue(caller.end.whole, caller.end)
+        self.assertTrue(caller.end.is_complete, caller.end)
         self.assertEqual(self.upstream.runs['key'], 2)
         self.assertEqual(len(self.router.bills()), 1)
         self.assertEqual(self.hedges('second'), 1)
@@ -105,7 +105,7 @@
         self.assertEqual(len(self.upstream.sent), 2)
         self.upstream.go_on.set()
         caller = await submitted
-        self.assertTrue(caller.end.whole, caller.end)
+        self.assertTrue(caller.end.is_complete, caller.end)
         self.assertEqual(caller.body.count(_DONE_EVENT), 1)
         self.assertEqual(self.hedges('first'), 1)
         self.check_slots_released()
@@ -142,7 +142,7 @@
         self.assertEqual(self.hedges('not_sent'), 1)
         self.upstream.go_on.set()
         caller = await submitted
-        self.assertTrue(caller.end.whole, caller.end)
+        self.assertTrue(caller.end.is_complete, caller.end)
         self.assertEqual(self.upstream.runs['key'], 1)
 
     async def test_target_that_always_loses_is_suspended(self):
@@ -157,7 +157,7 @@
         self.upstream.plan('engine-0', *(HANG for _ in range(60)))
         for number in range(60):
             caller = await self.router.call(key=f'key-{number}')
-            self.assertTrue(caller.end.whole, caller.end)
+            self.assertTrue(caller.end.is_complete, caller.end)
         pools = self.routing.admission.picker.pools
         breakers = {
             name: state.breaker.open for name, state in pools.states.items()
@@ -170,6 +170,6 @@
     async def test_failed_first_attempt_waits_for_the_hedge(self):
         self.plan_first(BREAK_BEFORE_HEAD)
         caller = await self.router.call()
-        self.assertTrue(caller.end.whole, caller.end)
+        self.assertTrue(caller.end.is_complete, caller.end)
         self.assertEqual(len(self.router.bills()), 1)
         self.check_slots_released()
--- a/tests/test_dispatch_histories.py
+++ b/tests/test_dispatch_histories.py
@@ -168,7 +168,7 @@
         """Kill a router and start a successor at its address."""
         router = self.routers[index]
         self.fabric.kill(router.name)
-        attempts = router.parts.tries.attempts
+        attempts = router.parts.attempt_parts.attempts
         attempts.upstream = _DeadUpstream()
         for owner, caller_task in self.calls:
             if owner is router:
@@ -234,15 +234,15 @@
         # By their clocks, a successor doesn't start later than its peers; only
         # the row of its address shows that there was a router before it.
         if self.started_count > _ROUTERS:
-            sharing = router.parts.others.sharing
-            sharing.is_first = bool
+            directory = router.parts.remote_runs.directory
+            directory.is_new_address = bool
         return router
 
     def _refresh_members(self):
         """Update the members of all routers, as they do every second."""
         for router in self.routers:
-            sharing = router.parts.others.sharing
-            sharing.update_members()
+            directory = router.parts.remote_runs.directory
+            directory.update_members()
 
     async def _call(self, router, key):
         caller = Caller()
@@ -253,7 +253,7 @@
             return
         answer.attach(caller)
         end = await answer.wait()
-        if end.whole:
+        if end.is_complete:
             self._check_complete(key, caller)
         else:
             self._check_fault(key, end.fault)
--- a/tests/test_dispatch_run.py
+++ b/tests/test_dispatch_run.py
@@ -48,7 +48,7 @@
 
     def check_complete(self, caller, words=5):
         """Check that a stream is complete and arrived once."""
-        self.assertTrue(caller.end.whole, caller.end)
+        self.assertTrue(caller.end.is_complete, caller.end)
         self.assertTrue(caller.body.endswith(_DONE_EVENT))
         self.assertEqual(caller.body.count(_DONE_EVENT), 1)
         self.assertEqual(caller.body.count(_WORD), words)
@@ -201,7 +201,7 @@
         await caller.came.wait()
         answer.detach(caller)
         task = self.router.dispatcher.running[answer]
-        self.router.dispatcher.abandon(answer)
+        self.router.dispatcher.cancel_if_unattended(answer)
         return answer, task
 
     def _die_after(self, events):
@@ -268,7 +268,7 @@
         self.assertEqual(refused.fault, expected)
         self.assertEqual(refused.fault.ran, faults.NOT_RUN)
         self.assertEqual(runs, 0)
-        self.assertTrue(again.end.whole)
+        self.assertTrue(again.end.is_complete)
         self.assertEqual(self.targets.runs['key'], 1)
 
     async def test_broken_non_idempotent_run_stays_unknown(self):
@@ -295,7 +295,7 @@
         for name in _DESKS[:2]:
             self.targets.plan(name, fake_upstream.BREAK_BEFORE_HEAD)
         caller = await self.router.call(**service_call())
-        self.assertTrue(caller.end.whole)
+        self.assertTrue(caller.end.is_complete)
         self.assertEqual(len(self.router.bills()), 1)
 
     async def test_refusal_after_a_broken_run_is_not_told_as_not_run(self):
@@ -386,7 +386,7 @@
         run".
         """
         transport = _NeverConnects(self.targets)
-        attempts = self.router.parts.tries.attempts
+        attempts = self.router.parts.attempt_parts.attempts
         attempts.upstream = transport
         deadline = self.clock.now() + 0.01
         caller = await self.router.call(
@@ -394,7 +394,7 @@
         )
         self.assertEqual(caller.fault, faults.DEADLINE)
         self.assertEqual(caller.fault.ran, faults.NOT_RUN)
-        self.assertFalse(transport.intake.before_send())
+        self.assertFalse(transport.intake.may_send())
 
 
 class _NeverConnects:
--- a/tests/test_dispatch_several_routers.py
+++ b/tests/test_dispatch_several_routers.py
@@ -53,7 +53,7 @@
 
     def check_complete(self, caller):
         """Check that a stream is complete and arrived once."""
-        self.assertTrue(caller.end.whole, caller.end)
+        self.assertTrue(caller.end.is_complete, caller.end)
         self.assertEqual(caller.body.count(_DONE_EVENT), 1)
         self.assertEqual(caller.body.count(_WORD), 5)
 
@@ -73,7 +73,7 @@
     def kill(self, router):
         """Cancel a router's tasks and remove it from the net."""
         self.fabric.kill(router.name)
-        attempts = router.parts.tries.attempts
+        attempts = router.parts.attempt_parts.attempts
         attempts.upstream = _DeadUpstream()
         for task in tuple(router.dispatcher.running.values()):
             task.cancel()
@@ -156,8 +156,8 @@
         """The home has no note; the claim names the router with the answer."""
         first = await self.router_a.call(**_NON_IDEMPOTENT)
         for router in self.routers:
-            sharing = router.parts.others.sharing
-            sharing.notes._notes.clear()
+            directory = router.parts.remote_runs.directory
+            directory.notes._notes.clear()
         again = await self.router_b.call(**_NON_IDEMPOTENT)
         self.assertEqual(again.body, first.body)
         self.assertEqual(self.targets.runs['key'], 1)
@@ -174,13 +174,13 @@
             (self.router_b, self.router_a),
         ):
             note = RunNote('team', 'key', 'f', other.name)
-            others = attrs.evolve(
-                router.parts.others,
-                sharing=_FixedDirectory(router.name, note),
+            remote_runs = attrs.evolve(
+                router.parts.remote_runs,
+                directory=_FixedDirectory(router.name, note),
             )
             router.dispatcher.parts = attrs.evolve(
                 router.parts,
-                others=others,
+                remote_runs=remote_runs,
             )
         callers = await asyncio.gather(
             self.router_a.call(), self.router_b.call()
@@ -277,7 +277,7 @@
         paused.wake.set()
         first = await late
         self.assertEqual(again.fault, faults.OUTCOME_UNKNOWN)
-        self.assertEqual(first.end.whole, bool(runs))
+        self.assertEqual(first.end.is_complete, bool(runs))
         self.assertEqual(self.targets.runs['key'], runs)
 
     async def test_refusal_after_a_dead_run_is_not_told_as_not_run(self):
@@ -334,7 +334,7 @@
         ]
         self.targets.dead.update(f'engine-{number}' for number in range(3))
         again = await late_routers[0].call(key=key)
-        copied = again.end.whole
+        copied = again.end.is_complete
         self.assertTrue(copied or again.fault.ran == faults.MAYBE_RUN)
 
     @parameterized.expand([(key,) for key in _KEYS])
@@ -366,7 +366,7 @@
         them has notes on earlier runs.
         """
         for router in self.routers:
-            router.parts.others.sharing.is_first = bool
+            router.parts.remote_runs.directory.is_new_address = bool
         self.targets.dead.update(f'engine-{number}' for number in range(3))
         outcomes = [(await self.router_b.call()).fault.ran]
         self.clock.advance(601)
@@ -377,8 +377,8 @@
         """Many refusals share one query per round trip."""
         self.targets.dead.update(f'engine-{number}' for number in range(3))
         self.fabric.held.add(RunsAsk)
-        sharing = self.router_b.parts.others.sharing
-        sharing.cfg = attrs.evolve(sharing.cfg, ask_timeout=60)
+        directory = self.router_b.parts.remote_runs.directory
+        directory.cfg = attrs.evolve(directory.cfg, ask_timeout=60)
         calls = [
             asyncio.ensure_future(self.router_b.call(key=f'k{number}'))
             for number in range(50)
--- a/tests/test_gateway_curl_upstream.py
+++ b/tests/test_gateway_curl_upstream.py
@@ -86,11 +86,11 @@
         super().__init__()
         self.status = 0
         self.body = b''
-        self.is_full = False
+        self.must_pause = False
 
     @property
-    def full(self) -> bool:
-        return self.is_full
+    def is_full(self) -> bool:
+        return self.must_pause
 
     def start(self, status: int, headers: dict[str, str]) -> None:
         self.status = status
@@ -118,7 +118,7 @@
         body=b'{}',
         stream=stream,
         idempotent=idempotent,
-        most_tokens=1,
+        reserved_tokens=1,
         deadline=1,
     )
     row = TargetRow(name='t', address=address, zone='zone-a', service='llm')
@@ -275,14 +275,14 @@
         head = b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n' % size
         _fake, address = await self.fake(head + b'x' * size)
         memory = Memory()
-        memory.is_full = True
+        memory.must_pause = True
         upstream = self.make()
         task = asyncio.create_task(upstream.send(_attempt(address), memory))
         # Far longer than the gap timeout: a pause is no silence.
         await asyncio.sleep(0.5)
         self.assertEqual(memory.body, b'')
         self.assertFalse(task.done())
-        memory.is_full = False
+        memory.must_pause = False
         self.assertIsNone(await task)
         self.assertEqual(len(memory.body), size)
 
--- a/tests/test_platform_pages.py
+++ b/tests/test_platform_pages.py
@@ -295,10 +295,10 @@
         self.state.write('op', 'config', _FIELDS)
         await self.step(self.first)
         self.assertEqual(self.version(self.other), 3)
-        self.assertTrue(feed.is_away())
+        self.assertTrue(feed.is_unavailable())
         self.assertFalse(self.waits_for_hub(self.other))
         await feed.check()
-        self.assertFalse(feed.is_away())
+        self.assertFalse(feed.is_unavailable())
 
     @gen_test
     async def test_patch_for_another_version(self):
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -198,7 +198,7 @@
         self.state.write('op', 'config', {'note': 'x' * 70_000})
         self.state.status = status
         await feed.check()
-        self.assertEqual(feed.is_away(), is_away)
+        self.assertEqual(feed.is_unavailable(), is_away)
         self.assertTrue(feed._poll_needed.is_set())
 
     @gen_test
@@ -273,12 +273,12 @@
         self.state.status = 503
         feed = self.configuration.feed
         feed._handle_failure(await feed._read_next())
-        self.assertTrue(feed.is_away())
+        self.assertTrue(feed.is_unavailable())
         self.state.status = 0
         self.state.waits.clear()
         await self.step(feed)
         self.assertEqual(self.state.waits, [0])
-        self.assertFalse(feed.is_away())
+        self.assertFalse(feed.is_unavailable())
         await self.step(feed)
         self.assertEqual(self.state.waits, [0, 10])
 
--- a/tests/test_relay_metered.py
+++ b/tests/test_relay_metered.py
@@ -35,7 +35,7 @@
     prepaid: int
 
     async def confirm(self):
-        self.view.offer(_configuration(6, self.prepaid), 'store')
+        self.view.update_if_newer(_configuration(6, self.prepaid), 'store')
         return self.confirms
 
 
@@ -66,7 +66,7 @@
     ):
         """A caller gets no 402 because a top-up hasn't reached its router."""
         view = CatalogueView()
-        view.offer(_configuration(5, 1000), 'store')
+        view.update_if_newer(_configuration(5, 1000), 'store')
         spending = PrepaidSpending(
             _Holdings(used),
             view,
--- a/tests/test_relay_run.py
+++ b/tests/test_relay_run.py
@@ -64,7 +64,7 @@
 
     def __call__(self, _outgoing, intake):
         """Respond, and record the targets that are leaving by then."""
-        assert intake.before_send()
+        assert intake.may_send()
         intake.start(self.script.status, self.script.headers)
         entries = (place.entry for place in self.places)
         self.leaving.extend(one for one in entries if one.leaving)
--- a/tests/test_requests_answers.py
+++ b/tests/test_requests_answers.py
@@ -6,7 +6,7 @@
 from parameterized import parameterized
 
 from balsamreach.config.settings import RequestsSettings
-from balsamreach.requests.answers import End, Sink
+from balsamreach.requests.answers import AnswerEnd, Sink
 from balsamreach.requests.faults import (
     ANSWER_NOT_KEPT,
     IN_PROGRESS,
@@ -18,14 +18,14 @@
     fingerprint,
     mint_key,
 )
-from balsamreach.requests.registry import Answers
+from balsamreach.requests.registry import AnswerRegistry
 from tests.support import FakeClock
 
 _ANSWER_BYTES = 100
 _TOTAL_BYTES = 5000
 _END_MARKER = b'data: [DONE]\n\n'
-_COMPLETE = End(whole=True)
-_BROKEN = End(whole=False, fault='broken')
+_COMPLETE = AnswerEnd(is_complete=True)
+_BROKEN = AnswerEnd(is_complete=False, fault='broken')
 
 
 class Caller(Sink):
@@ -48,8 +48,8 @@
         """Receive a part of the body."""
         self.body += chunk
 
-    def cut(self):
-        """Record the cut."""
+    def abort(self):
+        """Record the abort."""
         self.was_cut = True
 
 
@@ -77,7 +77,7 @@
 
     def setUp(self):
         self.clock = FakeClock()
-        self.answers = Answers(settings(), self.clock)
+        self.answers = AnswerRegistry(settings(), self.clock)
 
     async def test_duplicate_joins_in_progress_and_gets_all_of_it(self):
         answer = self.answers.open(request())
@@ -194,7 +194,7 @@
         answer.write(after)
         self.assertEqual(caller.body, before)
         self.answers.finish(answer, end)
-        complete = before + after if end.whole else before
+        complete = before + after if end.is_complete else before
         self.assertEqual(caller.body, complete)
         self.assertEqual(answer.body.read(0), complete)
 
--- a/tests/test_sessions_answers.py
+++ b/tests/test_sessions_answers.py
@@ -62,7 +62,7 @@
     def is_followed(self):
         """Return whether the second router copies from the first one."""
         answers = self.rig.routers[1].parts.dispatcher.parts.answers
-        known = answers.known('winders', 'report-5')
+        known = answers.get('winders', 'report-5')
         return known is not None and known.body.size > 0
 
     async def test_doubled_certificate_at_two_routers(self):
@@ -87,7 +87,7 @@
     def is_known_to_second(self):
         """Return whether the second router has taken the call."""
         answers = self.rig.routers[1].parts.dispatcher.parts.answers
-        return answers.known('winders', 'certificate-m-17') is not None
+        return answers.get('winders', 'certificate-m-17') is not None
 
     async def test_answers_out_of_order(self):
         """An answer that comes late goes to the wrong caller.
--- a/tests/test_sessions_kill.py
+++ b/tests/test_sessions_kill.py
@@ -59,9 +59,11 @@
         engine.cfg.pace_ms = HELD_MS
         sent = ask('Teardown report', 6, 'report-5', stream=True)
         first = asyncio.create_task(receive(self.victim.address, sent))
-        sharing = self.rig.routers[0].parts.dispatcher.parts.others.sharing
+        directory = self.rig.routers[
+            0
+        ].parts.dispatcher.parts.remote_runs.directory
         await wait(lambda: engine.runs)
-        await wait(lambda: _generation(sharing, 'report-5'))
+        await wait(lambda: _generation(directory, 'report-5'))
         self.session.tell('the router is killed while its stream is open')
         await self.victim.kill()
         self.session.took('report', sent, await first)
@@ -214,9 +216,9 @@
         self.check('shutdown-store-down')
 
 
-def _generation(sharing, key):
+def _generation(directory, key):
     """Return whether a router was told which generation answers a request."""
-    entry = sharing.notes._notes.get(('winders', key))
+    entry = directory.notes._notes.get(('winders', key))
     return entry is not None and bool(entry[1].generation)
 
 
--- a/tests/test_sessions_targets.py
+++ b/tests/test_sessions_targets.py
@@ -104,8 +104,8 @@
         answers = self.rig.routers[0].parts.dispatcher.parts.answers
         await wait(
             lambda: (
-                answers.known('winders', 'report-5') is not None
-                and answers.known('winders', 'report-5').body.size > 300
+                answers.get('winders', 'report-5') is not None
+                and answers.get('winders', 'report-5').body.size > 300
             ),
         )
 
--- a/tests/test_targets_leaving.py
+++ b/tests/test_targets_leaving.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from balsamreach.dispatch import faults
-from balsamreach.dispatch.attempts import Attempts
+from balsamreach.dispatch.attempt_sender import AttemptSender
 from balsamreach.dispatch.upstream import Attempt
 from balsamreach.routing.slot import Slot, Verdict
 from balsamreach.table.rows import TargetRow
@@ -25,7 +25,7 @@
         """
         row = TargetRow(name='t', address='127.0.0.1:1', zone='z', service='s')
         target = Target(row, report=LoadReport(incarnation='a'))
-        attempts = Attempts(mock.Mock(), mock.Mock(), mock.Mock())
+        attempts = AttemptSender(mock.Mock(), mock.Mock(), mock.Mock())
         slot = Slot(mock.Mock(target=target), mock.Mock(), mock.Mock(), 0)
         target.mark_leaving('a')
         outcome = await attempts.send(
--- a/tests/test_targets_poller.py
+++ b/tests/test_targets_poller.py
@@ -10,7 +10,7 @@
 from parameterized import parameterized
 
 from balsamreach.config.reader import read_settings
-from balsamreach.dispatch.attempts import Attempts
+from balsamreach.dispatch.attempt_sender import AttemptSender
 from balsamreach.dispatch.upstream import Attempt
 from balsamreach.services.base import HostEntry
 from balsamreach.standins.memory import MemoryPlatform
@@ -311,7 +311,7 @@
         self.net.cut(('r0', 'r1', 'r2'), ('r3',))
         host = self.client.hosts['127.0.0.1:8005']
         host.leaving = True
-        attempts = Attempts(mock.AsyncMock(), self.clock, mock.Mock())
+        attempts = AttemptSender(mock.AsyncMock(), self.clock, mock.Mock())
         call = mock.Mock(deadline=self.clock.now() + 60)
         away = Attempt('attempt', call, self.target(3, 5))
         await attempts.exchange(away, mock.Mock())
