--- a/bench/rates_baseline.py
+++ b/bench/rates_baseline.py
@@ -155,7 +155,7 @@
             self.running[team.name] = running + 1
         return refusal
 
-    def leave(self, team: TeamRow, reserved: int, used: int) -> None:
+    def release(self, team: TeamRow, reserved: int, used: int) -> None:
         """Count a request out and give back the tokens it did not use."""
         running = self.running.get(team.name, 0) - 1
         if running > 0:
@@ -164,7 +164,7 @@
             self.running.pop(team.name, None)
         rates = self._rates.get(team.name)
         if rates is not None:
-            rates.tokens.give_back(reserved - used)
+            rates.tokens.refund(reserved - used)
 
     def interval(self) -> float:
         """Return the seconds between two messages on use.
@@ -237,7 +237,7 @@
         rates.tokens.refill(team.tokens_per_minute * share, now)
         wait = max(rates.requests.wait(1), rates.tokens.wait(tokens))
         if wait > 0:
-            return faults.RATE_LIMITED.after(
+            return faults.RATE_LIMITED.with_retry_after(
                 wait,
                 'the team is past its requests or tokens a minute',
             )
--- a/bench/rates_cost.py
+++ b/bench/rates_cost.py
@@ -152,7 +152,7 @@
     refusals = [limits.enter(row, 1) for _ in range(count)]
     admitted = refusals.count(None)
     for _ in range(admitted):
-        limits.leave(row, 1, 1)
+        limits.release(row, 1, 1)
     return admitted
 
 
--- a/bench/rates_scenarios.py
+++ b/bench/rates_scenarios.py
@@ -137,7 +137,7 @@
             one = self.limits[name]
             if one.enter(self.row, 1) is None:
                 admitted += 1
-                one.leave(self.row, 1, 1)
+                one.release(self.row, 1, 1)
         self.wanted.append(wanted)
         self.admitted.append(admitted)
 
--- a/bench/routing_cpu.py
+++ b/bench/routing_cpu.py
@@ -5,9 +5,9 @@
 import time
 
 from balsamreach.config.reader import read_settings
-from balsamreach.routing.ask import Ask
 from balsamreach.routing.routing import make_routing
 from balsamreach.routing.slot import Verdict
+from balsamreach.routing.slot_request import SlotRequest
 from balsamreach.table.rows import ENGINE, TargetRow
 from balsamreach.targets.registry import Targets
 from balsamreach.telemetry.metrics import Metrics
@@ -87,21 +87,21 @@
     """Place requests for so many models, a thousand in progress at most."""
     held = []
     for number in range(placements):
-        ask = Ask(
+        ask = SlotRequest(
             team='team',
             pool=(ENGINE, f'model-{number % models}'),
             fingerprint=str(number),
             deadline=routing.clock.now() + 60,
             prefix=rng.randbytes(_PREFIX),
         )
-        slot = await routing.enter(ask)
-        routing.feedback.sent(slot)
-        slot.first_byte_came()
+        slot = await routing.acquire_slot(ask)
+        routing.feedback.record_sent(slot)
+        slot.record_first_byte()
         held.append(slot)
         if len(held) > 1000:
             ended = held.pop(0)
             ended.verdict = Verdict.GOOD
-            routing.leave(ended)
+            routing.release_slot(ended)
     for slot in held:
         slot.verdict = Verdict.GOOD
-        routing.leave(slot)
+        routing.release_slot(slot)
--- a/bench/routing_fleet.py
+++ b/bench/routing_fleet.py
@@ -7,10 +7,10 @@
 import attrs
 
 from balsamreach.config.reader import read_settings
-from balsamreach.routing.ask import Ask
 from balsamreach.routing.faults import RoutingFault
 from balsamreach.routing.routing import Routing, make_routing
 from balsamreach.routing.slot import Slot, Verdict
+from balsamreach.routing.slot_request import SlotRequest
 from balsamreach.standins.engine_cache import PrefixCache
 from balsamreach.table.rows import ENGINE, TargetRow
 from balsamreach.targets.registry import LoadReport, Targets
@@ -88,8 +88,8 @@
     async def _run(self, outcome: 'Outcome', slot: Slot) -> None:
         missed = self._fill(outcome.work.blocks)
         await asyncio.sleep(OVERHEAD + PREFILL * missed)
-        slot.first_byte_came()
-        outcome.first = slot.first_at - outcome.work.at
+        slot.record_first_byte()
+        outcome.first = slot.first_byte_at - outcome.work.at
         await asyncio.sleep(outcome.work.decode)
 
     async def _enter(self) -> None:
@@ -205,7 +205,7 @@
             tasks.append(asyncio.create_task(routing.run()))
             if self.events is not None:
                 follower = self.events.follow(cfg, targets, self.targets)
-                follower.watchers.append(routing.learn_cache)
+                follower.watchers.append(routing.apply_cache_events)
                 tasks.append(asyncio.create_task(follower.run()))
         tasks.append(asyncio.create_task(self._report()))
         return tasks
@@ -216,7 +216,7 @@
         await asyncio.sleep(work.at - loop.time())
         outcome = Outcome(work)
         routing, _targets = self.nodes[work.router]
-        ask = Ask(
+        ask = SlotRequest(
             team=work.team,
             pool=(ENGINE, MODEL),
             fingerprint=f'{work.team}-{work.at}',
@@ -233,7 +233,7 @@
         return outcome
 
     async def _attempts(self, routing, ask, outcome) -> None:
-        slot = await routing.enter(ask)
+        slot = await routing.acquire_slot(ask)
         tried = set()
         while not isinstance(slot, RoutingFault):
             tried.add(slot.target.name)
@@ -242,20 +242,20 @@
             again = ask.idempotent or verdict == Verdict.REFUSED
             if not outcome.fault or not again or len(tried) > 2:
                 return
-            slot = await routing.again(ask, frozenset(tried))
+            slot = await routing.retry(ask, frozenset(tried))
         outcome.fault = outcome.fault or slot.code
         outcome.retry_after = slot.retry_after
 
     async def _send(self, routing, slot: Slot, outcome) -> Verdict:
         outcome.attempts += 1
-        routing.feedback.sent(slot)
+        routing.feedback.record_sent(slot)
         slot.target.in_flight += 1
         try:
             target = self.by_name[slot.target.name]
             slot.verdict = await target.serve(outcome, slot)
         finally:
             slot.target.in_flight -= 1
-            routing.leave(slot)
+            routing.release_slot(slot)
         return slot.verdict
 
     async def _report(self) -> None:
--- a/bench/slopes_cpu.py
+++ b/bench/slopes_cpu.py
@@ -11,7 +11,7 @@
 from balsamreach.budget.budgets import Budgets
 from balsamreach.clock import SystemClock
 from balsamreach.config.reader import read_settings
-from balsamreach.routing.rate_groups import number_of
+from balsamreach.routing.rate_groups import team_hash
 from balsamreach.table.view import TableView
 from balsamreach.wire.base import Message
 from balsamreach.wire.bills import BillCopies, BillCopy
@@ -41,7 +41,7 @@
     body = json.dumps(row.value, separators=(',', ':'))
     reports = tuple(_report(number) for number in range(_REPORTS))
     rates = tuple(
-        RatePart(number_of(f'team-{number:05}'), 12_000 + number)
+        RatePart(team_hash(f'team-{number:05}'), 12_000 + number)
         for number in range(_USES)
     )
     copies = tuple(
--- a/bench/slopes_routing.py
+++ b/bench/slopes_routing.py
@@ -61,7 +61,7 @@
     # zone.
     routing = _find(count)
     for pool in _pools(routing):
-        for state in pool.everyone.members:
+        for state in pool.full_group.members:
             state.take_slot(0)
             state.release_slot(1)
     return routing
--- a/src/balsamreach/daemon/router.py
+++ b/src/balsamreach/daemon/router.py
@@ -26,7 +26,7 @@
     TargetsContext,
     TargetsHandler,
 )
-from balsamreach.routing.shares import Shares
+from balsamreach.routing.weighted_split import WeightedSplit
 from balsamreach.services.base import Row
 from balsamreach.table.rows import TARGET_PREFIX
 from balsamreach.telemetry.logs import log_event
@@ -194,7 +194,7 @@
                 is_confirmed=parts.table.follower.is_confirmed,
                 dispatcher=parts.dispatcher,
                 clock=parts.clock,
-                shares=Shares(),
+                shares=WeightedSplit(),
                 metrics=parts.metrics,
                 tracing=parts.net.tracing,
             ),
--- a/src/balsamreach/daemon/target_watch.py
+++ b/src/balsamreach/daemon/target_watch.py
@@ -72,7 +72,7 @@
             metrics=metrics,
         ),
     )
-    watch.cache.watchers.append(needs.routing.learn_cache)
+    watch.cache.watchers.append(needs.routing.apply_cache_events)
     if not cfg.power.enabled:
         return WatchRunner(watch, None)
     power = make_power(
@@ -86,7 +86,7 @@
             clock=clock,
             rng=rng,
             metrics=metrics,
-            waiting=needs.routing.waiting,
+            waiting=needs.routing.waiting_count,
         ),
     )
     return WatchRunner(watch, power)
--- a/src/balsamreach/dispatch/attempt_sender.py
+++ b/src/balsamreach/dispatch/attempt_sender.py
@@ -77,8 +77,8 @@
         if attempt.target.retry_at > self.clock.now():
             return faults.OVERLOADED.because('the target began to back off')
         if first_byte_shows_queueing(attempt.call):
-            reply.on_first_byte.append(slot.first_byte_came)
-        self.feedback.sent(slot)
+            reply.on_first_byte.append(slot.record_first_byte)
+        self.feedback.record_sent(slot)
         outcome = await self.exchange(attempt, reply)
         slot.verdict = routing_verdict(attempt, reply, outcome)
         return classify_fault(attempt, reply, outcome)
--- a/src/balsamreach/dispatch/placing.py
+++ b/src/balsamreach/dispatch/placing.py
@@ -6,12 +6,12 @@
 from balsamreach.dispatch.call import Call
 from balsamreach.dispatch.faults import DispatchFault
 from balsamreach.routing import faults as routing_faults
-from balsamreach.routing.ask import Ask
 from balsamreach.routing.faults import RoutingFault
 from balsamreach.routing.pools import PoolKey
 from balsamreach.routing.retries import backoff
 from balsamreach.routing.routing import Routing
 from balsamreach.routing.slot import Slot
+from balsamreach.routing.slot_request import SlotRequest
 from balsamreach.table.rows import ENGINE
 from balsamreach.telemetry import hops
 
@@ -21,7 +21,7 @@
 
 _DISPATCH_FAULTS = {
     routing_faults.NO_TARGET: faults.NO_TARGET,
-    routing_faults.ALL_BUSY: faults.OVERLOADED,
+    routing_faults.ALL_TARGETS_BUSY: faults.OVERLOADED,
     routing_faults.TARGETS_BACK_OFF: faults.TARGETS_BACK_OFF,
     routing_faults.RATE_LIMITED: faults.RATE_LIMITED,
     routing_faults.TEAM_CONCURRENCY: faults.TEAM_CONCURRENCY,
@@ -48,17 +48,19 @@
 
     def finish(self, call: Call, used_tokens: int) -> None:
         """Stop counting a call; unused reserved tokens are returned."""
-        self.routing.limits.leave(call.team, call.reserved_tokens, used_tokens)
+        self.routing.limits.release(
+            call.team, call.reserved_tokens, used_tokens
+        )
 
     def check_available(self, call: Call) -> DispatchFault | None:
         """Return why no target accepts the call now, None if one may."""
-        refusal = self.routing.refuse(_pool_of(call))
+        refusal = self.routing.check_back_off(_pool_of(call))
         return None if refusal is None else _translate(refusal)
 
     async def acquire_slot(self, call: Call) -> Slot | DispatchFault:
         """Wait in the fair queue and return a slot for the first attempt."""
         with hops.hop('queue'):
-            slot = await self.routing.enter(_make_ask(call))
+            slot = await self.routing.acquire_slot(_make_ask(call))
         return _translate(slot) if isinstance(slot, RoutingFault) else slot
 
     async def place_retry(
@@ -77,7 +79,7 @@
         """
         pause = backoff(len(tried), self.routing.rng)
         await self.routing.clock.sleep(pause)
-        slot = await self.routing.again(_make_ask(call), frozenset(tried))
+        slot = await self.routing.retry(_make_ask(call), frozenset(tried))
         return _translate(slot) if isinstance(slot, RoutingFault) else slot
 
     def hedge_delay(self, call: Call) -> float:
@@ -88,21 +90,23 @@
 
     def place_hedge(self, call: Call, tried: set[str]) -> Slot | DispatchFault:
         """Return a slot for a hedge that runs beside the first attempt."""
-        slot = self.routing.hedge(_make_ask(call), frozenset(tried))
+        slot = self.routing.acquire_hedge_slot(
+            _make_ask(call), frozenset(tried)
+        )
         return _translate(slot) if isinstance(slot, RoutingFault) else slot
 
     def release(self, slot: Slot) -> None:
         """Release a slot."""
-        self.routing.leave(slot)
+        self.routing.release_slot(slot)
 
 
-def _make_ask(call: Call) -> Ask:
+def _make_ask(call: Call) -> SlotRequest:
     req = call.req
     team = call.team
     # Priority scales the weight instead of taking precedence, so that a team
     # with high priority cannot starve the others.
     weight = max(team.weight, _MIN_WEIGHT) * (1 + team.priority)
-    return Ask(
+    return SlotRequest(
         team=team.name,
         pool=_pool_of(call),
         fingerprint=f'{team.name}-{req.fingerprint}',
--- a/src/balsamreach/gateway/base.py
+++ b/src/balsamreach/gateway/base.py
@@ -21,7 +21,7 @@
 from balsamreach.gateway.sinks import HandlerSink
 from balsamreach.requests.answers import Answer
 from balsamreach.requests.identity import mint_key
-from balsamreach.routing.shares import Shares
+from balsamreach.routing.weighted_split import WeightedSplit
 from balsamreach.table.view import TableView
 from balsamreach.telemetry.hops import Trail
 from balsamreach.telemetry.logs import log_event
@@ -54,7 +54,7 @@
     is_confirmed: Callable[[], bool]
     dispatcher: Dispatcher
     clock: Clock
-    shares: Shares
+    shares: WeightedSplit
     metrics: Metrics
     tracing: Tracing
 
--- a/src/balsamreach/gateway/chat.py
+++ b/src/balsamreach/gateway/chat.py
@@ -11,7 +11,7 @@
 from balsamreach.gateway.bodies import read_json
 from balsamreach.gateway.prompts import Prompt, measure_prompt
 from balsamreach.gateway.refusals import Refusal, invalid_request
-from balsamreach.routing.shares import Shares
+from balsamreach.routing.weighted_split import WeightedSplit
 from balsamreach.table.rows import ANY_MODEL, TeamRow
 
 CHAT_PATH = '/v1/chat/completions'
@@ -65,7 +65,7 @@
     team: TeamRow,
     models: tuple[str, ...],
     cfg: CallersSettings,
-    shares: Shares,
+    shares: WeightedSplit,
 ) -> ChatRequest | Refusal:
     """Check a chat completion request and read it.
 
@@ -79,7 +79,7 @@
         Models that some engine serves.
     cfg : CallersSettings
         Bounds of what is asked for.
-    shares : Shares
+    shares : WeightedSplit
         For sharing ``auto`` requests among the team's models.
 
     Returns
@@ -124,7 +124,7 @@
     body: Mapping[str, Any],
     team: TeamRow,
     models: tuple[str, ...],
-    shares: Shares,
+    shares: WeightedSplit,
 ) -> str | Refusal:
     model = body.get('model')
     if not isinstance(model, str) or not model:
--- a/src/balsamreach/gateway/operators_quarantine.py
+++ b/src/balsamreach/gateway/operators_quarantine.py
@@ -23,7 +23,10 @@
 
     def get(self) -> None:
         """List quarantines with the targets that the requests crashed."""
-        held = [attrs.asdict(entry) for entry in self.quarantine.listed()]
+        held = [
+            attrs.asdict(entry)
+            for entry in self.quarantine.quarantined_requests()
+        ]
         self.finish({'quarantine': held})
 
 
--- a/src/balsamreach/relay/chooser.py
+++ b/src/balsamreach/relay/chooser.py
@@ -68,7 +68,9 @@
         """
         eligible = list(self._eligible(call, tried))
         now = self.clock.now()
-        usable = [place for place in eligible if place.breaker.passes(now)]
+        usable = [
+            place for place in eligible if place.breaker.allows_request(now)
+        ]
         # If the breakers exclude all targets, the failures may be on this
         # router's side; refusing without an attempt would help nobody.
         candidates = usable or eligible
@@ -102,7 +104,7 @@
 
     def begin(self, call: RelayCall, place: RelayTarget) -> 'InFlight':
         """Count a request as in progress, until ``InFlight.end`` is called."""
-        place.breaker.begin()
+        place.breaker.record_start()
         self.cold_targets.record_sent(place)
         if call.prompt is None:
             return InFlight(place)
@@ -114,7 +116,7 @@
 
     def record_success(self, place: RelayTarget) -> None:
         """Record that a target has answered a request."""
-        place.breaker.succeed()
+        place.breaker.record_success()
 
     def record_failure(self, place: RelayTarget, *, certain: bool) -> None:
         """Record a failure of a target.
@@ -128,7 +130,7 @@
             refused connection.
         """
         now = self.clock.now()
-        place.breaker.fail(now, self.places.rng, certain=certain)
+        place.breaker.record_failure(now, self.places.rng, certain=certain)
 
     def remove(self, place: RelayTarget) -> None:
         """Remove a target that no longer exists."""
--- a/src/balsamreach/relay/quarantine.py
+++ b/src/balsamreach/relay/quarantine.py
@@ -38,11 +38,11 @@
 
     def record_end(self, call: RelayCall, place: RelayTarget) -> None:
         """Record an attempt that ended without a broken connection."""
-        self.quarantine.finished(call.fingerprint, place.incarnation)
+        self.quarantine.record_completion(call.fingerprint, place.incarnation)
 
     def record_break(self, call: RelayCall, place: RelayTarget) -> None:
         """Record that the connection broke while the request ran."""
-        self.quarantine.broken(
+        self.quarantine.record_break(
             call.fingerprint,
             call.team_name,
             place.incarnation,
@@ -51,7 +51,7 @@
 
     def record_refused(self, place: RelayTarget) -> None:
         """Record that a target refuses connections: it has crashed."""
-        self.quarantine.refused(place.incarnation)
+        self.quarantine.record_refused_connection(place.incarnation)
 
 
 def make_quarantine(
--- a/src/balsamreach/routing/admission.py
+++ b/src/balsamreach/routing/admission.py
@@ -8,13 +8,13 @@
 from balsamreach.clock import Clock
 from balsamreach.config.settings import RoutingSettings
 from balsamreach.routing import faults
-from balsamreach.routing.ask import Ask
 from balsamreach.routing.fair_queue import FairQueue, Waiter
 from balsamreach.routing.faults import RoutingFault
-from balsamreach.routing.pacing import HoldTimes
+from balsamreach.routing.hold_times import HoldTimes
 from balsamreach.routing.picking import Picker
 from balsamreach.routing.pools import Pool, PoolKey
 from balsamreach.routing.probation import Probation
+from balsamreach.routing.slot_request import SlotRequest
 from balsamreach.routing.state import TargetState
 from balsamreach.telemetry.metrics import Metrics
 
@@ -79,12 +79,12 @@
         factory=OrderedDict
     )
 
-    async def enter(self, ask: Ask) -> Outcome:
+    async def enter(self, ask: SlotRequest) -> Outcome:
         """Return a target with a slot taken, after queueing if necessary.
 
         Parameters
         ----------
-        ask : Ask
+        ask : SlotRequest
             The request.
 
         Returns
@@ -107,14 +107,16 @@
         self.metrics.count(_REFUSALS, why=refusal.code)
         return refusal
 
-    def release(self, state: TargetState, ask: Ask, seconds: float) -> None:
+    def release(
+        self, state: TargetState, ask: SlotRequest, seconds: float
+    ) -> None:
         """Release a slot and serve the queues that wait for it.
 
         Parameters
         ----------
         state : TargetState
             Target at which the slot was held.
-        ask : Ask
+        ask : SlotRequest
             Request that held the slot.
         seconds : float
             How long the slot was held.
@@ -171,7 +173,7 @@
             return False
         pool_queue.queue.remove(waiter)
         pool_queue.grants[waiter].set_result(
-            faults.DEADLINE_UNMEETABLE.after(
+            faults.DEADLINE_UNMEETABLE.with_retry_after(
                 max(
                     1, self._estimate_wait(pool_queue, pool_queue.queue.waiting)
                 ),
@@ -182,7 +184,7 @@
 
     def _refuse_early(
         self,
-        ask: Ask,
+        ask: SlotRequest,
         pool_queue: PoolQueue,
         pool: Pool,
     ) -> RoutingFault | None:
@@ -195,7 +197,7 @@
         # than an immediate one, so only part of the remaining time may be
         # spent waiting.
         if wait > _MAX_WAIT_SHARE * min(time_left, self.cfg.deadline):
-            return faults.DEADLINE_UNMEETABLE.after(
+            return faults.DEADLINE_UNMEETABLE.with_retry_after(
                 self._estimate_wait(pool_queue, pool_queue.queue.waiting),
                 'the queue is too long for the deadline',
             )
@@ -205,11 +207,13 @@
         return self._evict_waiter(ask, pool_queue)
 
     def _evict_waiter(
-        self, ask: Ask, pool_queue: PoolQueue
+        self, ask: SlotRequest, pool_queue: PoolQueue
     ) -> RoutingFault | None:
         """Evict the newest request of the team with the longest backlog."""
         wait = self._estimate_wait(pool_queue, pool_queue.queue.waiting)
-        refusal = faults.QUEUE_FULL.after(max(wait, 1), 'the queue is full')
+        refusal = faults.QUEUE_FULL.with_retry_after(
+            max(wait, 1), 'the queue is full'
+        )
         victim = pool_queue.queue.newest_of_longest()
         own_backlog = pool_queue.queue.backlog(ask.team) / ask.weight
         # Otherwise one team could keep the queue full, and all other teams
@@ -225,7 +229,7 @@
         pool_queue.grants[victim].set_result(refusal)
         return None
 
-    async def _wait(self, ask: Ask, pool_queue: PoolQueue) -> Outcome:
+    async def _wait(self, ask: SlotRequest, pool_queue: PoolQueue) -> Outcome:
         started_at = self.clock.now()
         time_left = min(self.cfg.deadline, ask.deadline - started_at)
         waiter = Waiter(ask)
@@ -265,7 +269,7 @@
         if grant.done():
             return grant.result()
         wait = self._estimate_wait(pool_queue, pool_queue.queue.waiting)
-        return faults.DEADLINE_UNMEETABLE.after(
+        return faults.DEADLINE_UNMEETABLE.with_retry_after(
             max(wait, 1),
             'no target had room in time',
         )
--- a/src/balsamreach/routing/breaker.py
+++ b/src/balsamreach/routing/breaker.py
@@ -32,27 +32,27 @@
     _probing: bool = False
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether it has opened and no request has succeeded since."""
         return self.times_opened > 0
 
-    def passes(self, now: float) -> bool:
+    def allows_request(self, now: float) -> bool:
         """Return whether a request may be sent now."""
         if not self.times_opened:
             return True
         return now >= self.open_until and not self._probing
 
-    def begin(self) -> None:
+    def record_start(self) -> None:
         """Record that a request is being sent, as a probe if this is open."""
         self._probing = self.times_opened > 0
 
-    def succeed(self) -> None:
+    def record_success(self) -> None:
         """Record a success and close the breaker."""
         self.consecutive_failures = 0
         self.times_opened = 0
         self._probing = False
 
-    def fail(
+    def record_failure(
         self,
         now: float,
         rng: random.Random,
--- a/src/balsamreach/routing/fair_queue.py
+++ b/src/balsamreach/routing/fair_queue.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from balsamreach.routing.ask import Ask
+from balsamreach.routing.slot_request import SlotRequest
 
 
 @attrs.define(eq=False)
@@ -15,7 +15,7 @@
 
     Parameters
     ----------
-    ask : Ask
+    ask : SlotRequest
         The request.
     start_tag : float
         Virtual time at which its turn starts.
@@ -23,7 +23,7 @@
         Whether it was granted, refused or cancelled.
     """
 
-    ask: Ask
+    ask: SlotRequest
     start_tag: float = 0
     removed: bool = False
 
@@ -90,7 +90,7 @@
         queue = self._by_team.get(team, ())
         return sum(not waiter.removed for waiter in queue)
 
-    def estimate_ahead(self, ask: Ask) -> int:
+    def estimate_ahead(self, ask: SlotRequest) -> int:
         """Return an estimate of the requests served before a new one."""
         own_backlog = self.backlog(ask.team)
         teams = len(self._by_team)
--- a/src/balsamreach/routing/faults.py
+++ b/src/balsamreach/routing/faults.py
@@ -17,7 +17,7 @@
 
     retry_after: float = attrs.field(default=0, eq=False)
 
-    def after(self, seconds: float, reason: str) -> 'RoutingFault':
+    def with_retry_after(self, seconds: float, reason: str) -> 'RoutingFault':
         """Return a copy with a retry time in seconds and a reason."""
         return attrs.evolve(self, retry_after=seconds, reason=reason)
 
@@ -25,7 +25,7 @@
 #: No target serves this model or service.
 NO_TARGET = RoutingFault('no_target', retry_after=30)
 #: Every target that serves it is full, suspended or already tried.
-ALL_BUSY = RoutingFault('all_targets_busy', retry_after=1)
+ALL_TARGETS_BUSY = RoutingFault('all_targets_busy', retry_after=1)
 #: Every target that serves it asked for a pause in requests.
 TARGETS_BACK_OFF = RoutingFault('targets_back_off', retry_after=1)
 #: The team exceeds its requests or tokens per minute.
--- a/src/balsamreach/routing/feedback.py
+++ b/src/balsamreach/routing/feedback.py
@@ -52,7 +52,7 @@
     metrics: Metrics
     hedges: HedgeDelays
 
-    def sent(self, slot: Slot) -> None:
+    def record_sent(self, slot: Slot) -> None:
         """Record that a request is being sent."""
         slot.mark_sent(self.clock.now())
         self.quarantine.crash_detector.request_started(
@@ -69,37 +69,37 @@
         self._update_breaker(slot)
         if slot.verdict == Verdict.DECLINED:
             slot.state.limit.target_overloaded(self.clock.now())
-        if slot.verdict == Verdict.GOOD and slot.first_at:
-            first_byte = slot.first_at - slot.sent_at
+        if slot.verdict == Verdict.GOOD and slot.first_byte_at:
+            first_byte = slot.first_byte_at - slot.sent_at
             now = self.clock.now()
             slot.state.limit.observe(first_byte, slot.in_progress, now)
-            self.hedges.observe(slot.ask.pool, first_byte)
+            self.hedges.add_first_byte(slot.ask.pool, first_byte)
             self.metrics.observe(_FIRST_BYTE, first_byte)
 
     def _update_quarantine(self, slot: Slot) -> None:
         fingerprint = slot.ask.fingerprint
         name = slot.state.name
         if slot.verdict == Verdict.BROKEN:
-            self.quarantine.broken(
+            self.quarantine.record_break(
                 fingerprint,
                 slot.ask.team,
                 name,
                 slot.incarnation,
             )
         elif slot.verdict in {Verdict.GOOD, Verdict.FAILED}:
-            self.quarantine.finished(fingerprint, name)
+            self.quarantine.record_completion(fingerprint, name)
         else:
             self.quarantine.crash_detector.request_ended(fingerprint, name)
         if slot.verdict == Verdict.REFUSED:
-            self.quarantine.refused(name)
+            self.quarantine.record_refused_connection(name)
 
     def _update_breaker(self, slot: Slot) -> None:
         breaker = slot.state.breaker
         if slot.verdict in {Verdict.GOOD, Verdict.DECLINED}:
-            breaker.succeed()
+            breaker.record_success()
         elif slot.verdict not in _FAILURES:
             breaker.release_probe()
-        elif breaker.fail(
+        elif breaker.record_failure(
             self.clock.now(),
             self.rng,
             certain=slot.verdict == Verdict.REFUSED,
--- a/src/balsamreach/routing/fleet_rates.py
+++ b/src/balsamreach/routing/fleet_rates.py
@@ -6,10 +6,10 @@
 
 from balsamreach.clock import Clock
 from balsamreach.peers.base import PeerNet
+from balsamreach.routing.broadcast_rates import BroadcastRates
 from balsamreach.routing.rate_groups import LEVEL_ALL
 from balsamreach.routing.rate_homes import RateHomes
 from balsamreach.routing.rate_messenger import RateMessenger
-from balsamreach.routing.rates_to_all import BroadcastRates
 from balsamreach.telemetry.metrics import Metrics
 from balsamreach.wire.base import Message
 from balsamreach.wire.membership import Member
--- a/src/balsamreach/routing/hedges.py
+++ b/src/balsamreach/routing/hedges.py
@@ -27,7 +27,7 @@
     enabled: bool
     _times: dict[PoolKey, deque[float]] = attrs.field(factory=dict)
 
-    def observe(self, pool: PoolKey, first_byte: float) -> None:
+    def add_first_byte(self, pool: PoolKey, first_byte: float) -> None:
         """Add the first-byte time of an attempt, in seconds."""
         if not self.enabled:
             return
--- a/src/balsamreach/routing/limits.py
+++ b/src/balsamreach/routing/limits.py
@@ -10,7 +10,7 @@
 from balsamreach.routing import faults
 from balsamreach.routing.faults import RoutingFault
 from balsamreach.routing.fleet_rates import FleetRates, make_fleet_rates
-from balsamreach.routing.rate_groups import group_of, number_of
+from balsamreach.routing.rate_groups import group_of, team_hash
 from balsamreach.routing.rates import IDLE_AFTER, TeamRates, make_team_rates
 from balsamreach.table.rows import TeamRow
 from balsamreach.telemetry.metrics import Metrics
@@ -74,7 +74,7 @@
             self.running[team.name] = running + 1
         return refusal
 
-    def leave(self, team: TeamRow, reserved: int, used: int) -> None:
+    def release(self, team: TeamRow, reserved: int, used: int) -> None:
         """Count a request out and return the tokens it did not use."""
         running = self.running.get(team.name, 0) - 1
         if running > 0:
@@ -83,7 +83,7 @@
             self.running.pop(team.name, None)
         rates = self._rates.get(team.name)
         if rates is not None:
-            rates.tokens.give_back(reserved - used)
+            rates.tokens.refund(reserved - used)
             rates.token_demand.take_back(reserved - used, self.clock.now())
 
     def tick(self) -> None:
@@ -95,7 +95,7 @@
         """Return this router's share of a team's fleet-wide rate."""
         if self._fleet is None:
             return 1
-        return self._fleet.share(number_of(team))
+        return self._fleet.share(team_hash(team))
 
     def _check_rate(self, team: TeamRow, tokens: int) -> RoutingFault | None:
         limits = (team.requests_per_minute, team.tokens_per_minute)
@@ -114,7 +114,7 @@
             bucket.refill(limit * share, now, limit * even)
         wait = max(rates.requests.wait(1), rates.tokens.wait(tokens))
         if wait > 0:
-            return faults.RATE_LIMITED.after(
+            return faults.RATE_LIMITED.with_retry_after(
                 self._shorten_wait(rates, wait),
                 'the team is past its requests or tokens a minute',
             )
@@ -134,7 +134,7 @@
     def _rates_of(self, team: str) -> TeamRates:
         rates = self._rates.pop(team, None)
         if rates is None:
-            rates = make_team_rates(number_of(team), self.clock.now())
+            rates = make_team_rates(team_hash(team), self.clock.now())
         self._rates[team] = rates
         if len(self._rates) > _MAX_TEAMS:
             self._rates.popitem(last=False)
--- a/src/balsamreach/routing/picking.py
+++ b/src/balsamreach/routing/picking.py
@@ -5,10 +5,10 @@
 import attrs
 
 from balsamreach.clock import Clock
-from balsamreach.routing.ask import Ask
 from balsamreach.routing.choice import Chooser
 from balsamreach.routing.criteria import Criteria
 from balsamreach.routing.pools import Pool, Pools
+from balsamreach.routing.slot_request import SlotRequest
 from balsamreach.routing.state import TargetState
 
 #: A request leaves its zone if the load of the local choice exceeds this
@@ -41,7 +41,7 @@
 
     def pick(
         self,
-        ask: Ask,
+        ask: SlotRequest,
         pool: Pool,
         tried: frozenset[str] = _NO_NAMES,
     ) -> TargetState | None:
@@ -56,7 +56,7 @@
     def release(
         self,
         state: TargetState,
-        ask: Ask | None,
+        ask: SlotRequest | None,
         now: float,
     ) -> None:
         """Release a slot; ``ask`` is None if the slot was never used."""
@@ -74,7 +74,7 @@
             index = self.chooser.choose(criteria, pool.local, now)
             if index is not None and not self._should_spill(pool, index, now):
                 return pool.local.members[index]
-        group = pool.everyone
+        group = pool.full_group
         index = self.chooser.choose(criteria, group, now)
         if index is None and group.all_suspended():
             # If every breaker is open, avoiding suspended targets gains
@@ -91,5 +91,5 @@
         # not be looked at.
         if load <= _SPILL_SLACK:
             return False
-        mean = pool.everyone.mean_load(self.rng, now)
+        mean = pool.full_group.mean_load(self.rng, now)
         return load > _SPILL_RATIO * mean + _SPILL_SLACK
--- a/src/balsamreach/routing/pools.py
+++ b/src/balsamreach/routing/pools.py
@@ -107,13 +107,13 @@
             return False
         if criteria.ignore_breakers:
             return state.has_slot(now)
-        if state.breaker.open and not criteria.may_probe:
+        if state.breaker.is_open and not criteria.may_probe:
             return False
-        return state.has_slot(now) and state.breaker.passes(now)
+        return state.has_slot(now) and state.breaker.allows_request(now)
 
     def all_suspended(self) -> bool:
         """Return whether the breaker of every member is open."""
-        return all(state.breaker.open for state in self.members)
+        return all(state.breaker.is_open for state in self.members)
 
     def earliest_retry(self, now: float) -> float | None:
         """Return when the first member that backed off accepts requests again.
@@ -153,7 +153,7 @@
         """Return the mean load per weight, sampled in large groups."""
         step = max(1, len(self.members) // _MIN_SAMPLE_SIZE)
         first = int(rng.random() * step)
-        held = sum(state.held for state in self.members[first::step])
+        held = sum(state.slots_held for state in self.members[first::step])
         weight = sum(self.weights[first::step])
         return held / weight + self._mean_others_load(now)
 
@@ -192,16 +192,16 @@
         )
         if local_retry is not None and local_retry <= now:
             return None
-        first = self.everyone.earliest_retry(now)
+        first = self.full_group.earliest_retry(now)
         if first is None or first <= now:
             return None
-        return faults.TARGETS_BACK_OFF.after(
+        return faults.TARGETS_BACK_OFF.with_retry_after(
             first - now,
             'all targets asked for no requests',
         )
 
     @property
-    def everyone(self) -> Group:
+    def full_group(self) -> Group:
         """All targets; created when a request first leaves the zone.
 
         Most requests stay in their zone, and the state of thousands of targets
@@ -253,7 +253,7 @@
         """Return the number of slots held at the targets of a pool."""
         members = self._members.get(key, ())
         known = filter(None, map(self.states.get, members))
-        return sum(state.held for state in known)
+        return sum(state.slots_held for state in known)
 
     def serves(self, service: str, key: PoolKey) -> bool:
         """Return whether a pool contains targets of a service."""
--- a/src/balsamreach/routing/probation.py
+++ b/src/balsamreach/routing/probation.py
@@ -9,9 +9,9 @@
 from balsamreach.clock import Clock
 from balsamreach.config.settings import RoutingSettings
 from balsamreach.routing import faults
-from balsamreach.routing.ask import Ask
 from balsamreach.routing.faults import RoutingFault
 from balsamreach.routing.pools import Group
+from balsamreach.routing.slot_request import SlotRequest
 from balsamreach.routing.state import TargetState
 
 _MAX_RING_STEPS = 16
@@ -40,7 +40,7 @@
 
     async def enter(
         self,
-        ask: Ask,
+        ask: SlotRequest,
         group: Group,
         tried: frozenset[str],
     ) -> TargetState | RoutingFault:
@@ -57,7 +57,7 @@
         state = self._reserve(ask, group, tried)
         if state is None:
             self._grant_next_turn()
-            return faults.ALL_BUSY.because(
+            return faults.ALL_TARGETS_BUSY.because(
                 'the request may have crashed a target, so it has to run '
                 'alone, and no target can be kept free for it now',
             )
@@ -65,7 +65,7 @@
         if not is_empty:
             state.reserved_for = ''
             self._grant_next_turn()
-            return faults.DEADLINE_UNMEETABLE.after(
+            return faults.DEADLINE_UNMEETABLE.with_retry_after(
                 1,
                 'no target came free for the request to run alone',
             )
@@ -75,7 +75,7 @@
     def slot_released(self, state: TargetState) -> None:
         """Record that a target's slot was released."""
         event = self._empty_events.get(state)
-        if event is not None and not state.held:
+        if event is not None and not state.slots_held:
             event.set()
         if not state.reserved_for:
             self._grant_next_turn()
@@ -109,7 +109,7 @@
             self._waiting_turns.popleft().set_result(None)
 
     async def _wait_empty(self, state: TargetState, time_left: float) -> bool:
-        if not state.held:
+        if not state.slots_held:
             return True
         event = asyncio.Event()
         self._empty_events[state] = event
@@ -129,7 +129,7 @@
 
     def _reserve(
         self,
-        ask: Ask,
+        ask: SlotRequest,
         group: Group,
         tried: frozenset[str],
     ) -> TargetState | None:
--- a/src/balsamreach/routing/quarantine.py
+++ b/src/balsamreach/routing/quarantine.py
@@ -80,7 +80,7 @@
                 'an operator can lift its quarantine',
             )
         broken = self.crash_detector.break_targets(fingerprint)
-        suspect = self.suspects.by_print.get(fingerprint)
+        suspect = self.suspects.by_fingerprint.get(fingerprint)
         known_targets = suspect.targets if suspect else set()
         if len(broken | known_targets) >= self.suspects.threshold:
             self.metrics.count(_REFUSED, why=faults.SUSPECTED.code)
@@ -101,7 +101,7 @@
             return False
         return bool(self.crash_detector.break_targets(fingerprint))
 
-    def finished(self, fingerprint: str, target: str) -> None:
+    def record_completion(self, fingerprint: str, target: str) -> None:
         """Record the normal end of an exchange.
 
         It shows that the target is up and the request does not crash it.
@@ -112,7 +112,7 @@
         # meanwhile, one normal end here must not release it.
         self.suspects.clear(fingerprint)
 
-    def broken(
+    def record_break(
         self,
         fingerprint: str,
         team: str,
@@ -136,7 +136,7 @@
                 Suspicion(fingerprint, team, crash, unexplained=True),
             )
 
-    def refused(self, target: str) -> None:
+    def record_refused_connection(self, target: str) -> None:
         """Record a refused connection, which confirms a crash."""
         self._record_crashes(
             self.crash_detector.confirm(target, self.clock.now())
@@ -151,7 +151,7 @@
         )
         self._record_crashes(breaks)
 
-    def listed(self) -> tuple[Quarantined, ...]:
+    def quarantined_requests(self) -> tuple[Quarantined, ...]:
         """Return all quarantined requests."""
         return tuple(
             Quarantined(
@@ -160,7 +160,7 @@
                 tuple(sorted(suspect.targets)),
                 suspect.quarantined_at,
             )
-            for fingerprint, suspect in self.suspects.by_print.items()
+            for fingerprint, suspect in self.suspects.by_fingerprint.items()
             if suspect.quarantined_at
         )
 
@@ -198,7 +198,7 @@
     def _record_peer_break(self, message: Suspicion) -> bool:
         fingerprint = message.fingerprint
         target, _at, incarnation = message.target.rpartition('@')
-        suspect = self.suspects.by_print.get(fingerprint)
+        suspect = self.suspects.by_fingerprint.get(fingerprint)
         is_known = suspect is not None and message.target in suspect.crashes
         if is_known or target in self.crash_detector.break_targets(fingerprint):
             return False
@@ -254,4 +254,4 @@
 
 
 def _update_held_gauge(quarantine: Quarantine) -> None:
-    quarantine.metrics.gauge(_HELD, len(quarantine.listed()))
+    quarantine.metrics.gauge(_HELD, len(quarantine.quarantined_requests()))
--- a/src/balsamreach/routing/rate_groups.py
+++ b/src/balsamreach/routing/rate_groups.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from balsamreach.routing.demands import MILLION, DemandReport, Demands
-from balsamreach.routing.granted import (
+from balsamreach.routing.granted_shares import (
     HOME_DEFAULT,
     ROOT_DEFAULT,
     DefaultShare,
@@ -171,7 +171,7 @@
         return f'rates {self.number}'
 
 
-def number_of(team: str) -> int:
+def team_hash(team: str) -> int:
     """Return the hash that identifies a team in messages."""
     return xxhash.xxh3_64_intdigest(team.encode())
 
--- a/src/balsamreach/routing/rates.py
+++ b/src/balsamreach/routing/rates.py
@@ -96,7 +96,7 @@
         if self.level is not None:
             self.level -= amount
 
-    def give_back(self, amount: float) -> None:
+    def refund(self, amount: float) -> None:
         """Return an amount that was taken and not used."""
         if self.level is not None:
             self.level += max(0, amount)
--- a/src/balsamreach/routing/routing.py
+++ b/src/balsamreach/routing/routing.py
@@ -9,7 +9,6 @@
 from balsamreach.peers.base import PeerNet
 from balsamreach.routing import faults
 from balsamreach.routing.admission import Admission
-from balsamreach.routing.ask import Ask
 from balsamreach.routing.faults import RoutingFault
 from balsamreach.routing.feedback import Feedback
 from balsamreach.routing.hedges import HedgeDelays
@@ -21,6 +20,7 @@
 from balsamreach.routing.quarantine import Quarantine
 from balsamreach.routing.retries import RetryBudget
 from balsamreach.routing.slot import Slot
+from balsamreach.routing.slot_request import SlotRequest
 from balsamreach.routing.state import TargetState
 from balsamreach.routing.suspects import Suspects
 from balsamreach.targets.cache_feed import CacheChanges
@@ -68,15 +68,15 @@
     rng: random.Random
     metrics: Metrics
 
-    def refuse(self, key: PoolKey) -> RoutingFault | None:
+    def check_back_off(self, key: PoolKey) -> RoutingFault | None:
         """Return a refusal if every target of a pool backs off, else None."""
         pool = self.admission.picker.pools.find(key)
         return None if pool is None else pool.check_back_off(self.clock.now())
 
-    async def enter(self, ask: Ask) -> Slot | RoutingFault:
+    async def acquire_slot(self, ask: SlotRequest) -> Slot | RoutingFault:
         """Return a slot for a request's first attempt, or a refusal."""
         refusal = self.quarantine.check(ask.fingerprint)
-        refusal = refusal or self.refuse(ask.pool)
+        refusal = refusal or self.check_back_off(ask.pool)
         if refusal is not None:
             return refusal
         if self.quarantine.must_run_alone(ask.fingerprint):
@@ -87,19 +87,21 @@
             self.retries.deposit()
         return self._make_slot(state, ask)
 
-    async def again(
+    async def retry(
         self,
-        ask: Ask,
+        ask: SlotRequest,
         tried: frozenset[str],
     ) -> Slot | RoutingFault:
         """Return a slot at an untried target, within the retry budget."""
         refusal = self.quarantine.check(ask.fingerprint)
-        refusal = refusal or self.refuse(ask.pool)
+        refusal = refusal or self.check_back_off(ask.pool)
         if refusal is not None:
             return refusal
         if not self.retries.withdraw():
             self.metrics.count(_RETRIES_REFUSED)
-            return faults.ALL_BUSY.because('the retry budget is used up')
+            return faults.ALL_TARGETS_BUSY.because(
+                'the retry budget is used up'
+            )
         if self.quarantine.must_run_alone(ask.fingerprint):
             state = await self._run_alone(ask, tried)
         else:
@@ -110,9 +112,9 @@
             self.retries.tokens += 1
         return self._make_slot(state, ask)
 
-    def hedge(
+    def acquire_hedge_slot(
         self,
-        ask: Ask,
+        ask: SlotRequest,
         tried: frozenset[str],
     ) -> Slot | RoutingFault:
         """Return a slot for a hedge request, within the retry budget.
@@ -121,22 +123,24 @@
         crash is known.
         """
         if self.quarantine.check(ask.fingerprint) is not None:
-            return faults.ALL_BUSY.because(
+            return faults.ALL_TARGETS_BUSY.because(
                 'the request is held back as a suspect or quarantined'
             )
         if self.quarantine.must_run_alone(ask.fingerprint):
-            return faults.ALL_BUSY.because(
+            return faults.ALL_TARGETS_BUSY.because(
                 'the request runs alone, so it is not hedged'
             )
         if not self.retries.withdraw():
             self.metrics.count(_RETRIES_REFUSED)
-            return faults.ALL_BUSY.because('the retry budget is used up')
+            return faults.ALL_TARGETS_BUSY.because(
+                'the retry budget is used up'
+            )
         state = self._pick_untried(ask, tried)
         if not isinstance(state, TargetState):
             self.retries.tokens += 1
         return self._make_slot(state, ask)
 
-    def waiting(self, service: str) -> int:
+    def waiting_count(self, service: str) -> int:
         """Return the number of queued requests that a service could serve."""
         pools = self.admission.picker.pools
         return sum(
@@ -146,11 +150,11 @@
             and pools.serves(service, pool_queue.key)
         )
 
-    def learn_cache(self, target: str, news: CacheChanges) -> None:
+    def apply_cache_events(self, target: str, news: CacheChanges) -> None:
         """Apply a target's prefix cache events to the choice of targets."""
         self.admission.picker.chooser.apply_cache_events(target, news)
 
-    def leave(self, slot: Slot) -> None:
+    def release_slot(self, slot: Slot) -> None:
         """Release a slot and record how its exchange ended."""
         self.feedback.ended(slot)
         held_for = self.clock.now() - slot.taken_at
@@ -180,7 +184,7 @@
 
     def _pick_untried(
         self,
-        ask: Ask,
+        ask: SlotRequest,
         tried: frozenset[str],
     ) -> TargetState | RoutingFault:
         # A retry does not queue: it would take the place of a request that has
@@ -189,24 +193,24 @@
         pool = picker.pools.find(ask.pool)
         state = None if pool is None else picker.pick(ask, pool, tried)
         if state is None:
-            return faults.ALL_BUSY.because('no other target has room')
+            return faults.ALL_TARGETS_BUSY.because('no other target has room')
         return state
 
     async def _run_alone(
         self,
-        ask: Ask,
+        ask: SlotRequest,
         tried: frozenset[str],
     ) -> TargetState | RoutingFault:
         pool = self.admission.picker.pools.find(ask.pool)
         if pool is None:
             return faults.NO_TARGET.because(f'no target serves {ask.pool[1]}')
         probation = self.admission.probation
-        return await probation.enter(ask, pool.everyone, tried)
+        return await probation.enter(ask, pool.full_group, tried)
 
     def _make_slot(
         self,
         state: TargetState | RoutingFault,
-        ask: Ask,
+        ask: SlotRequest,
     ) -> Slot | RoutingFault:
         if isinstance(state, RoutingFault):
             return state
--- a/src/balsamreach/routing/slot.py
+++ b/src/balsamreach/routing/slot.py
@@ -5,7 +5,7 @@
 import attrs
 
 from balsamreach.clock import Clock
-from balsamreach.routing.ask import Ask
+from balsamreach.routing.slot_request import SlotRequest
 from balsamreach.routing.state import TargetState
 from balsamreach.targets.registry import Target
 
@@ -41,7 +41,7 @@
     ----------
     state : TargetState
         State of the target.
-    ask : Ask
+    ask : SlotRequest
         The request.
     clock : Clock
         Clock of the router.
@@ -58,11 +58,11 @@
     """
 
     state: TargetState
-    ask: Ask
+    ask: SlotRequest
     clock: Clock
     taken_at: float
     sent_at: float = 0
-    first_at: float = 0
+    first_byte_at: float = 0
     in_progress: int = 0
     incarnation: str = ''
     verdict: Verdict = Verdict.UNUSED
@@ -72,13 +72,13 @@
         """The target's entry in the registry."""
         return self.state.target
 
-    def first_byte_came(self) -> None:
+    def record_first_byte(self) -> None:
         """Record the arrival of the first byte of the answer."""
-        self.first_at = self.clock.now()
+        self.first_byte_at = self.clock.now()
 
     def mark_sent(self, now: float) -> None:
         """Record that the request is being sent."""
         self.sent_at = now
-        self.in_progress = self.state.held
+        self.in_progress = self.state.slots_held
         self.incarnation = self.target.report.incarnation
         self.verdict = Verdict.ABANDONED
--- a/src/balsamreach/routing/ask.py
+++ b/src/balsamreach/routing/slot_request.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class Ask:
+class SlotRequest:
     """One request that needs a slot at a target.
 
     Parameters
--- a/src/balsamreach/routing/state.py
+++ b/src/balsamreach/routing/state.py
@@ -29,7 +29,7 @@
         Circuit breaker of the target.
     limit : AdaptiveLimit
         Limit on own requests at the target.
-    held : int
+    slots_held : int
         Slots held by requests of this router, sent or about to be sent.
     reserved_for : str
         Fingerprint of the suspect that the target is reserved for, or empty.
@@ -40,7 +40,7 @@
     target: Target
     breaker: Breaker
     limit: AdaptiveLimit = attrs.field(factory=AdaptiveLimit)
-    held: int = 0
+    slots_held: int = 0
     reserved_for: str = ''
     other_requests: int = 0
     _last_report: LoadReport | None = None
@@ -56,14 +56,14 @@
     def take_slot(self, now: float) -> None:
         """Take a slot."""
         self._apply_report(now)
-        self.held += 1
-        self.breaker.begin()
+        self.slots_held += 1
+        self.breaker.record_start()
         self._record_held(now)
 
     def release_slot(self, now: float) -> None:
         """Release a slot."""
         self._apply_report(now)
-        self.held -= 1
+        self.slots_held -= 1
         self._record_held(now)
 
     def load(self, now: float) -> float:
@@ -74,7 +74,7 @@
         counted and requests that have ended since are not.
         """
         self._apply_report(now)
-        return self.held + self.other_requests
+        return self.slots_held + self.other_requests
 
     def estimated_load(self, mean_others: float, now: float) -> float:
         """Return the estimated load, giving old reports less weight.
@@ -94,7 +94,7 @@
         age = now - self.target.report.valid_at
         weight = math.exp(-age / _REPORT_TIME_CONSTANT)
         return (
-            self.held
+            self.slots_held
             + mean_others
             + (self.other_requests - mean_others) * weight
         )
@@ -104,7 +104,7 @@
         self._apply_report(now)
         capacity = min(self.target.row.concurrency, int(self.limit.limit))
         capacity = int(capacity * self.target.warm_share(now))
-        return self.held < max(1, capacity) and self.accepts_requests(now)
+        return self.slots_held < max(1, capacity) and self.accepts_requests(now)
 
     def accepts_requests(self, now: float) -> bool:
         """Return whether the target may be sent requests at all."""
@@ -128,9 +128,9 @@
             history = array('d')
             self._held_history = history
         if history and now - history[-2] < _HISTORY_STEP:
-            history[-1] = self.held
+            history[-1] = self.slots_held
             return
-        history.extend((now, self.held))
+        history.extend((now, self.slots_held))
         # A report is applied before the next change at the latest, so older
         # entries are not needed. The entry in force at the start of the span
         # is kept.
--- a/src/balsamreach/routing/suspects.py
+++ b/src/balsamreach/routing/suspects.py
@@ -49,12 +49,12 @@
     ----------
     threshold : int
         Number of crashed targets at which a request is quarantined.
-    by_print : dict of str to Suspect
+    by_fingerprint : dict of str to Suspect
         Records by fingerprint.
     """
 
     threshold: int
-    by_print: OrderedDict[str, Suspect] = attrs.field(factory=OrderedDict)
+    by_fingerprint: OrderedDict[str, Suspect] = attrs.field(factory=OrderedDict)
     _present_at: OrderedDict[str, set[str]] = attrs.field(factory=OrderedDict)
 
     def record_crash(
@@ -80,15 +80,15 @@
         bool
             False if it was recorded already or happened before a lift.
         """
-        suspect = self.by_print.get(fingerprint)
+        suspect = self.by_fingerprint.get(fingerprint)
         if suspect is None:
             suspect = Suspect(team)
-            self.by_print[fingerprint] = suspect
+            self.by_fingerprint[fingerprint] = suspect
         if crash in suspect.crashes or at <= suspect.lifted_at:
             return False
         suspect.crashes[crash] = crash.rpartition('@')[0]
         suspect.seen_at = at
-        self.by_print.move_to_end(fingerprint)
+        self.by_fingerprint.move_to_end(fingerprint)
         self._present_at.setdefault(crash, set()).add(fingerprint)
         self._check_threshold(fingerprint, suspect, at)
         self._evict(at)
@@ -96,11 +96,11 @@
 
     def clear(self, fingerprint: str) -> bool:
         """Remove a suspect that has since completed; False if there is none."""
-        suspect = self.by_print.get(fingerprint)
+        suspect = self.by_fingerprint.get(fingerprint)
         if suspect is None or not suspect.crashes or suspect.quarantined_at:
             return False
         self._forget_crashes(fingerprint, suspect)
-        self.by_print.pop(fingerprint)
+        self.by_fingerprint.pop(fingerprint)
         return True
 
     def lift(self, fingerprint: str, at: float) -> bool:
@@ -109,10 +109,10 @@
         The record is kept, so that older reports still in transit between
         routers can't restore the quarantine.
         """
-        suspect = self.by_print.get(fingerprint)
+        suspect = self.by_fingerprint.get(fingerprint)
         if suspect is None:
             suspect = Suspect('')
-            self.by_print[fingerprint] = suspect
+            self.by_fingerprint[fingerprint] = suspect
         if suspect.lifted_at >= at:
             return False
         self._forget_crashes(fingerprint, suspect)
@@ -127,7 +127,7 @@
 
         Requests that have completed since are no longer suspects.
         """
-        suspect = self.by_print.get(fingerprint)
+        suspect = self.by_fingerprint.get(fingerprint)
         if suspect is None:
             return 0
         crashes = suspect.crashes
@@ -135,12 +135,12 @@
 
     def is_quarantined(self, fingerprint: str) -> bool:
         """Return whether a request must not run."""
-        suspect = self.by_print.get(fingerprint)
+        suspect = self.by_fingerprint.get(fingerprint)
         return suspect is not None and suspect.quarantined_at > 0
 
     def is_suspect(self, fingerprint: str) -> bool:
         """Return whether a request may have caused a crash."""
-        suspect = self.by_print.get(fingerprint)
+        suspect = self.by_fingerprint.get(fingerprint)
         return suspect is not None and bool(suspect.crashes)
 
     def _check_threshold(
@@ -166,12 +166,12 @@
         suspect.crashes = {}
 
     def _evict(self, now: float) -> None:
-        while self.by_print:
-            oldest = next(iter(self.by_print))
-            suspect = self.by_print[oldest]
-            over_limit = len(self.by_print) > _MAX_REQUESTS
+        while self.by_fingerprint:
+            oldest = next(iter(self.by_fingerprint))
+            suspect = self.by_fingerprint[oldest]
+            over_limit = len(self.by_fingerprint) > _MAX_REQUESTS
             over_limit = over_limit or len(self._present_at) > _MAX_CRASHES
             if not over_limit and now - suspect.seen_at < _RECORD_LIFETIME:
                 return
             self._forget_crashes(oldest, suspect)
-            self.by_print.pop(oldest)
+            self.by_fingerprint.pop(oldest)
--- a/src/balsamreach/routing/shares.py
+++ b/src/balsamreach/routing/weighted_split.py
@@ -9,7 +9,7 @@
 
 
 @attrs.define
-class Shares:
+class WeightedSplit:
     """Smooth weighted round robin, with one sequence per owner.
 
     With constant weights and two names, each name's count is always within one
--- a/tests/routing_node.py
+++ b/tests/routing_node.py
@@ -3,9 +3,9 @@
 import random
 
 from balsamreach.config.reader import read_settings
-from balsamreach.routing.ask import Ask
 from balsamreach.routing.routing import make_routing
 from balsamreach.routing.slot import Verdict
+from balsamreach.routing.slot_request import SlotRequest
 from balsamreach.table.rows import ENGINE, TargetRow
 from balsamreach.targets.registry import Targets
 from balsamreach.telemetry.metrics import Metrics
@@ -60,18 +60,18 @@
     def ask(self, fingerprint='a', team='team', **fields):
         """Return a request."""
         fields.setdefault('deadline', self.clock.now() + 60)
-        return Ask(team, (ENGINE, MODEL), fingerprint, **fields)
+        return SlotRequest(team, (ENGINE, MODEL), fingerprint, **fields)
 
     async def send(self, **fields):
         """Enter a request, record it as sent and return its slot."""
-        slot = await self.routing.enter(self.ask(**fields))
-        self.routing.feedback.sent(slot)
+        slot = await self.routing.acquire_slot(self.ask(**fields))
+        self.routing.feedback.record_sent(slot)
         return slot
 
     def end(self, slot, verdict=Verdict.GOOD):
         """End a request's exchange with a verdict."""
         slot.verdict = verdict
-        self.routing.leave(slot)
+        self.routing.release_slot(slot)
 
     def state(self, name):
         """Return the state of a target."""
--- a/tests/test_dispatch_crashes.py
+++ b/tests/test_dispatch_crashes.py
@@ -115,7 +115,7 @@
         if how == 'refused':
             quarantine = self.quarantine(self.routers[0])
             for name in self.engines.crashed:
-                quarantine.refused(name)
+                quarantine.record_refused_connection(name)
         await self.net.settle()
 
     @parameterized.expand([('not known yet',), ('refused',), ('restarted',)])
@@ -167,6 +167,6 @@
             for mark in (*others, 'new'):
                 caller = await router.call(mark=mark, key=f'later-{mark}')
                 self.assertIsNone(caller.fault, mark)
-            held = self.quarantine(router).listed()
+            held = self.quarantine(router).quarantined_requests()
             fingerprints = {one.fingerprint for one in held}
             self.assertLessEqual(fingerprints, {f'team-{_CRASHING}'})
--- a/tests/test_dispatch_hedging.py
+++ b/tests/test_dispatch_hedging.py
@@ -27,19 +27,19 @@
     def test_delay_is_a_high_percentile_with_a_floor(self):
         delays = HedgeDelays(enabled=True)
         for number in range(19):
-            delays.observe(_ENGINE, number / 10)
+            delays.add_first_byte(_ENGINE, number / 10)
         self.assertEqual(delays.delay(_ENGINE), 0)
-        delays.observe(_ENGINE, 1.9)
+        delays.add_first_byte(_ENGINE, 1.9)
         self.assertAlmostEqual(delays.delay(_ENGINE), 1.9)
         for _ in range(200):
-            delays.observe(_ENGINE, 0.001)
+            delays.add_first_byte(_ENGINE, 0.001)
         self.assertAlmostEqual(delays.delay(_ENGINE), 0.05)
         self.assertEqual(delays.delay(_DESK), 0)
 
     def test_nothing_is_learnt_while_it_is_off(self):
         delays = HedgeDelays(enabled=False)
         for _ in range(30):
-            delays.observe(_ENGINE, 1)
+            delays.add_first_byte(_ENGINE, 1)
         self.assertEqual(delays.delay(_ENGINE), 0)
 
 
@@ -57,7 +57,7 @@
         self.routing.hedges.enabled = True
         for pool in (_ENGINE, _DESK):
             for _ in range(20):
-                self.routing.hedges.observe(pool, 0.1)
+                self.routing.hedges.add_first_byte(pool, 0.1)
 
     def plan_first(self, fault):
         """Set the fault of the request that is sent first."""
@@ -75,7 +75,7 @@
     def check_slots_released(self):
         """Check that all slots have been released."""
         pools = self.routing.admission.picker.pools
-        held = [state.held for state in pools.states.values()]
+        held = [state.slots_held for state in pools.states.values()]
         self.assertEqual(sum(held), 0)
 
     @parameterized.expand([({},), (service_call(),)])
@@ -160,7 +160,7 @@
             self.assertTrue(caller.end.is_complete, caller.end)
         pools = self.routing.admission.picker.pools
         breakers = {
-            name: state.breaker.open for name, state in pools.states.items()
+            name: state.breaker.is_open for name, state in pools.states.items()
         }
         slow = breakers.pop('engine-0')
         self.assertTrue(slow)
--- a/tests/test_gateway_operators_quarantine.py
+++ b/tests/test_gateway_operators_quarantine.py
@@ -95,5 +95,5 @@
         for _ in range(2):
             slot = await self.here.send(fingerprint=_CULPRIT)
             self.here.end(slot, Verdict.BROKEN)
-            self.here.quarantine.refused(slot.target.name)
+            self.here.quarantine.record_refused_connection(slot.target.name)
             await self.net.settle()
--- a/tests/test_relay_run.py
+++ b/tests/test_relay_run.py
@@ -237,10 +237,10 @@
             other.entry = attrs.evolve(other.entry, leaving=True)
         self.harness.run(relay_samples.call(PLAIN), _REFUSED)
         self.harness.clock.advance(2)
-        self.assertTrue(place.breaker.passes(self.harness.clock.now()))
+        self.assertTrue(place.breaker.allows_request(self.harness.clock.now()))
         call = relay_samples.call(PLAIN, seconds=60)
         self.harness.run(call, _REFUSED)
-        self.assertFalse(place.breaker.passes(self.harness.clock.now()))
+        self.assertFalse(place.breaker.allows_request(self.harness.clock.now()))
 
     @parameterized.expand(
         (
--- a/tests/test_routing_admission.py
+++ b/tests/test_routing_admission.py
@@ -55,7 +55,7 @@
 
     async def _enter(self, team, fields):
         ask = self.node.ask(team, team, **fields)
-        outcome = await self.node.routing.enter(ask)
+        outcome = await self.node.routing.acquire_slot(ask)
         self.outcomes.append((team, outcome))
         return outcome
 
@@ -171,11 +171,11 @@
         for target, seconds in zip(targets, (9, 4, 1), strict=True):
             target.retry_at = now + seconds
         targets[2].mark_leaving('start')
-        refusal = await self.node.routing.enter(self.node.ask())
+        refusal = await self.node.routing.acquire_slot(self.node.ask())
         self.assertEqual(refusal, TARGETS_BACK_OFF)
         self.assertEqual(refusal.retry_after, 4)
         self.node.clock.advance(4)
-        slot = await self.node.routing.enter(self.node.ask())
+        slot = await self.node.routing.acquire_slot(self.node.ask())
         self.assertIs(slot.target, targets[1])
 
     async def test_refused_if_own_zone_leaves_and_other_backs_off(self):
@@ -191,13 +191,13 @@
                 target.mark_leaving('start')
             else:
                 target.retry_at = now + 4
-        refusal = await self.node.routing.enter(self.node.ask())
+        refusal = await self.node.routing.acquire_slot(self.node.ask())
         self.assertEqual(refusal, TARGETS_BACK_OFF)
         self.assertEqual(refusal.retry_after, 4)
 
     async def test_unknown_model_is_refused(self):
         self.node.targets.update(())
-        refusal = await self.node.routing.enter(self.node.ask())
+        refusal = await self.node.routing.acquire_slot(self.node.ask())
         self.assertEqual(refusal, NO_TARGET)
 
 
@@ -219,7 +219,7 @@
         await _settle()
         self.assertTrue(cancelled.cancelled())
         self.assertEqual([team for team, _slot in self.outcomes], ['next'])
-        self.assertEqual(slots[0].state.held, 2)
+        self.assertEqual(slots[0].state.slots_held, 2)
 
     async def test_cancelled_request_leaves_the_queue(self):
         slots = await self.fill()
@@ -240,7 +240,7 @@
         """
         await self.fill()
         await self.queue('team', 3)
-        waiting = self.node.routing.waiting
+        waiting = self.node.routing.waiting_count
         self.assertEqual((waiting('llm'), waiting('desk')), (3, 0))
 
     async def test_new_target_serves_waiting_requests(self):
--- a/tests/test_routing_choice.py
+++ b/tests/test_routing_choice.py
@@ -6,7 +6,7 @@
 from parameterized import parameterized
 
 from balsamreach.routing.policies import POLICIES
-from balsamreach.routing.shares import Shares
+from balsamreach.routing.weighted_split import WeightedSplit
 from balsamreach.targets.registry import LoadReport
 from tests.routing_node import Node, make_rows
 
@@ -17,7 +17,7 @@
     """Splits of ``auto`` requests between models."""
 
     def test_counts_stay_within_one_pick_of_the_weights(self):
-        shares = Shares()
+        shares = WeightedSplit()
         weights = {'a': 0.7, 'b': 0.3}
         counts = Counter()
         for number in range(1, 1001):
@@ -25,7 +25,7 @@
             self.assertLessEqual(abs(counts['a'] - 0.7 * number), 1)
 
     def test_owners_are_bounded_and_weight_zero_is_not_picked(self):
-        shares = Shares(max_owners=10)
+        shares = WeightedSplit(max_owners=10)
         for number in range(100):
             picked = shares.pick(f'team-{number}', {'a': 0, 'b': 1})
             self.assertEqual(picked, 'b')
@@ -100,7 +100,7 @@
                 running=running, slots=20, valid_at=now
             )
         pools = node.picker.pools
-        group = pools.find(node.ask().pool).everyone
+        group = pools.find(node.ask().pool).full_group
         for index in range(2):
             group.members[index].load(now)
         self.assertAlmostEqual(group.load(1, now) - group.load(0, now), 8)
@@ -118,7 +118,7 @@
         target.warm_up_started = node.clock.now() - target.warm_time / 4
         for number in range(32):
             await node.send(fingerprint=f'f{number}')
-        held = node.state('zone-a-engine-0').held
+        held = node.state('zone-a-engine-0').slots_held
         self.assertLessEqual(held, 32 / 8 / 2)
         self.assertGreater(held, 0)
 
@@ -164,6 +164,6 @@
         for number in range(32):
             await node.send(prefix=_PROMPT, fingerprint=f'f{number}')
         pools = node.picker.pools
-        held = [state.held for state in pools.states.values()]
+        held = [state.slots_held for state in pools.states.values()]
         self.assertLessEqual(max(held), 6)
         self.assertGreaterEqual(min(held), 2)
--- a/tests/test_routing_hints.py
+++ b/tests/test_routing_hints.py
@@ -157,7 +157,7 @@
             node.clock,
             node.metrics,
         )
-        follower.watchers.append(node.routing.learn_cache)
+        follower.watchers.append(node.routing.apply_cache_events)
         for target in node.targets.by_name.values():
             target.report = LoadReport(valid_at=node.clock.now())
         for _ in rows:
--- a/tests/test_routing_limits.py
+++ b/tests/test_routing_limits.py
@@ -22,7 +22,7 @@
         team = TeamRow(name='team', concurrency=2)
         outcomes = [self.limits.enter(team, 1) for _ in range(3)]
         self.assertEqual(outcomes, [None, None, TEAM_CONCURRENCY])
-        self.limits.leave(team, 1, 1)
+        self.limits.release(team, 1, 1)
         self.assertIsNone(self.limits.enter(team, 1))
 
     def test_rate_is_enforced_and_refusals_have_a_retry_time(self):
@@ -32,7 +32,7 @@
             refusal = self.limits.enter(team, 1)
             if refusal is None:
                 admitted += 1
-                self.limits.leave(team, 1, 1)
+                self.limits.release(team, 1, 1)
             self.clock.advance(0.5)
         self.assertAlmostEqual(admitted, 300 + 10, delta=2)
         self.limits.enter(team, 1)
@@ -45,7 +45,7 @@
         team = TeamRow(name='team', tokens_per_minute=6000)
         self.assertIsNone(self.limits.enter(team, 1000))
         self.assertEqual(self.limits.enter(team, 1000), RATE_LIMITED)
-        self.limits.leave(team, 1000, 10)
+        self.limits.release(team, 1000, 10)
         self.assertIsNone(self.limits.enter(team, 900))
 
     def test_request_larger_than_the_burst_leaves_a_debt(self):
--- a/tests/test_routing_pools.py
+++ b/tests/test_routing_pools.py
@@ -41,7 +41,7 @@
 
 
 def _group_members(pool):
-    groups = (pool.everyone, pool.local) if pool else ()
+    groups = (pool.full_group, pool.local) if pool else ()
     return [
         {
             (state.name, repr(state.target.row), weight)
--- a/tests/test_routing_quarantine.py
+++ b/tests/test_routing_quarantine.py
@@ -31,7 +31,7 @@
         for other in others_at_target:
             if other.target.name == name:
                 node.end(other, Verdict.BROKEN)
-        node.quarantine.refused(name)
+        node.quarantine.record_refused_connection(name)
         await self.net.settle()
         return name
 
@@ -54,7 +54,7 @@
         second = await self.crash(self.nodes[1])
         self.assertNotEqual(first, second)
         for node in self.nodes:
-            refusal = await node.routing.enter(node.ask(_CULPRIT))
+            refusal = await node.routing.acquire_slot(node.ask(_CULPRIT))
             self.assertEqual(refusal, QUARANTINED)
         innocent = await self.nodes[2].send(fingerprint='innocent')
         self.nodes[2].end(innocent)
@@ -69,7 +69,7 @@
         node = self.nodes[0]
         for _ in range(2):
             await self._break_connection(node)
-        refusal = await node.routing.enter(node.ask(_CULPRIT))
+        refusal = await node.routing.acquire_slot(node.ask(_CULPRIT))
         self.assertEqual(refusal, SUSPECTED)
         self.assertGreater(refusal.retry_after, 0)
 
@@ -111,7 +111,7 @@
             quarantine = node.quarantine
             for message in late:
                 await quarantine.handle_suspicion(sender, message)
-            self.assertEqual(quarantine.listed(), ())
+            self.assertEqual(quarantine.quarantined_requests(), ())
             self.assertIsNone(quarantine.check(_CULPRIT))
 
 
@@ -142,13 +142,13 @@
                 node.end(slot)
         for name in suspects:
             alone = await node.send(fingerprint=name)
-            self.assertEqual(alone.state.held, 1)
+            self.assertEqual(alone.state.slots_held, 1)
             self.assertEqual(alone.state.reserved_for, name)
             node.end(alone)
             self.assertFalse(quarantine.must_run_alone(name))
         await self.crash(node)
         self.assertEqual(
-            [held.fingerprint for held in quarantine.listed()],
+            [held.fingerprint for held in quarantine.quarantined_requests()],
             [_CULPRIT],
         )
 
@@ -162,14 +162,14 @@
         await self.crash(node)
         busy = [await node.send(fingerprint=f'n{num}') for num in range(20)]
         waiting = asyncio.create_task(
-            node.routing.again(node.ask(_CULPRIT), frozenset()),
+            node.routing.retry(node.ask(_CULPRIT), frozenset()),
         )
         await asyncio.sleep(0)
         self.assertFalse(waiting.done())
         for slot in busy:
             node.end(slot)
         alone = await waiting
-        self.assertEqual(alone.state.held, 1)
+        self.assertEqual(alone.state.slots_held, 1)
 
     async def test_normal_end_of_another_request_refutes_a_crash(self):
         """A break is no crash if another request at the target ends normally.
@@ -223,4 +223,4 @@
             suspects.record_crash(
                 f'f{number}', 'team', crash, self.clock.wall()
             )
-        self.assertLessEqual(len(suspects.by_print), 2000)
+        self.assertLessEqual(len(suspects.by_fingerprint), 2000)
--- a/tests/test_routing_rates.py
+++ b/tests/test_routing_rates.py
@@ -10,7 +10,7 @@
 
 from balsamreach.routing import fleet_rates
 from balsamreach.routing.demands import DemandReport, Demands
-from balsamreach.routing.granted import HOME_DEFAULT, GrantedShares
+from balsamreach.routing.granted_shares import HOME_DEFAULT, GrantedShares
 from balsamreach.routing.limits import TeamLimits
 from balsamreach.routing.rate_groups import (
     LEVEL_HOME,
@@ -18,7 +18,7 @@
     REPORT_INTERVAL,
     DemandCollector,
     group_of,
-    number_of,
+    team_hash,
 )
 from balsamreach.table.rows import TeamRow
 from balsamreach.telemetry.metrics import Metrics
@@ -32,7 +32,7 @@
 _PER_SECOND = _LIMIT / 60
 _ROW = TeamRow(name='team', requests_per_minute=_LIMIT)
 _TOKEN_ROW = TeamRow(name='team', tokens_per_minute=_LIMIT)
-_TEAM = number_of('team')
+_TEAM = team_hash('team')
 
 
 _GROUP = group_of(_TEAM)
--- a/tests/test_routing_retries.py
+++ b/tests/test_routing_retries.py
@@ -32,9 +32,9 @@
                 attempts += 1
                 self.assertNotIn(slot.target.name, tried)
                 tried.add(slot.target.name)
-                node.routing.feedback.sent(slot)
+                node.routing.feedback.record_sent(slot)
                 node.end(slot, Verdict.FAILED)
-                slot = await node.routing.again(slot.ask, frozenset(tried))
+                slot = await node.routing.retry(slot.ask, frozenset(tried))
         self.assertLessEqual(attempts, 1000 * 1.1 + 10)
         self.assertGreater(attempts, 1000)
 
@@ -62,7 +62,7 @@
         node = Node(make_rows(2))
         state = None
         failures = 0
-        while state is None or not state.breaker.open:
+        while state is None or not state.breaker.is_open:
             slot = await node.send(fingerprint=str(failures))
             if state in {None, slot.state}:
                 state = slot.state
@@ -82,16 +82,16 @@
         """
         rng = random.Random(1)
         breaker = Breaker(1)
-        self.assertTrue(breaker.fail(0, rng))
-        self.assertFalse(breaker.passes(0.9))
-        self.assertTrue(breaker.passes(2))
-        breaker.begin()
-        self.assertFalse(breaker.passes(2))
-        breaker.fail(2, rng)
-        self.assertFalse(breaker.passes(3.9))
-        breaker.begin()
-        breaker.succeed()
-        self.assertTrue(breaker.passes(4))
+        self.assertTrue(breaker.record_failure(0, rng))
+        self.assertFalse(breaker.allows_request(0.9))
+        self.assertTrue(breaker.allows_request(2))
+        breaker.record_start()
+        self.assertFalse(breaker.allows_request(2))
+        breaker.record_failure(2, rng)
+        self.assertFalse(breaker.allows_request(3.9))
+        breaker.record_start()
+        breaker.record_success()
+        self.assertTrue(breaker.allows_request(4))
 
     async def test_non_idempotent_requests_are_not_used_as_probes(self):
         node = Node(make_rows(2))
--- a/tests/test_sessions_targets.py
+++ b/tests/test_sessions_targets.py
@@ -60,7 +60,7 @@
     def is_known(self, router):
         """Return whether a router refuses the request for good."""
         suspects = router.parts.routing.quarantine.suspects
-        return any(map(suspects.is_quarantined, suspects.by_print))
+        return any(map(suspects.is_quarantined, suspects.by_fingerprint))
 
 
 class SilentTest(FailureCase):
