--- a/src/balsamreach/catalogue/known.py
+++ b/src/balsamreach/catalogue/router_state.py
@@ -9,7 +9,7 @@
 from balsamreach.catalogue.catalogue import Catalogue
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.placement.evacuations import Evacuations
-from balsamreach.placement.places import Places, TargetEntry
+from balsamreach.placement.relay_targets import RelayTargets, TargetEntry
 from balsamreach.telemetry.logs import log_event
 from balsamreach.telemetry.metrics import Metrics
 from balsamreach.wire.membership import Heartbeat
@@ -24,14 +24,14 @@
 
 
 @attrs.define(eq=False)
-class Known:
+class RouterState:
     """Configuration, targets and evacuations known to this router.
 
     Parameters
     ----------
     view : CatalogueView
         The configuration in force.
-    places : Places
+    places : RelayTargets
         The targets.
     evacuations : Evacuations
         The zones that get no new work.
@@ -42,7 +42,7 @@
     """
 
     view: CatalogueView
-    places: Places
+    places: RelayTargets
     evacuations: Evacuations
     decode: Decode
     metrics: Metrics
@@ -113,7 +113,9 @@
         if row.version <= self.view.version:
             return
         catalogue = self.decode(serialization.read_document(row))
-        if catalogue is not None and self.view.offer(catalogue, source):
+        if catalogue is not None and self.view.update_if_newer(
+            catalogue, source
+        ):
             self.metrics.count(LEARNT, what='configuration')
 
     def _apply_evacuation(self, source: str, row: TableRow) -> list[TableRow]:
