--- a/src/balsamreach/gateway/__init__.py
+++ b/src/balsamreach/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards callers, operators and targets."""
+"""HTTP servers for callers and operators, and HTTP clients of targets."""
--- a/src/balsamreach/gateway/base.py
+++ b/src/balsamreach/gateway/base.py
@@ -1,4 +1,4 @@
-"""What the handlers of the callers' listener have in common."""
+"""Base class and context of the handlers of the callers' listener."""
 
 import logging
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 REFUSALS = 'balsamreach_refusals_total'
 WHOLE = 'balsamreach_request_seconds'
 FIRST_BYTE = 'balsamreach_first_byte_seconds'
-#: What this router adds to the time that targets take.
+#: Time spent in this router, without the time spent at targets.
 ADDED = 'balsamreach_added_seconds'
 
 _logger = logging.getLogger(__name__)
@@ -41,12 +41,12 @@
 
 @attrs.frozen(kw_only=True)
 class CallerContext:
-    """What handlers of the callers' interface work with.
+    """Services that the handlers of the callers' interface use.
 
     Parameters
     ----------
     is_confirmed : callable
-        Tells whether the view is known to be the newest.
+        Returns whether the view is confirmed to be the newest.
     """
 
     cfg: Settings
@@ -60,12 +60,12 @@
 
 
 class ObservedHandler(JsonErrors):
-    """Handler of the callers' listener: identified, counted and logged."""
+    """Handler that gives each request an ID, counts it and logs it."""
 
     kind = 'other'
 
     def initialize(self, context: CallerContext) -> None:
-        """Take the context that the application was made with."""
+        """Store the context and set up the state of one request."""
         self.context = context
         self.answer: Answer | None = None
         self.refusal: Refusal | None = None
@@ -84,16 +84,23 @@
         self.name_request(mint_key())
 
     def name_request(self, key: str) -> None:
-        """Set the identity under which answers and logs name the request."""
+        """Set the request ID that responses and logs show."""
         self.request_id = key
         self.set_header('X-Request-Id', key)
 
     def refuse(self, refusal: Refusal) -> None:
-        """Answer with a refusal; by a table only if it is confirmed."""
+        """Send a refusal, or NOT_READY if it relies on an unconfirmed table.
+
+        Parameters
+        ----------
+        refusal : Refusal
+            Error to send.
+        """
         if refusal.by_table and not self.context.is_confirmed():
             # The team, key, model or service may have been added while this
-            # router was cut off. Denied here, a proper request would be
-            # given up; it would show as 401 and 404 beside table_not_read.
+            # router was disconnected. A 401 or 404 would make the caller
+            # give up a valid request, and these statuses would show up
+            # beside table_not_read.
             refusal = NOT_READY
         self.refusal = refusal
         send_refusal(self, refusal)
@@ -103,27 +110,27 @@
         return NOT_RUN if self.answer is None else MAYBE_RUN
 
     def write_error(self, status_code: int, **_kwargs: Any) -> None:
-        """Answer an error of the framework in the form of a refusal."""
-        # The framework clears all headers before it calls this.
+        """Send an error raised by the framework as a refusal."""
+        # The framework clears all headers before this call.
         self.name_request(self.request_id)
         self.refuse(from_status(status_code, self.ran()))
 
     def flush(self, include_footers: bool = False) -> Any:
-        """Write out; the head says whether the connection stays open."""
+        """Flush the response; set ``Connection: close`` while leaving."""
         if self.application.settings.get('leaving'):
             self.set_header('Connection', 'close')
         return super().flush(include_footers)
 
     def on_finish(self) -> None:
-        """Count and log the request, answered or not."""
+        """Record the finished request."""
         self.observe(self.get_status())
 
     def on_connection_close(self) -> None:
-        """Log a request whose caller has gone."""
+        """Record a request whose caller closed the connection."""
         self.observe(_CLIENT_GONE)
 
     def observe(self, status: int) -> None:
-        """Count, log and trace how the request ended, once."""
+        """Record the outcome in metrics, log and trace, at most once."""
         if self._observed:
             return
         self._observed = True
@@ -149,7 +156,7 @@
             metrics.count(REFUSALS, code=code)
         target = self.trail.timing.target
         if target:
-            # A duplicate that joined a run waited for no target itself.
+            # A duplicate that joined a run has no target time of its own.
             metrics.observe(ADDED, seconds - target, kind=self.kind)
         if self.sink.first_at:
             first = self.sink.first_at - self.received
@@ -175,10 +182,10 @@
 
 
 class NotFoundHandler(ObservedHandler):
-    """Any path that nothing is served at."""
+    """Handler of all paths without a route."""
 
     def prepare(self) -> None:
-        """Refuse the request."""
+        """Send status 404."""
         self.refuse(from_status(404, NOT_RUN))
 
 
@@ -189,4 +196,4 @@
 
 
 def log_nothing(_handler: RequestHandler) -> None:
-    """Keep the framework's own access log out; handlers log themselves."""
+    """Disable the framework's access log; handlers log requests themselves."""
--- a/src/balsamreach/gateway/bodies.py
+++ b/src/balsamreach/gateway/bodies.py
@@ -1,4 +1,4 @@
-"""Reads JSON bodies strictly, so that router and target read the same."""
+"""Strict JSON parser, so that router and target parse a body alike."""
 
 import json
 import math
@@ -7,13 +7,13 @@
 
 from balsamreach.gateway.refusals import Refusal
 
-#: Nested deeper than any client library writes; engines differ in how deep
-#: they can read, and one of them must not be crashed by it.
+#: Deeper than any client library nests. The limit of an engine's parser
+#: differs between engines, and a deeper body could crash one of them.
 MOST_DEPTH = 64
 
 
 def read_json(raw: bytes) -> dict[str, Any] | Refusal:
-    """Read a JSON object.
+    """Parse a JSON object.
 
     Parameters
     ----------
@@ -23,8 +23,9 @@
     Returns
     -------
     dict or Refusal
-        Refused where readers of JSON differ: another encoding than UTF-8,
-        a key that stands twice, or a number that JSON does not know.
+        A refusal for malformed JSON and for input on which JSON parsers
+        differ: an encoding other than UTF-8, duplicate keys, NaN, infinite
+        numbers and deep nesting.
     """
     try:
         text = raw.decode('utf-8')
@@ -53,16 +54,16 @@
 
 
 def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    # With a key twice the router may reserve tokens by one of them and the
-    # engine run by the other.
+    # With duplicate keys, the router could reserve tokens by one value while
+    # the engine uses the other.
     body = dict(pairs)
     if len(body) < len(pairs):
-        raise ValueError('a key stands twice in an object')
+        raise ValueError('an object has a duplicate key')
     return body
 
 
 def _no_constant(name: str) -> float:
-    raise ValueError(f'{name} is no number of JSON')
+    raise ValueError(f'{name} is not a JSON number')
 
 
 def _finite(text: str) -> float:
--- a/src/balsamreach/gateway/call_headers.py
+++ b/src/balsamreach/gateway/call_headers.py
@@ -1,4 +1,4 @@
-"""Reads the headers by which a caller says how its request may be run."""
+"""Parser of the request headers for idempotency and timeout."""
 
 import math
 from http import HTTPStatus
@@ -15,14 +15,14 @@
 
 @attrs.frozen
 class CallTerms:
-    """How a request may be run.
+    """Options that a caller sets for a request in headers.
 
     Parameters
     ----------
     idempotent : bool
-        Whether the caller lets it run more than once.
+        Whether the request may run more than once.
     timeout : float
-        Seconds within which the answer must be whole.
+        Seconds within which the response must be complete.
     """
 
     idempotent: bool
@@ -30,19 +30,19 @@
 
 
 def read_terms(headers: HTTPHeaders, longest: float) -> CallTerms | Refusal:
-    """Read how a request may be run.
+    """Parse the request headers for idempotency and timeout.
 
     Parameters
     ----------
     headers : HTTPHeaders
         The request's headers.
     longest : float
-        Seconds that no answer may take longer than.
+        Maximum and default timeout in seconds.
 
     Returns
     -------
     CallTerms or Refusal
-        A refusal names the header that has a wrong form.
+        A refusal names the header whose value is invalid.
     """
     flag = headers.get(_IDEMPOTENT_HEADER, 'true')
     idempotent = _FLAGS.get(flag.strip().lower())
@@ -67,5 +67,5 @@
 
 def _bad_header(name: str, form: str) -> Refusal:
     return Refusal(
-        HTTPStatus.BAD_REQUEST, 'invalid_header', f'{name}: write {form}'
+        HTTPStatus.BAD_REQUEST, 'invalid_header', f'{name}: must be {form}'
     )
--- a/src/balsamreach/gateway/caller_handler.py
+++ b/src/balsamreach/gateway/caller_handler.py
@@ -1,4 +1,4 @@
-"""Handlers that a team's key opens: who calls, what it asks, the answer."""
+"""Base of the handlers that require a team key and run calls."""
 
 from http import HTTPStatus
 
@@ -16,7 +16,7 @@
 from balsamreach.table.rows import PAUSED, TeamRow
 from balsamreach.telemetry import hops
 
-#: Names the request, so that one sent again is known for the same.
+#: Header that identifies a request, so that a repeat is recognized.
 KEY_HEADER = 'Idempotency-Key'
 _BEARER = 'bearer '
 _STARTING = Refusal(
@@ -28,14 +28,14 @@
 
 
 class CallerHandler(ObservedHandler):
-    """Base of the handlers that a team's key opens."""
+    """Base of the handlers that require a team key."""
 
     def authenticate(self) -> TeamRow | Refusal:
-        """Return the team whose key the request carries."""
+        """Return the team whose key the request carries, or a refusal."""
         if not self.context.view.complete:
-            # A router that starts in a zone that is cut off may have read an
-            # old snapshot. By that it would serve a team that was paused
-            # since, and call a new key wrong.
+            # A router that starts in a disconnected zone may have read an
+            # old snapshot. With it, the router would serve a team that has
+            # been paused since and reject a new key.
             return _STARTING
         header = self.request.headers.get('Authorization', '')
         if not header.lower().startswith(_BEARER):
@@ -55,7 +55,8 @@
             )
         self.team_name = team.name
         if team.state == PAUSED:
-            # An operator's order, so it holds until a newer one is known.
+            # An operator paused the team, which stays in effect until a
+            # newer row is known: this doesn't need a confirmed table.
             return Refusal(
                 HTTPStatus.FORBIDDEN,
                 'team_paused',
@@ -64,7 +65,7 @@
         return team
 
     def identify(self, team: TeamRow) -> RequestId | Refusal:
-        """Return the request's identity, minting a key if it has none."""
+        """Return the request's identity; generate a key if it has none."""
         given = self.request.headers.get(KEY_HEADER)
         key = self.request_id if given is None else given
         fault = None if given is None else check_key(key)
@@ -80,16 +81,16 @@
         return RequestId(team.name, key, given is None, digest)
 
     def terms(self) -> CallTerms | Refusal:
-        """Return how the caller lets the request be run."""
+        """Return the options from the headers, or a refusal."""
         longest = self.context.cfg.requests.default_deadline
         return read_terms(self.request.headers, longest)
 
     async def serve_call(self, call: Call | Refusal) -> None:
-        """Run a call and answer with what comes of it."""
+        """Run a call and send its answer, or send the refusal."""
         if isinstance(call, Refusal):
             self.refuse(call)
             return
-        # The request's task is made in here, so that it inherits the span.
+        # The request's task is created in this block to inherit the span.
         with hops.following(self.trail):
             answer = self.context.dispatcher.submit(call)
         if isinstance(answer, DispatchFault):
@@ -101,7 +102,7 @@
         self._finish_with(end)
 
     def on_connection_close(self) -> None:
-        """Let go of the answer when the caller has gone."""
+        """Detach from the answer when the caller has disconnected."""
         super().on_connection_close()
         if self.answer is not None:
             self.answer.detach(self.sink)
@@ -116,8 +117,8 @@
     def _refusal(self, fault: DispatchFault) -> Refusal:
         refusal = from_fault(fault)
         if refusal.ran == MAYBE_RUN and self.minted:
-            # The caller gave no key, so that the same words sent again are
-            # a new request: it would run and be billed beside the first.
+            # Without a key from the caller, a retry is a new request, which
+            # would run and be billed in addition to the first.
             return attrs.evolve(refusal, repeatable=False)
         return refusal
 
@@ -135,8 +136,8 @@
         if self._sends_events():
             self.finish(error_event(refusal))
         else:
-            # An error added to a half body would pass for a part of it. A
-            # connection that closes early is what tells the caller.
+            # An error appended to an incomplete body would be taken for a
+            # part of it. Closing the connection early signals the failure.
             self.sink.cut()
 
     def _sends_events(self) -> bool:
--- a/src/balsamreach/gateway/callers.py
+++ b/src/balsamreach/gateway/callers.py
@@ -1,4 +1,4 @@
-"""The callers' interface: which handler serves which path."""
+"""Routes of the callers' interface."""
 
 from tornado.web import Application
 
@@ -14,7 +14,7 @@
 
 
 def make_callers_app(context: CallerContext) -> Application:
-    """Return the application of the callers' listener."""
+    """Build the application of the callers' listener."""
     arguments = {'context': context}
     return Application(
         [
--- a/src/balsamreach/gateway/chat.py
+++ b/src/balsamreach/gateway/chat.py
@@ -1,4 +1,4 @@
-"""Reads a chat completion request into a call."""
+"""Parser and validator of chat completion requests."""
 
 import json
 from collections.abc import Mapping
@@ -26,13 +26,13 @@
     Parameters
     ----------
     model : str
-        Model that will run it.
+        Model that runs the request.
     stream, wants_usage : bool
-        What the caller asked for.
+        Whether the caller wants a stream, and token usage in it.
     max_tokens : int
-        Completion tokens at most, over all choices.
+        Maximum completion tokens, summed over all choices.
     prompt : Prompt
-        What the prompt may cost and how it begins.
+        Token counts and prefix of the prompt.
     body : bytes
         Body to send to the target.
     """
@@ -46,17 +46,17 @@
 
     @property
     def most_tokens(self) -> int:
-        """Worst case of prompt and completion together."""
+        """Maximum tokens of prompt and completion together."""
         return self.prompt.most_tokens + self.max_tokens
 
     @property
     def prompt_tokens(self) -> int:
-        """Estimate of the prompt's tokens."""
+        """Estimated tokens of the prompt."""
         return self.prompt.likely_tokens
 
     @property
     def prefix(self) -> bytes:
-        """Leading part of the prompt."""
+        """Leading bytes of the prompt, for cache affinity."""
         return self.prompt.prefix
 
 
@@ -67,20 +67,20 @@
     cfg: CallersSettings,
     shares: Shares,
 ) -> ChatRequest | Refusal:
-    """Check a chat completion request and read it.
+    """Validate and parse a chat completion request.
 
     Parameters
     ----------
     raw : bytes
         Body as the caller sent it.
     team : TeamRow
-        Team that calls.
+        Team of the caller.
     models : tuple of str
         Models that some engine serves.
     cfg : CallersSettings
-        Bounds of what is asked for.
+        Limits of completion tokens and tokens per media part.
     shares : Shares
-        For sharing ``auto`` requests among the team's models.
+        Distributes ``auto`` requests among the team's models.
 
     Returns
     -------
@@ -128,11 +128,11 @@
 ) -> str | Refusal:
     model = body.get('model')
     if not isinstance(model, str) or not model:
-        return invalid_request('model must be a text')
+        return invalid_request('model must be a string')
     if model == ANY_MODEL:
         weights = team.models or dict.fromkeys(models, 1.0)
-        # A model that no target serves any more would turn its share of the
-        # requests away; the other models take it over.
+        # The share of a model that no target serves any more goes to the
+        # other models; its requests would be refused otherwise.
         weights = {
             name: weight
             for name, weight in weights.items()
@@ -142,7 +142,7 @@
             return Refusal(
                 HTTPStatus.BAD_REQUEST,
                 'unknown_model',
-                'no model is open to the team',
+                'no model is open to this team',
                 by_table=True,
             )
         return shares.pick(team.name, weights)
@@ -168,8 +168,8 @@
 
 
 def _choices(body: Mapping[str, Any]) -> int | Refusal:
-    # Every choice is generated whole and billed, also those that an engine
-    # drops in favour of the best.
+    # Every choice is generated in full and billed, including those that an
+    # engine discards for best_of.
     counts = [1]
     for name in ('n', 'best_of'):
         if body.get(name) is None:
@@ -188,7 +188,7 @@
 ) -> int | Refusal:
     number = body[name]
     if isinstance(number, bool) or not isinstance(number, int):
-        return invalid_request(f'{name} must be a whole number')
+        return invalid_request(f'{name} must be an integer')
     if not 1 <= number <= most:
         return invalid_request(f'{name} must be from 1 to {most}')
     return number
--- a/src/balsamreach/gateway/chat_handler.py
+++ b/src/balsamreach/gateway/chat_handler.py
@@ -1,4 +1,4 @@
-"""The callers' interface to chat completions."""
+"""Handler of chat completion requests."""
 
 from http import HTTPStatus
 
--- a/src/balsamreach/gateway/curl_handles.py
+++ b/src/balsamreach/gateway/curl_handles.py
@@ -1,4 +1,4 @@
-"""Runs transfers on curl handles that are kept for the next ones."""
+"""Pool of curl handles that runs transfers."""
 
 from collections.abc import Callable
 
@@ -16,16 +16,16 @@
 from balsamreach.gateway.curl_transfer import Transfer
 from balsamreach.gateway.curl_watch import SILENCE, Watch
 
-#: Handles kept for the next requests.
+#: Maximum number of idle handles kept for reuse.
 _KEPT_HANDLES = 1024
 
-#: Sets the options of a handle that has none.
+#: Sets all options of a reset handle.
 Prepare = Callable[[pycurl.Curl, Transfer], None]
 
 
 @attrs.define
 class CurlHandles:
-    """The handles of one client, and the connections they share."""
+    """Curl handles of one client, which share a pool of connections."""
 
     _curls: CurlLoop = attrs.field(factory=CurlLoop)
     _free: list[pycurl.Curl] = attrs.field(factory=list)
@@ -36,21 +36,22 @@
         intake: Intake,
         gap: float,
     ) -> UpstreamFault | None:
-        """Run one transfer and feed what comes to its intake.
+        """Run one transfer and pass the answer to its intake.
 
         Parameters
         ----------
         prepare : callable
             Sets the options of the handle.
         intake : Intake
-            Takes the answer.
+            Receives the answer.
         gap : float
-            Seconds of silence after which it is ended; 0 for no bound.
+            Seconds without data after which the transfer is stopped; 0 for
+            no limit.
 
         Returns
         -------
         UpstreamFault or None
-            None in order; NOT_SENT, SILENT or BROKEN.
+            None on success, otherwise NOT_SENT, SILENT or BROKEN.
         """
         transfer = Transfer(intake)
         curl = self._free.pop() if self._free else pycurl.Curl()
@@ -79,7 +80,7 @@
 
 
 def set_callbacks(curl: pycurl.Curl, transfer: Transfer) -> None:
-    """Let a transfer take what a handle meets."""
+    """Register a transfer's callbacks at a handle."""
     curl.setopt(pycurl.PREREQFUNCTION, transfer.before_send)
     curl.setopt(pycurl.HEADERFUNCTION, transfer.take_line)
     curl.setopt(pycurl.WRITEFUNCTION, transfer.take_body)
@@ -88,12 +89,14 @@
 def _judge(end: TransferEnd, transfer: Transfer) -> UpstreamFault | None:
     if end.code == pycurl.E_OK and transfer.started:
         return None
-    # A connection that closes within the head is no error to curl; what
-    # came of the head would pass for an answer with an empty body.
-    # Curl's error numbers can't tell a connection that timed out from an
-    # answer that did; only that sending never began is proof.
+    # Curl reports no error for a connection that closes within the head; the
+    # partial head would pass for an answer with an empty body. Hence E_OK
+    # counts only if the whole head was received.
+    # Curl's error codes don't distinguish a timed-out connection from a
+    # timed-out answer. Only the fact that sending never began proves that
+    # the request was not sent.
     if not transfer.intake.sent:
         return NOT_SENT.because(end.message or 'no connection in time')
     if end.code == SILENCE:
-        return SILENT.because('nothing came for the gap timeout')
-    return BROKEN.because(transfer.problem or end.message or 'no whole head')
+        return SILENT.because('no data within the gap timeout')
+    return BROKEN.because(transfer.problem or end.message or 'incomplete head')
--- a/src/balsamreach/gateway/curl_loop.py
+++ b/src/balsamreach/gateway/curl_loop.py
@@ -1,4 +1,4 @@
-"""Runs curl transfers on the asyncio event loop."""
+"""Curl multi handle driven by the asyncio event loop."""
 
 import asyncio
 import contextlib
@@ -6,7 +6,7 @@
 import attrs
 import pycurl
 
-#: Idle connections kept over all targets.
+#: Maximum number of idle connections, over all targets.
 _POOLED = 1024
 _EVENTS = {pycurl.POLL_IN, pycurl.POLL_OUT, pycurl.POLL_INOUT}
 
@@ -18,9 +18,9 @@
     Parameters
     ----------
     code : int
-        Curl's error number, 0 if the exchange ended in order.
+        Curl's error code, 0 on success.
     message : str
-        Curl's words on it.
+        Curl's error message.
     """
 
     code: int = 0
@@ -28,11 +28,10 @@
 
 
 class CurlLoop:
-    """Drives one curl multi handle by the events of the running loop.
+    """Runs transfers on one curl multi handle in the running event loop.
 
-    Tornado's curl client can't end a transfer before its time, so that a
-    cancelled request would run on at its target; here cancelling closes the
-    connection.
+    Tornado's curl client can't abort a transfer, so a cancelled request
+    would continue at its target. Here, cancelling closes the connection.
     """
 
     def __init__(self) -> None:
@@ -56,8 +55,8 @@
         Returns
         -------
         TransferEnd
-            How it ended. Where the task is cancelled, the connection is
-            closed before the error goes on.
+            How it ended. If the task is cancelled, the connection is closed
+            before CancelledError propagates.
         """
         self._loop = asyncio.get_running_loop()
         ended = self._loop.create_future()
@@ -69,23 +68,23 @@
             self._drop(curl)
 
     def stop(self, curl: pycurl.Curl, end: TransferEnd) -> None:
-        """End a transfer before its time; its connection is closed."""
+        """Complete a transfer; one in progress loses its connection."""
         ended = self._ends.get(curl)
         if ended is not None and not ended.done():
             ended.set_result(end)
 
     def resume(self, curl: pycurl.Curl) -> None:
-        """Read on for a transfer whose write callback paused it."""
+        """Resume reading after the write callback paused the transfer."""
         if curl not in self._ends:
             return
-        # Where the transfer failed meanwhile, curl says so here as well as
-        # in the queue of ended transfers, which is the place to look.
+        # If the transfer has failed meanwhile, curl raises the error here
+        # and also queues it with the ended transfers, where it is handled.
         with contextlib.suppress(pycurl.error):
             curl.pause(pycurl.PAUSE_CONT)
         self._set_timer(0)
 
     def close(self) -> None:
-        """End all transfers and close the pooled connections."""
+        """Cancel all transfers and close the pooled connections."""
         if self._multi is None:
             return
         for curl, ended in tuple(self._ends.items()):
@@ -97,8 +96,8 @@
         self._multi = None
 
     def _drop(self, curl: pycurl.Curl) -> None:
-        # Curl closes the connection of a transfer that is removed before
-        # its end, and keeps the connection of one that ended in order.
+        # Curl closes the connection of a transfer that is removed before its
+        # end, and keeps the connection of one that ended normally.
         if self._ends.pop(curl, None) is not None:
             self._multi.remove_handle(curl)
 
@@ -128,13 +127,13 @@
         self._act(pycurl.SOCKET_TIMEOUT, 0)
 
     def _act(self, fd: int, action: int) -> None:
-        # Curl is told in a turn of its own, which may come after the end.
+        # The event loop may run this callback after close().
         if self._multi is None:
             return
         before = len(self._ends)
         _code, running = self._multi.socket_action(fd, action)
-        # Reading the queue of ended transfers at each event would cost as
-        # much as the event itself.
+        # Reading the queue of ended transfers at every event would double
+        # the cost of the event.
         if running < before:
             self._collect()
 
--- a/src/balsamreach/gateway/curl_options.py
+++ b/src/balsamreach/gateway/curl_options.py
@@ -1,4 +1,4 @@
-"""Curl's options for one attempt."""
+"""Curl options of the attempts at targets."""
 
 import attrs
 import pycurl
@@ -12,25 +12,26 @@
 from balsamreach.gateway.target_tls import target_tls, target_url
 
 _BODY_METHODS = frozenset(('POST', 'PUT', 'PATCH'))
-#: Seconds without use after which a pooled connection isn't used again.
+#: Idle seconds after which a pooled connection is no longer reused.
 _IDLE_S = 30
 _MS = 1000
-#: Seconds between two keep-alive probes.
+#: Seconds between two TCP keep-alive probes.
 _PROBE_S = 5
-#: Suspicions kept; a target that went silent longer ago has new ones.
+#: Maximum number of recorded silences; the oldest is dropped first, as a
+#: target that went silent longer ago has new connections by then.
 _MOST_SILENCES = 1024
 
 
 @attrs.define
 class CurlOptions:
-    """Sets handles up for attempts.
+    """Sets the options of curl handles for attempts.
 
     Parameters
     ----------
     cfg : Settings
-        Time-outs, the age of pooled connections, and TLS.
+        Timeouts, the maximum age of pooled connections, and TLS.
     clock : Clock
-        Time of silences.
+        Time source for recorded silences.
     """
 
     cfg: Settings
@@ -38,7 +39,7 @@
     _silences: dict[str, float] = attrs.field(factory=dict)
 
     def note_silence(self, address: str) -> None:
-        """Use no connection of a target again that stands at this time."""
+        """Stop reusing the connections that a target has at this time."""
         if len(self._silences) >= _MOST_SILENCES:
             self._silences.pop(next(iter(self._silences)))
         self._silences[address] = self.clock.now()
@@ -49,7 +50,7 @@
         curl: pycurl.Curl,
         transfer: Transfer,
     ) -> None:
-        """Set all options of a handle that has none."""
+        """Set all options of a reset handle."""
         self._set_request(curl, attempt)
         self._set_reuse(curl, attempt)
         if self.cfg.routing.target_tls:
@@ -61,8 +62,8 @@
         address = attempt.target.row.address
         url = target_url(self.cfg.routing, address, call.path)
         curl.setopt(pycurl.URL, url)
-        # Targets are given by address: a proxy named in the environment
-        # must not come between.
+        # Targets are addressed directly, even if the environment names a
+        # proxy.
         curl.setopt(pycurl.NOPROXY, '*')
         curl.setopt(pycurl.NOSIGNAL, 1)
         curl.setopt(pycurl.PATH_AS_IS, 1)
@@ -80,9 +81,9 @@
         age = self._greatest_age(attempt.target.row.address)
         if age:
             curl.setopt(pycurl.MAXLIFETIME_CONN, age)
-        # A pooled connection may have been closed by its target, or have
-        # been forgotten by something between, without this side knowing.
-        # A request that may not be repeated would then end as unknown.
+        # The target may have closed a pooled connection, or a device on the
+        # path may have dropped it, before this side notices. A request that
+        # may not be repeated would then end with an unknown outcome.
         if not (age and attempt.call.idempotent):
             curl.setopt(pycurl.FRESH_CONNECT, 1)
 
@@ -91,9 +92,9 @@
         silent_at = self._silences.get(address)
         if silent_at is None:
             return age
-        # What silenced one connection to a target most likely silenced its
-        # others, and each would cost a request a whole gap timeout. Only
-        # those that were made after the silence are used.
+        # The cause of one silent connection most likely affects the other
+        # connections to the target, and each would cost a request a whole
+        # gap timeout. Only connections made after the silence are reused.
         since = int(self.clock.now() - silent_at)
         if since > age:
             self._silences.pop(address)
@@ -115,6 +116,6 @@
         'User-Agent': 'balsamreach',
     }
     lines = [f'{name}: {text}' for name, text in sent.items()]
-    # Without this, curl holds a large body back for a second to ask whether
-    # the target wants it.
+    # An empty Expect stops curl from delaying a large body by one second to
+    # wait for '100 Continue'.
     return [*lines, 'Expect:']
--- a/src/balsamreach/gateway/curl_transfer.py
+++ b/src/balsamreach/gateway/curl_transfer.py
@@ -1,4 +1,4 @@
-"""One transfer's side of curl: its callbacks and what they learned."""
+"""Curl callbacks and state of one transfer."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,7 +8,7 @@
 
 from balsamreach.dispatch.upstream import Intake
 
-#: Largest head of an answer, all lines together.
+#: Maximum size in bytes of an answer's head.
 _HEAD_LIMIT = 64 * 1024
 _REFUSED = 0
 _FINAL = 200
@@ -17,20 +17,22 @@
 
 @attrs.define(eq=False)
 class Transfer:
-    """Feeds one answer to its intake.
+    """Passes one answer from curl to its intake.
 
     Parameters
     ----------
     intake : Intake
-        Takes in the answer.
+        Receives the answer.
+    on_pause : callable or None
+        Called when the transfer pauses.
     started : bool
-        Whether the whole head has come.
+        Whether the whole head was received.
     heard : bool
-        Whether bytes came since this was last set to false.
+        Whether data was received since this was last set to false.
     paused : bool
-        Whether the target isn't read from, as the callers are behind.
+        Whether reading is paused because callers read too slowly.
     problem : str
-        Why this side stopped the transfer; empty if it did not.
+        Why a callback stopped the transfer; empty if none did.
     """
 
     intake: Intake
@@ -44,21 +46,21 @@
     _head_size: int = 0
 
     def before_send(self, *_addresses: Any) -> int:
-        """Ask the intake before curl sends the request."""
-        # Curl sends a request again by itself where a reused connection
-        # closes without an answer. A certificate would be made twice, and
-        # a request that crashes its target would hit it again unseen by
-        # the retry budget. The intake allows the first sending only.
+        """Return curl's code that allows or aborts the sending."""
+        # Curl resends a request by itself if a reused connection closes
+        # without an answer. A certificate would be made twice, and a request
+        # that crashes its target would reach it again without being counted
+        # in the retry budget. The intake allows only the first sending.
         if self.intake.before_send():
             return pycurl.PREREQFUNC_OK
         self.problem = 'the target closed a reused connection'
         return pycurl.PREREQFUNC_ABORT
 
     def take_line(self, line: bytes) -> int:
-        """Take a line of the head; the empty one ends it."""
+        """Process a line of the head; an empty line ends it."""
         self.heard = True
         self._head_size += len(line)
-        # A target that never ends its head would fill the memory.
+        # An endless head would exhaust the memory.
         if self._head_size > _HEAD_LIMIT:
             self.problem = 'the head of the answer is too large'
             return _REFUSED
@@ -67,7 +69,7 @@
         return len(line)
 
     def take_body(self, chunk: bytes) -> int | None:
-        """Take bytes of the body, or pause where the callers are behind."""
+        """Process bytes of the body, or pause if callers read too slowly."""
         if self.intake.full:
             self._pause()
             return pycurl.WRITEFUNC_PAUSE
@@ -93,7 +95,8 @@
 
     def _add_header(self, name: str, text: str) -> None:
         known = self._headers.get(name, text)
-        # Lines of one name are one list, but for those that hold no list.
+        # Repeated headers are joined to a list, except those that can't
+        # hold one.
         if known != text and name not in _NO_LISTS:
             text = f'{known}, {text}'
         self._headers[name] = text
--- a/src/balsamreach/gateway/curl_upstream.py
+++ b/src/balsamreach/gateway/curl_upstream.py
@@ -1,4 +1,4 @@
-"""Carries requests to targets over HTTP with curl."""
+"""Upstream that sends requests to targets with curl."""
 
 from functools import partial
 
@@ -24,9 +24,9 @@
     Parameters
     ----------
     cfg : Settings
-        Time-outs, the age of pooled connections, and TLS.
+        Timeouts, the maximum age of pooled connections, and TLS.
     clock : Clock
-        Time since connections went silent.
+        Time source for recorded silences.
     """
 
     cfg: Settings
@@ -35,7 +35,7 @@
     _options: CurlOptions = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Prepare what all attempts share."""
+        """Create the options that all attempts share."""
         self._options = CurlOptions(self.cfg, self.clock)
 
     async def send(
@@ -43,9 +43,9 @@
         attempt: Attempt,
         intake: Intake,
     ) -> UpstreamFault | None:
-        """Send a request and feed the answer to the intake."""
-        # A plain answer comes all at once after a time that only its
-        # deadline bounds; only a stream is expected to say something.
+        """Send a request and pass the answer to the intake."""
+        # A plain answer arrives at once, after a time limited only by the
+        # deadline; only a stream is expected to send data continually.
         gap = self.cfg.routing.gap_timeout if attempt.call.stream else 0
         prepare = partial(self._options.apply, attempt)
         fault = await self._handles.send(prepare, intake, gap)
--- a/src/balsamreach/gateway/curl_watch.py
+++ b/src/balsamreach/gateway/curl_watch.py
@@ -1,4 +1,4 @@
-"""Ends a transfer whose connection is silent and resumes a paused one."""
+"""Timers that stop silent transfers and resume paused ones."""
 
 import asyncio
 
@@ -8,28 +8,29 @@
 from balsamreach.gateway.curl_loop import CurlLoop, TransferEnd
 from balsamreach.gateway.curl_transfer import Transfer
 
-#: In place of curl's error number: nothing came for the gap timeout.
+#: Used as curl's error code: no data was received within the gap timeout.
 SILENCE = -1
-#: Looks at a transfer in one gap timeout.
+#: Number of checks of a transfer within one gap timeout.
 _LOOKS = 8
-#: Seconds until a paused transfer asks whether its callers caught up.
+#: Seconds between checks of whether a paused transfer can resume.
 _PAUSE_S = 0.02
 
 
 @attrs.define(eq=False)
 class Watch:
-    """Looks at one transfer from time to time.
+    """Checks one transfer periodically.
 
     Parameters
     ----------
     curls : CurlLoop
         Runs the transfer.
     curl : pycurl.Curl
-        Its handle.
+        Handle of the transfer.
     transfer : Transfer
-        What it has met so far.
+        State of the transfer.
     gap : float
-        Seconds of silence after which it is ended; 0 for no bound.
+        Seconds without data after which the transfer is stopped; 0 for no
+        limit.
     """
 
     curls: CurlLoop
@@ -41,13 +42,13 @@
     _resume: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start the checks."""
         self.transfer.on_pause = self._wait_for_callers
         if self.gap:
             self._look_later()
 
     def stop(self) -> None:
-        """Look no more."""
+        """Cancel all timers."""
         for timer in (self._look, self._resume):
             if timer is not None:
                 timer.cancel()
@@ -57,10 +58,10 @@
         self._look = loop.call_later(self.gap / _LOOKS, self._look_now)
 
     def _look_now(self) -> None:
-        # Something between the two ends can lose track of a connection: it
-        # stays open and nothing comes any more, while new ones work. Looks
-        # are counted rather than time, as a process that was stopped for a
-        # while would otherwise wake up to a silence of its own making.
+        # A device on the path can lose a connection's state: the connection
+        # stays open without any data while new ones work. Checks are counted
+        # instead of time, because a process that was paused would otherwise
+        # mistake its own pause for silence.
         if self.transfer.heard or self.transfer.paused:
             self._silent_looks = 0
         else:
@@ -80,5 +81,5 @@
             self._wait_for_callers()
             return
         self.transfer.paused = False
-        # Curl may call back at once with what it held.
+        # Curl may call the write callback at once with buffered data.
         self.curls.resume(self.curl)
--- a/src/balsamreach/gateway/guard.py
+++ b/src/balsamreach/gateway/guard.py
@@ -1,4 +1,4 @@
-"""Limits on callers' connections: sizes, slow senders, and leaving."""
+"""Limits of size and time for callers' requests, and graceful shutdown."""
 
 import asyncio
 import weakref
@@ -20,9 +20,9 @@
 from balsamreach.gateway.refusals import Refusal
 from balsamreach.telemetry.metrics import Metrics
 
-#: Seconds during which the rest of a refused body is read and dropped.
+#: Seconds during which the rest of a refused body is read and discarded.
 LINGER = 2
-#: Counter of requests that were refused before a handler saw them.
+#: Counter of requests that were refused before they reached a handler.
 GUARDED = 'balsamreach_guard_refusals_total'
 
 
@@ -31,16 +31,18 @@
 
 @attrs.define(eq=False)
 class Guard(HTTPServerConnectionDelegate):
-    """Stands between the server and the application.
+    """Checks requests between the HTTP server and the application.
 
     Parameters
     ----------
     app : Application
-        What serves the requests that pass.
+        Serves the accepted requests.
     cfg : CallersSettings
         The limits.
     metrics : Metrics
-        Counts what was refused.
+        Counts the refusals.
+    leaving : bool
+        Whether the router is shutting down.
     """
 
     app: Application
@@ -55,7 +57,7 @@
         server_conn: object,
         request_conn: HTTPConnection,
     ) -> HTTPMessageDelegate:
-        """Watch a connection for its next request."""
+        """Return the delegate for a connection's next request."""
         assert isinstance(request_conn, HTTP1Connection)
         served = self.app.start_request(server_conn, request_conn)
         guarded = GuardedRequest(self, request_conn, served)
@@ -64,21 +66,21 @@
             guarded.is_first = True
             guarded.expect_header()
         elif self.leaving:
-            # The answer before this was the last one on the connection.
+            # The previous response said that it was the connection's last.
             request_conn.stream.close()
         self._waiting.add(guarded)
         return guarded
 
     def begin(self, guarded: 'GuardedRequest') -> None:
-        """Note that a request's header has come."""
+        """Record that a request's header was received."""
         self._waiting.discard(guarded)
 
     def leave(self) -> None:
-        """Close idle connections; the others close after their answer.
+        """Close idle connections; the others close after their response.
 
-        One that was just let in isn't idle: its first request is on its way,
-        or lies unread where this process stood still. Closed, it would be
-        reset, and its caller would see a broken connection.
+        A newly accepted connection isn't idle: its first request is in
+        transit, or unread because this process was paused. Closing the
+        connection would reset it, and the caller would see it break.
         """
         self.leaving = True
         self.app.settings['leaving'] = True
@@ -88,21 +90,21 @@
 
 
 class GuardedRequest(HTTPMessageDelegate):
-    """One request on its way in.
+    """Applies the limits to one request while it is received.
 
     Parameters
     ----------
     guard : Guard
         The listener's guard.
     conn : HTTP1Connection
-        Connection that the request comes on.
+        Connection of the request.
     served : HTTPMessageDelegate
-        The application's own delegate.
+        The application's delegate for the request.
 
     Attributes
     ----------
     is_first : bool
-        Whether it is its connection's first one.
+        Whether this is the first request of its connection.
     """
 
     def __init__(
@@ -120,7 +122,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def expect_header(self) -> None:
-        """Bound the wait for the first header of a connection."""
+        """Start the timeout for the first header of a connection."""
         self._set_timer(self.guard.cfg.header_timeout, self.conn.stream.close)
 
     def headers_received(
@@ -128,7 +130,7 @@
         start_line: RequestStartLine,
         headers: HTTPHeaders,
     ) -> Awaitable[None] | None:
-        """Pass a header on unless it breaks a limit."""
+        """Forward a header unless it exceeds a limit."""
         self._stop_timer()
         self.guard.begin(self)
         refusal = _check_header(self.guard.cfg, start_line, headers)
@@ -139,7 +141,7 @@
         return self._served.headers_received(start_line, headers)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        """Pass a part of the body on unless it breaks a limit."""
+        """Forward a part of the body unless the body exceeds its limit."""
         if self._refused:
             return None
         self._received += len(chunk)
@@ -150,7 +152,7 @@
         return self._served.data_received(chunk)
 
     def finish(self) -> None:
-        """Let the application answer a request that is whole."""
+        """Let the application answer the complete request."""
         self._stop_timer()
         if self._refused:
             self.conn.stream.close()
@@ -158,7 +160,7 @@
             self._served.finish()
 
     def on_connection_close(self) -> None:
-        """Tell the application that the caller has gone."""
+        """Tell the application that the connection was closed."""
         self._stop_timer()
         if not self._refused:
             self._served.on_connection_close()
@@ -172,9 +174,9 @@
         self._stop_timer()
         self.guard.metrics.count(GUARDED, code=refusal.code)
         self.conn.stream.write(_raw_answer(refusal))
-        # A connection that is closed while bytes of the body are still on
-        # their way is reset, and the caller sees "connection reset" in place
-        # of the refusal. Reading on for a moment lets the answer arrive.
+        # Closing the connection while bytes of the body are in transit would
+        # reset it, and the caller would see "connection reset" instead of
+        # the refusal. Reading on for LINGER seconds lets the refusal arrive.
         self._set_timer(LINGER, self.conn.stream.close)
 
     def _set_timer(self, seconds: float, action: Action) -> None:
--- a/src/balsamreach/gateway/health.py
+++ b/src/balsamreach/gateway/health.py
@@ -1,4 +1,4 @@
-"""Health and metrics endpoints, open to anyone who reaches a listener."""
+"""Health and metrics endpoints, which need no key."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -8,10 +8,10 @@
 
 
 class HealthHandler(JsonErrors):
-    """``GET /healthz``: the process runs its event loop."""
+    """``GET /healthz``: whether the process runs its event loop."""
 
     def get(self) -> None:
-        """Answer that the process is alive."""
+        """Send status 200."""
         self.finish({'status': 'ok'})
 
     head = get
@@ -21,11 +21,11 @@
     """``GET /readyz``: whether new requests should be sent here."""
 
     def initialize(self, state: Callable[[], str]) -> None:
-        """Take the function that tells the router's state."""
+        """Store the function that returns the router's state."""
         self._state = state
 
     def get(self) -> None:
-        """Answer 200 if the router is ready, else 503 with its state."""
+        """Send the state, with status 200 if it is ready, else 503."""
         state = self._state()
         if state != 'ready':
             self.set_status(HTTPStatus.SERVICE_UNAVAILABLE)
@@ -35,13 +35,13 @@
 
 
 class MetricsHandler(JsonErrors):
-    """``GET /metrics``: counters and latencies in Prometheus' text form."""
+    """``GET /metrics``: all metrics in the Prometheus text format."""
 
     def initialize(self, metrics: Metrics) -> None:
-        """Take the router's metrics."""
+        """Store the router's metrics."""
         self._metrics = metrics
 
     def get(self) -> None:
-        """Answer with all metrics."""
+        """Send all metrics."""
         self.set_header('Content-Type', CONTENT_TYPE)
         self.finish(self._metrics.render())
--- a/src/balsamreach/gateway/json_errors.py
+++ b/src/balsamreach/gateway/json_errors.py
@@ -1,8 +1,8 @@
-"""Handlers whose errors are JSON, for all listeners.
+"""Base handler that sends errors as JSON, for all listeners.
 
-They stand apart from the callers' handlers, which import the whole way of a
-request: a router that passes requests through needs none of that, and its
-host would spend a third more processor time on a start.
+It is separate from the callers' handlers, which import the whole dispatch of
+requests. A router that passes requests through needs none of that, and
+importing it would add a third to the processor time of a start.
 """
 
 from typing import Any
@@ -14,14 +14,14 @@
 
 
 class JsonErrors(RequestHandler):
-    """Handler whose every error is a JSON refusal, never a page of HTML."""
+    """Handler that sends every error as a JSON refusal, never as HTML."""
 
     def set_default_headers(self) -> None:
-        """Name no server software."""
+        """Remove the header that names the server software."""
         self.clear_header('Server')
 
     def write_error(self, status_code: int, **_kwargs: Any) -> None:
-        """Answer an error of the framework in the form of a refusal."""
+        """Send an error raised by the framework as a refusal."""
         send_refusal(self, from_status(status_code, self.ran()))
 
     def ran(self) -> str:
--- a/src/balsamreach/gateway/models_handler.py
+++ b/src/balsamreach/gateway/models_handler.py
@@ -1,4 +1,4 @@
-"""The callers' interface to the list of models."""
+"""Handler of the list of models."""
 
 from http import HTTPStatus
 
@@ -13,7 +13,7 @@
     kind = 'models'
 
     def get(self, name: str | None = None) -> None:
-        """List the models open to the team, or show one of them."""
+        """Send the models that the team may use, or one of them."""
         team = self.authenticate()
         if isinstance(team, Refusal):
             self.refuse(team)
--- a/src/balsamreach/gateway/operators.py
+++ b/src/balsamreach/gateway/operators.py
@@ -1,4 +1,4 @@
-"""The operators' interface: the table, budgets and the state of routers."""
+"""Routes of the operators' interface, and its status handler."""
 
 from http import HTTPStatus
 
@@ -21,29 +21,29 @@
 
 
 class StatusHandler(OperatorHandler):
-    """``GET /status``: which version of the table routers have in force."""
+    """``GET /status``: the table version in force at each router."""
 
     async def get(self) -> None:
-        """Ask all routers and list them."""
+        """Ask all routers and send the list of their answers."""
         self.finish(await self.context.status.collect())
 
 
 class UnknownPathHandler(OperatorHandler):
-    """Answers whatever no other handler takes."""
+    """Handler of all paths without a route."""
 
     def prepare(self) -> None:
-        """Refuse, and tell the paths only to operators."""
+        """Send status 404, and the known paths only to operators."""
         super().prepare()
         if not self._finished:
             self.refuse(
                 HTTPStatus.NOT_FOUND,
                 'no_such_path',
-                'there are /table, /edits, /history, /status and /budgets',
+                'known paths: /table, /edits, /history, /status and /budgets',
             )
 
 
 def make_operators_app(context: OperatorContext) -> Application:
-    """Return the application of the operators' listener."""
+    """Build the application of the operators' listener."""
     arguments = {'context': context}
     return Application(
         [
--- a/src/balsamreach/gateway/operators_base.py
+++ b/src/balsamreach/gateway/operators_base.py
@@ -1,4 +1,4 @@
-"""What all handlers of the operators' interface share."""
+"""Base class and context of the handlers of the operators' interface."""
 
 import hmac
 import json
@@ -18,7 +18,7 @@
 from balsamreach.table.status import TableStatus
 from balsamreach.table.view import TableView, hash_key
 
-#: HTTP status that tells an operator of a fault of the table layer.
+#: HTTP status of each fault of the table layer.
 STATUS_OF_FAULT = {
     faults.BAD_ROW: 400,
     faults.STALE_EDIT: 409,
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class OperatorContext:
-    """What handlers of the operators' interface work with."""
+    """Services that the handlers of the operators' interface use."""
 
     cfg: Settings
     view: TableView
@@ -45,21 +45,21 @@
 
 
 class OperatorHandler(RequestHandler):
-    """Base of the handlers that an operator key opens."""
+    """Base of the handlers that require an operator key."""
 
     def initialize(self, context: OperatorContext) -> None:
-        """Take the context that the application was made with."""
+        """Store the context."""
         self.context = context
         self.key_digest = ''
 
     def prepare(self) -> None:
-        """Refuse whoever has no operator key."""
+        """Refuse a request without a valid operator key."""
         header = self.request.headers.get('Authorization', '')
         secret = header.removeprefix(_BEARER).strip()
         digest = hash_key(secret)
         keys = self.context.cfg.operators.keys
-        # A key found in the table is a team's, whatever the settings say.
-        # A team that got hold of a key set for both by mistake could else
+        # A key in the table is a team's, whatever the settings say. If the
+        # same key was set for both by mistake, the team could otherwise
         # raise its own budget.
         team = self.context.view.team_by_secret(secret)
         known = [hmac.compare_digest(digest, key) for key in keys]
@@ -72,12 +72,12 @@
         self.key_digest = digest
 
     def refuse(self, status: int, code: str, reason: str) -> None:
-        """Answer with an error."""
+        """Send an error."""
         self.set_status(status)
         self.finish({'error': {'code': code, 'message': reason}})
 
     def refuse_fault(self, fault: TableFault) -> None:
-        """Answer with an error of the table layer."""
+        """Send the error for a fault of the table layer."""
         status = STATUS_OF_FAULT[fault]
         self.set_status(status)
         if fault == faults.TABLE_AWAY:
@@ -85,11 +85,11 @@
         self.finish(describe_fault(fault))
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer in JSON also where tornado itself refuses."""
+        """Send an error raised by Tornado as JSON."""
         self.finish({'error': {'code': 'http', 'message': self._reason}})
 
     def body(self) -> dict[str, Any] | None:
-        """Return the JSON object of the body; refuse if there is none."""
+        """Parse the body as a JSON object; send a refusal if it isn't one."""
         try:
             body = json.loads(self.request.body)
         except (ValueError, RecursionError):
@@ -102,15 +102,15 @@
         return None
 
     def whole(self, name: str, default: int) -> int:
-        """Return a whole number from the query."""
+        """Return a non-negative integer from the query, or the default."""
         text = self.get_query_argument(name, '')
         return int(text) if text.isascii() and text.isdigit() else default
 
 
 def describe_fault(fault: TableFault) -> dict[str, Any]:
-    """Return the JSON of an error of the table layer.
+    """Return the JSON object for a fault of the table layer.
 
-    The row as it stands is added where an edit lost against it.
+    It includes the current row if the edit conflicts with it.
     """
     described: dict[str, Any] = {
         'error': {'code': fault.code, 'message': fault.reason},
@@ -121,10 +121,10 @@
 
 
 def full_key(kind: str, name: str) -> str:
-    """Return the table service's key of a row."""
+    """Return the key of a row in the table service."""
     return f'{TABLE_PREFIX}{kind}/{name}'
 
 
 def shown(row: dict[str, Any]) -> dict[str, Any]:
-    """Return a row with the key that operators know it by."""
+    """Return a row with its key in the form used by operators."""
     return {**row, 'key': row['key'].removeprefix(TABLE_PREFIX)}
--- a/src/balsamreach/gateway/operators_budgets.py
+++ b/src/balsamreach/gateway/operators_budgets.py
@@ -1,4 +1,4 @@
-"""The operators' interface to budgets."""
+"""Handler that shows a team's budget to operators."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
     """``GET /budgets/<team>``: a team's account."""
 
     async def get(self, team: str) -> None:
-        """Show what is prepaid, spent and held."""
+        """Send the account, with the tokens that this router holds."""
         read = await self.context.service.read((account_key(team),))
         if isinstance(read, PlatformFault):
             self.refuse_fault(faults.TABLE_AWAY.because(read.code))
--- a/src/balsamreach/gateway/operators_edits.py
+++ b/src/balsamreach/gateway/operators_edits.py
@@ -1,4 +1,4 @@
-"""Reads edits out of what operators send."""
+"""Parser of the edits that operators send."""
 
 import uuid
 from typing import Any
@@ -18,25 +18,25 @@
 
 @attrs.frozen
 class Reading:
-    """Reads the edits of one request.
+    """Parses the edits of one request.
 
     Parameters
     ----------
     key_digest : str
-        Digest of the operator key that the request came with.
+        Digest of the operator key in the request.
     """
 
     key_digest: str
 
     def read(self, key: str, sent: Any) -> Edit | TableFault:
-        """Read one edit.
+        """Parse and validate one edit.
 
         Parameters
         ----------
         key : str
             Full key of the row.
         sent : object
-            What the operator sent.
+            Decoded JSON that the operator sent.
 
         Returns
         -------
@@ -56,13 +56,13 @@
         )
 
     def _author(self, name: str) -> str:
-        # The name is what the operator calls itself; only the key shows who
-        # it was, so the history tells which key was used.
+        # The name is chosen freely by the sender. Only the key identifies
+        # the operator, so the history shows which key was used.
         return f'{name} (key {self.key_digest[:_DIGEST_SHOWN]})'
 
 
 def describe_outcome(edit: Edit, outcome: Accepted) -> dict[str, Any]:
-    """Return the JSON that tells of an accepted edit."""
+    """Return the JSON object for an accepted edit."""
     return {'edit_id': edit.edit_id, **attrs.asdict(outcome)}
 
 
@@ -72,16 +72,16 @@
     unknown = sorted(set(sent) - _KNOWN)
     if unknown:
         listed = ', '.join(unknown)
-        return f'{listed}: there is no such key in an edit'
+        return f'{listed}: unknown key in an edit'
     return _flaw_in_marks(sent) or _flaw_in_change(sent)
 
 
 def _flaw_in_marks(sent: dict[str, Any]) -> str:
     if not isinstance(sent.get('edit_id', ''), str):
-        return 'edit_id: must be a text'
+        return 'edit_id: must be a string'
     author = sent.get('author', '')
     if not isinstance(author, str) or len(author) > _AUTHOR_LIMIT:
-        return 'author: must be a text of at most 64 letters'
+        return 'author: must be a string of at most 64 characters'
     return '' if author.isprintable() else 'author: must be printable'
 
 
@@ -92,15 +92,15 @@
         'top_up' in sent,
     ]
     if sum(map(bool, wanted)) != 1:
-        return 'send one of fields, top_up and "delete": true'
+        return 'send exactly one of fields, top_up and "delete": true'
     if 'fields' in sent and not isinstance(sent['fields'], dict):
         return 'fields: must be a JSON object'
     if 'top_up' in sent:
         top_up = sent['top_up']
         whole = _is_whole(top_up) and 0 < top_up <= _LARGEST
-        return '' if whole else 'top_up: must be a whole number above 0'
+        return '' if whole else 'top_up: must be an integer from 1 to 2**53'
     if not _is_whole(sent.get('version')) or sent['version'] < -1:
-        return 'version: must be the version you saw, 0 for a new row'
+        return 'version: must be the version you read, or 0 for a new row'
     return ''
 
 
--- a/src/balsamreach/gateway/operators_lowering.py
+++ b/src/balsamreach/gateway/operators_lowering.py
@@ -1,4 +1,4 @@
-"""Edits that lower a budget, for which routers hand back what they hold."""
+"""Edits that lower a budget, for which routers return idle tokens."""
 
 from balsamreach.budget.faults import BudgetFault
 from balsamreach.budget.recalling import Outstanding
@@ -11,19 +11,20 @@
 
 
 async def apply_edit(context: OperatorContext, edit: Edit) -> Outcome:
-    """Apply an edit; if it lowers a budget too far, call tokens back first.
+    """Apply an edit; recall tokens and retry if the budget would be too low.
 
     Parameters
     ----------
     context : OperatorContext
-        Editor and budgets.
+        Provides the editor and the budgets.
     edit : Edit
         The change.
 
     Returns
     -------
     Accepted or TableFault
-        BELOW_TAKEN tells what is out, where, and what to do.
+        The reason of BELOW_TAKEN says how many tokens are still held, by
+        which hosts, and what to do.
     """
     outcome = await context.editor.apply(edit)
     if outcome != faults.BELOW_TAKEN:
--- a/src/balsamreach/gateway/operators_peers.py
+++ b/src/balsamreach/gateway/operators_peers.py
@@ -1,4 +1,4 @@
-"""Operators' view of the routers that this one knows."""
+"""Handler that lists the routers known to this one."""
 
 from typing import Any
 
@@ -8,15 +8,15 @@
 
 
 class PeersHandler(OperatorHandler):
-    """``GET /peers``: routers known, and those with a connection."""
+    """``GET /peers``: known routers, and whether each is connected."""
 
     def initialize(self, context: OperatorContext, net: PeerNet) -> None:
-        """Take the net besides what every operators' handler gets."""
+        """Store the context and the peer network."""
         super().initialize(context)
         self.net = net
 
     def get(self) -> None:
-        """List the routers."""
+        """Send the list of routers."""
         net = self.net
         linked = {member.incarnation for member in net.neighbours()}
         self.finish(
@@ -32,7 +32,7 @@
 
 
 def peers_handlers(context: OperatorContext, net: PeerNet) -> list[Any]:
-    """Return the handlers of this module for an application."""
+    """Return the routes to add to the operators' listener."""
     return [('/peers', PeersHandler, {'context': context, 'net': net})]
 
 
--- a/src/balsamreach/gateway/operators_quarantine.py
+++ b/src/balsamreach/gateway/operators_quarantine.py
@@ -1,4 +1,4 @@
-"""Operators' interface to requests that are kept from running."""
+"""Handlers that list and lift quarantines of requests."""
 
 from http import HTTPStatus
 
@@ -10,35 +10,35 @@
 
 
 class QuarantineListHandler(OperatorHandler):
-    """``GET /quarantine``: requests kept from running."""
+    """``GET /quarantine``: the quarantined requests."""
 
     def initialize(
         self,
         context: OperatorContext,
         quarantine: Quarantine,
     ) -> None:
-        """Take what the application was made with."""
+        """Store the context and the quarantine."""
         super().initialize(context)
         self.quarantine = quarantine
 
     def get(self) -> None:
-        """List quarantines with the targets that the requests crashed."""
+        """Send the quarantined requests and the targets they crashed."""
         held = [attrs.asdict(entry) for entry in self.quarantine.listed()]
         self.finish({'quarantine': held})
 
 
 class QuarantineHandler(QuarantineListHandler):
-    """``/quarantine/<fingerprint>``: one of them."""
+    """``DELETE /quarantine/<fingerprint>``: lifts one quarantine."""
 
     def delete(self, fingerprint: str) -> None:
-        """Lift a quarantine at all routers."""
+        """Lift the quarantine of a request at all routers."""
         if self.quarantine.lift(fingerprint):
             self.finish({'lifted': fingerprint})
             return
         self.refuse(
             HTTPStatus.NOT_FOUND,
             'no_quarantine',
-            f'nothing is quarantined under {fingerprint}',
+            f'no request with fingerprint {fingerprint} is quarantined',
         )
 
 
--- a/src/balsamreach/gateway/operators_table.py
+++ b/src/balsamreach/gateway/operators_table.py
@@ -1,4 +1,4 @@
-"""The operators' interface to the table's rows, their edits and history."""
+"""Handlers of the table's rows, edits and history for operators."""
 
 from http import HTTPStatus
 
@@ -26,10 +26,10 @@
 
 
 class TableHandler(OperatorHandler):
-    """``GET /table``: rows as committed, page by page."""
+    """``GET /table``: committed rows, in pages."""
 
     async def get(self) -> None:
-        """List rows with their versions from a key on."""
+        """Send the rows that follow the key ``after``."""
         after = self.get_query_argument('after', '')
         wanted = self.whole('limit', LARGEST_PAGE)
         prefix = TABLE_PREFIX + self.get_query_argument('prefix', '')
@@ -51,7 +51,7 @@
     """``/table/<team|target>/<name>``: one row."""
 
     async def get(self, kind: str, name: str) -> None:
-        """Show a row as committed."""
+        """Send the committed row."""
         read = await self.context.service.read((full_key(kind, name),))
         if isinstance(read, PlatformFault):
             self.refuse_fault(faults.TABLE_AWAY.because(read.code))
@@ -61,13 +61,13 @@
             self.finish(shown(attrs.asdict(read[0])))
 
     async def patch(self, kind: str, name: str) -> None:
-        """Change fields of a row or top its budget up."""
+        """Change fields of a row or top up its budget."""
         body = self.body()
         if body is not None:
             await self._edit(full_key(kind, name), body)
 
     async def delete(self, kind: str, name: str) -> None:
-        """Delete a row, conditional on the version seen."""
+        """Delete a row if its version is the one given in the body."""
         body = self.body()
         if body is not None:
             await self._edit(full_key(kind, name), body | {'delete': True})
@@ -85,10 +85,10 @@
 
 
 class RowsHandler(OperatorHandler):
-    """``POST /rows``: rows by key, absent ones with no value."""
+    """``POST /rows``: rows by key; a missing row has a null value."""
 
     async def post(self) -> None:
-        """Show rows as committed at one instant."""
+        """Send the rows, all as committed at the same instant."""
         body = self.body()
         if body is None:
             return
@@ -97,7 +97,7 @@
             self.refuse(
                 HTTPStatus.BAD_REQUEST,
                 'invalid_keys',
-                f'keys: must be a list of 1 to {LARGEST_BATCH} texts',
+                f'keys: must be a list of 1 to {LARGEST_BATCH} strings',
             )
             return
         read = await self.context.service.read(
@@ -113,7 +113,7 @@
     """``POST /edits``: several edits in one request."""
 
     async def post(self) -> None:
-        """Apply edits of different rows and tell of each what became."""
+        """Apply edits of different rows and send the outcome of each."""
         body = self.body()
         if body is None:
             return
@@ -143,10 +143,10 @@
 
 
 class HistoryHandler(OperatorHandler):
-    """``GET /history?key=team/NAME``: who changed a row."""
+    """``GET /history?key=team/NAME``: the edits of a row."""
 
     async def get(self) -> None:
-        """List edits of a row, newest first."""
+        """Send the edits of a row, newest first."""
         page = await read_history(
             self.context.service,
             self.get_query_argument('key'),
@@ -179,5 +179,5 @@
     for name in ('key', 'edit_id'):
         named = [str(edit[name]) for edit in sent if name in edit]
         if len(set(named)) < len(named):
-            return f'{name}: each must differ within one request'
+            return f'{name}: must be unique within one request'
     return ''
--- a/src/balsamreach/gateway/operators_targets.py
+++ b/src/balsamreach/gateway/operators_targets.py
@@ -1,4 +1,4 @@
-"""``GET /targets``: how this router sees each target."""
+"""Handler that shows this router's state of each target."""
 
 from typing import Any
 
@@ -11,26 +11,26 @@
 
 @attrs.frozen
 class TargetsContext:
-    """What the handler works with."""
+    """Services that the handler uses."""
 
     targets: Targets
     clock: Clock
 
 
 class TargetsHandler(OperatorHandler):
-    """State, marks, load and power of every target."""
+    """``GET /targets``: state, leaving marks, load and power of targets."""
 
     def initialize(
         self,
         context: OperatorContext,
         watched: TargetsContext,
     ) -> None:
-        """Take the contexts in."""
+        """Store the contexts."""
         super().initialize(context)
         self.watched = watched
 
     def get(self) -> None:
-        """List the targets by name."""
+        """Send all targets, sorted by name."""
         now = self.watched.clock.now()
         by_name = self.watched.targets.by_name
         self.finish(
@@ -39,7 +39,7 @@
 
 
 def show(target: Target, now: float) -> dict[str, Any]:
-    """Return what an operator wants to know of a target."""
+    """Return the JSON object that describes a target to operators."""
     report = target.report
     hold = target.hold
     return {
--- a/src/balsamreach/gateway/probes.py
+++ b/src/balsamreach/gateway/probes.py
@@ -1,7 +1,7 @@
-"""Answers probes without the web framework.
+"""Readiness and metrics endpoints without the web framework.
 
-A router that passes requests through uses the framework for nothing else;
-importing it takes a tenth of the processor time of a start.
+A router that passes requests through has no other use for the framework,
+whose import takes a tenth of the processor time of a start.
 """
 
 from collections.abc import Callable
@@ -24,14 +24,14 @@
 
 @attrs.frozen
 class Probes:
-    """Serves readiness and metrics; called with each request.
+    """Request callback that serves readiness and metrics.
 
     Parameters
     ----------
     ready_path : str
-        Path under which readiness is asked for.
+        Path of the readiness endpoint.
     state : callable
-        Tells the router's state.
+        Returns the router's state.
     metrics : Metrics
         The router's metrics.
     """
--- a/src/balsamreach/gateway/prompts.py
+++ b/src/balsamreach/gateway/prompts.py
@@ -1,4 +1,4 @@
-"""Bounds what the prompt of a chat completion can cost."""
+"""Upper bound and estimate of a chat completion's prompt tokens."""
 
 import json
 from collections.abc import Iterator
@@ -8,37 +8,38 @@
 
 from balsamreach.gateway.refusals import Refusal, invalid_request
 
-#: Tokens a chat template may add for each message.
+#: Maximum tokens that a chat template adds per message.
 MESSAGE_OVERHEAD = 16
-#: Part types whose tokens have nothing to do with the bytes of their JSON.
+#: Part types whose token count does not depend on the size of their JSON.
 MEDIA = frozenset(('image_url', 'input_audio', 'video_url', 'file'))
 TEXTS = frozenset(('text', 'refusal'))
 
 _BYTES_PER_TOKEN = 4
 _PREFIX_LIMIT = 8192
 _ROLES = ('assistant', 'developer', 'function', 'system', 'tool', 'user')
-#: Keys that templates put before the messages.
+#: Keys that chat templates put before the messages.
 _LEADING = frozenset(('functions', 'tools'))
-#: Keys of a request that never become part of the prompt.
+#: Keys that are skipped: the messages are measured separately, and the others
+#: never become part of the prompt.
 _OUTSIDE = frozenset(('messages', 'model', 'stream_options', 'metadata'))
 
 
 @attrs.define
 class Prompt:
-    """A prompt as far as its cost and its affinity go.
+    """Size of a prompt, and its prefix for cache affinity.
 
     Parameters
     ----------
+    part_tokens : int
+        Maximum tokens of one media part.
     size : int
         Bytes that may become text of the prompt.
     messages : int
         Number of messages.
     media : int
-        Images, sounds and files.
-    part_tokens : int
-        Most tokens that one of them counts.
+        Number of media parts: images, videos, audio and files.
     prefix : bytes
-        Leading part of the text.
+        Leading bytes of the text.
     """
 
     part_tokens: int
@@ -49,22 +50,22 @@
 
     @property
     def most_tokens(self) -> int:
-        """Worst case: every token is at least one byte of the text."""
+        """Maximum tokens: each token of text has at least one byte."""
         overhead = MESSAGE_OVERHEAD * self.messages
         return self.size + overhead + self.media * self.part_tokens
 
     @property
     def likely_tokens(self) -> int:
-        """Estimate of the tokens."""
+        """Estimated tokens, at least 1."""
         text = self.size // _BYTES_PER_TOKEN
         return max(1, text + self.media * self.part_tokens)
 
     def add(self, text: bytes, *, leads: bool = True) -> None:
-        """Add text, to the prefix as well unless it is no part of that.
+        """Add text to the size, and to the prefix if ``leads`` is true.
 
-        A field such as ``user`` counts in the bound, but in the prefix it
-        would send each user's requests elsewhere than an engine that has
-        their common beginning in its cache.
+        A field such as ``user`` counts in the maximum. In the prefix it
+        would route the requests of different users to different engines,
+        away from the one that has their common beginning in its cache.
         """
         self.size += len(text)
         if leads and len(self.prefix) < _PREFIX_LIMIT:
@@ -75,19 +76,19 @@
     body: dict[str, Any],
     part_tokens: int,
 ) -> Prompt | Refusal:
-    """Measure everything of a request that may reach its prompt.
+    """Measure all parts of a request that may become part of the prompt.
 
     Parameters
     ----------
     body : dict
-        The request; its messages are known to be objects.
+        The request, whose messages are already checked to be objects.
     part_tokens : int
-        Most tokens of one image, sound or file.
+        Maximum tokens of one media part.
 
     Returns
     -------
     Prompt or Refusal
-        Refused for a content whose tokens cannot be bounded.
+        A refusal for content whose tokens have no known maximum.
     """
     prompt = Prompt(part_tokens)
     for name, field in sorted(body.items()):
@@ -109,7 +110,7 @@
             prompt.add(_encode(field))
     content = message.get('content')
     if not isinstance(content, (str, list, type(None))):
-        return invalid_request('content must be a text or a list of parts')
+        return invalid_request('content must be a string or a list of parts')
     for part in _parts(content):
         refusal = _add_part(prompt, part)
         if refusal is not None:
@@ -128,16 +129,16 @@
     kind = part.get('type') if isinstance(part, dict) else None
     if not isinstance(kind, str):
         return invalid_request(
-            'each part of a content must be an object with a type'
+            'each part of content must be an object with a type'
         )
     if kind in MEDIA:
         prompt.media += 1
         return None
     if kind not in TEXTS:
-        return invalid_request(f'parts of type {kind!r} are not taken')
+        return invalid_request(f'parts of type {kind!r} are not supported')
     text = part.get(kind)
     if not isinstance(text, str):
-        return invalid_request(f'a part of type {kind!r} must have a text')
+        return invalid_request(f'a part of type {kind!r} must have a string')
     prompt.add(text.encode('utf-8', 'surrogatepass'))
     return None
 
--- a/src/balsamreach/gateway/refusals.py
+++ b/src/balsamreach/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""Answers that say why a request got no answer, and whether it ran."""
+"""Error responses, which give the reason and whether the request ran."""
 
 import json
 import math
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class Refusal:
-    """What a caller is told in place of an answer.
+    """Error response to a caller.
 
     Parameters
     ----------
@@ -46,16 +46,16 @@
     code : str
         Machine-readable reason.
     message : str
-        A sentence for a person.
+        Reason in words.
     ran : str
-        ``no`` or ``unknown``.
+        Whether the request ran: ``no`` or ``unknown``.
     retry_after : float
-        Seconds until asking again makes sense; 0 for never.
+        Seconds until a retry makes sense; 0 for never.
     repeatable : bool
-        Whether the same request sent again is known for the same.
+        Whether a retry is recognized as the same request.
     by_table : bool
-        Whether it is told for want of a row, so that a newer table than the
-        one in force here may allow what is refused.
+        Whether the reason is a missing row, so that a newer table may allow
+        the request.
     """
 
     status: int
@@ -67,7 +67,7 @@
     by_table: bool = False
 
     def body(self) -> bytes:
-        """Return the JSON body, in the shape OpenAI clients read."""
+        """Return the JSON body, in the format of the OpenAI API."""
         error = {
             'message': self.message,
             'type': 'balsamreach_error',
@@ -84,34 +84,34 @@
         }
         if self.retry_after:
             headers['Retry-After'] = str(math.ceil(self.retry_after))
-        # The OpenAI clients send a failed request again by themselves unless
-        # they are told not to. Where asking again cannot help, or would be
-        # another request and another bill, this header keeps them from it.
+        # OpenAI clients retry failed requests by themselves unless this
+        # header forbids it. It does so where a retry can't help, or would be
+        # a new request that is billed again.
         may_retry = self.retry_after > 0 and self.repeatable
         headers['X-Should-Retry'] = 'true' if may_retry else 'false'
         return headers
 
 
-#: A row is missing in a table that may be outdated.
+#: A row is missing, but the table may be outdated.
 NOT_READY = Refusal(
     503,
     'not_ready',
-    "this router can't tell now whether its table is the newest",
+    'this router cannot confirm at present that its table is the newest',
     retry_after=1,
 )
-#: The header passes the limit of the settings.
+#: The header exceeds the limit in the settings.
 HEADER_TOO_LARGE = Refusal(
     431,
     'header_too_large',
-    'the header is larger than this router takes',
+    'the header is larger than this router accepts',
 )
-#: The body passes the limit of the settings.
+#: The body exceeds the limit in the settings.
 BODY_TOO_LARGE = Refusal(
     413,
     'body_too_large',
-    'the body is larger than this router takes',
+    'the body is larger than this router accepts',
 )
-#: The body did not come in time.
+#: The body was not received in time.
 BODY_TOO_SLOW = Refusal(
     408,
     'body_timeout',
@@ -120,42 +120,44 @@
 )
 _BY_STATUS = {
     404: Refusal(404, 'unknown_path', 'there is nothing at this path'),
-    405: Refusal(405, 'method_not_allowed', 'the path takes another method'),
+    405: Refusal(
+        405, 'method_not_allowed', 'this path does not allow the method'
+    ),
 }
 
 
 def invalid_request(message: str) -> Refusal:
-    """Return the refusal of a body whose form is wrong."""
+    """Return the refusal of an invalid body."""
     return Refusal(HTTPStatus.BAD_REQUEST, 'invalid_request', message)
 
 
 def from_status(status: int, ran: str) -> Refusal:
-    """Return the refusal for an error that the framework met.
+    """Return the refusal for an error raised by the framework.
 
     Parameters
     ----------
     status : int
-        HTTP status the framework chose.
+        HTTP status of the error.
     ran : str
-        Whether the request ran.
+        Whether the request ran: ``no`` or ``unknown``.
     """
     known = _BY_STATUS.get(status)
     if known is not None:
         return known
     if status < _DEFAULT_STATUS:
         return Refusal(status, 'bad_request', 'the request is malformed', ran)
-    return Refusal(status, 'internal_error', 'the router met an error', ran)
+    return Refusal(status, 'internal_error', 'an error in the router', ran)
 
 
 def from_fault(fault: DispatchFault) -> Refusal:
-    """Turn a dispatch fault into what the caller is told."""
+    """Return the refusal for a dispatch fault."""
     status = _STATUS.get(fault, _DEFAULT_STATUS)
     message = fault.reason or fault.code.replace('_', ' ')
     return Refusal(status, fault.code, message, fault.ran, fault.retry_after)
 
 
 def send_refusal(handler: RequestHandler, refusal: Refusal) -> None:
-    """Answer a request with a refusal."""
+    """Send a refusal as the response and finish it."""
     handler.set_status(refusal.status)
     for name, text in refusal.headers().items():
         handler.set_header(name, text)
@@ -163,5 +165,5 @@
 
 
 def error_event(refusal: Refusal) -> bytes:
-    """Return the event that ends a stream which broke off."""
+    """Return the server-sent event that ends an incomplete stream."""
     return b'data: %b\n\n' % refusal.body()
--- a/src/balsamreach/gateway/relay_curl.py
+++ b/src/balsamreach/gateway/relay_curl.py
@@ -1,4 +1,4 @@
-"""Carries passed-through requests to targets with curl."""
+"""Exchange that sends passed-through requests to targets with curl."""
 
 from functools import partial
 
@@ -11,21 +11,22 @@
 from balsamreach.relay.exchange import Exchange, Outgoing
 
 _MS = 1000
-#: Seconds after which a kept connection isn't used again. Targets close idle
-#: ones after a few seconds, and what is sent at that moment is lost.
+#: Idle seconds after which a pooled connection is no longer reused. Targets
+#: close idle connections after a few seconds, and a request sent at that
+#: moment is lost.
 _IDLE_S = 3
-#: Headers that curl adds by itself unless told not to.
+#: Headers that curl adds by default.
 _CURL_ADDS = ('Accept', 'User-Agent', 'Content-Type', 'Expect')
 
 
 @attrs.define
 class RelayCurl(Exchange):
-    """Sends each attempt on a pooled connection, or a fresh one.
+    """Sends each attempt on a pooled or a new connection.
 
     Parameters
     ----------
     connect_timeout : float
-        Seconds that a connection may take.
+        Maximum seconds to establish a connection.
     """
 
     connect_timeout: float
@@ -36,7 +37,7 @@
         outgoing: Outgoing,
         intake: Intake,
     ) -> UpstreamFault | None:
-        """Send an attempt and feed the answer to the intake."""
+        """Send an attempt and pass the answer to the intake."""
         prepare = partial(self._apply, outgoing)
         return await self._handles.send(prepare, intake, outgoing.gap)
 
@@ -67,8 +68,7 @@
 def _set_place(curl: pycurl.Curl, outgoing: Outgoing) -> None:
     url = f'http://{outgoing.target.address}{outgoing.path}'
     curl.setopt(pycurl.URL, url)
-    # Targets are given by address: a proxy named in the environment must not
-    # come between.
+    # Targets are addressed directly, even if the environment names a proxy.
     curl.setopt(pycurl.NOPROXY, '*')
     curl.setopt(pycurl.NOSIGNAL, 1)
     curl.setopt(pycurl.PATH_AS_IS, 1)
@@ -86,8 +86,7 @@
 
 def _header_lines(headers: tuple[tuple[str, str], ...]) -> list[str]:
     present = {name.lower() for name, _text in headers}
-    # A header without a value is written with a semicolon, or curl would
-    # leave it out.
+    # Curl omits a header without a value unless it ends with a semicolon.
     lines = [
         f'{name}: {text}' if text else f'{name};' for name, text in headers
     ]
--- a/src/balsamreach/gateway/relay_server.py
+++ b/src/balsamreach/gateway/relay_server.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests off their connections and writes the answers."""
+"""HTTP/1.1 server for callers' requests that are passed through."""
 
 import asyncio
 import weakref
@@ -22,22 +22,22 @@
 from balsamreach.relay.codec import CallerRequest
 from balsamreach.relay.outlet import Outlet
 
-#: Bytes that may wait for a caller before reading from its target pauses.
+#: Maximum bytes buffered for a caller before reading from the target pauses.
 _MOST_WAITING = 256 * 1024
 
-#: Answers a request; the connection's task is cancelled where it goes away.
+#: Answers a request; its task is cancelled if the connection closes.
 Answerer = Callable[[CallerRequest, Outlet], Awaitable[None]]
 
 
 class ConnectionOutlet(Outlet):
-    """Writes an answer to one HTTP/1.1 connection.
+    """Writes the response to one request on its HTTP/1.1 connection.
 
     Parameters
     ----------
     conn : HTTP1Connection
         The caller's connection.
     closing : callable
-        Tells whether the connection ends with this answer.
+        Returns whether the connection closes after this response.
     """
 
     def __init__(
@@ -53,11 +53,11 @@
 
     @property
     def full(self) -> bool:
-        """Whether too much waits for the caller to read it."""
+        """Whether too many bytes wait for the caller."""
         return self._waiting > _MOST_WAITING
 
     def start(self, status: int, headers: Sequence[tuple[str, str]]) -> None:
-        """Send the head."""
+        """Send the status line and the headers."""
         self.started = True
         lines = HTTPHeaders()
         for name, text in headers:
@@ -75,13 +75,13 @@
             self._note(len(chunk), self._conn.write(chunk))
 
     def finish(self) -> None:
-        """End the answer in order."""
+        """Complete the response."""
         if not self.ended and not self._conn.stream.closed():
             self._conn.finish()
         self.ended = True
 
     def abort(self) -> None:
-        """Close the connection in the middle of the answer."""
+        """Close the connection before the response is complete."""
         self.ended = True
         self._conn.stream.close()
 
@@ -91,8 +91,8 @@
 
     def _written(self, size: int, written: asyncio.Future[None]) -> None:
         self._waiting -= size
-        # A caller that went away is noticed by its connection; the fault is
-        # taken here only so that nobody calls it forgotten.
+        # The close callback handles a caller that disconnected. Retrieving
+        # the exception only prevents the warning that it was never retrieved.
         if not written.cancelled():
             written.exception()
 
@@ -106,18 +106,19 @@
     answer : callable
         Answers one request.
     clock : Clock
-        Time.
+        Source of the requests' arrival times.
     body_limit : callable
-        Returns the most bytes that a body may have now.
+        Returns the current maximum size of a body in bytes.
     leaving : bool
-        Whether the router leaves, so that each connection ends.
+        Whether the router is shutting down, so that each connection closes
+        after its response.
     crowded : bool
-        Whether callers are to come by other routers: the next answer on a
-        connection is its last one.
+        Whether callers should move to other routers: the next response on a
+        connection is its last.
     running : set of Task
-        Requests in progress.
+        Tasks of the requests in progress.
     idle : set of RelayRequest
-        Connections that wait for a request.
+        Requests whose header was not received yet, one per idle connection.
     """
 
     answer: Answerer
@@ -135,25 +136,25 @@
         server_conn: object,
         request_conn: HTTPConnection,
     ) -> HTTPMessageDelegate:
-        """Wait for the next request of a connection."""
+        """Return the delegate for a connection's next request."""
         assert isinstance(request_conn, HTTP1Connection)
         request = RelayRequest(self, request_conn, server_conn)
         left = self.leaving and server_conn in self._known
         if left or server_conn in self._ending:
-            # The answer before this was said to be the last one.
+            # The previous response said that it was the connection's last.
             request_conn.stream.close()
         self._known.add(server_conn)
         self.idle.add(request)
         return request
 
     def ends(self, server_conn: object) -> bool:
-        """Return whether the answer that begins now is a connection's last."""
+        """Return whether a connection closes after the current response."""
         if self.crowded:
             self._ending.add(server_conn)
         return self.leaving or self.crowded
 
     def leave(self) -> None:
-        """Close connections without a request; others after their answer."""
+        """Close idle connections; the others close after their response."""
         self.leaving = True
         for request in tuple(self.idle):
             request.conn.stream.close()
@@ -165,14 +166,16 @@
 
 
 class RelayRequest(HTTPMessageDelegate):
-    """One request on its way in.
+    """Receives one request and starts its answer.
 
     Parameters
     ----------
     server : RelayServer
         The listener's server.
     conn : HTTP1Connection
-        Connection that the request comes on.
+        Connection of the request.
+    server_conn : object
+        Identifies the connection; the same for all of its requests.
     """
 
     def __init__(
@@ -195,7 +198,7 @@
         start_line: RequestStartLine,
         headers: HTTPHeaders,
     ) -> Awaitable[None] | None:
-        """Take the head of the request."""
+        """Store the head of the request."""
         self.server.idle.discard(self)
         self._line = start_line
         self._headers = headers
@@ -204,15 +207,15 @@
         return None
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        """Take a part of the body."""
+        """Store a part of the body."""
         self._body += chunk
         return None
 
     def finish(self) -> None:
-        """Answer the request, which is whole."""
-        # The connection may have been closed between the reading of the last
-        # byte and this turn of the loop. Passed on now, the request would run
-        # for nobody, and its caller could never learn that it did.
+        """Start the task that answers the complete request."""
+        # The connection may have been closed after the last byte was read
+        # and before this call. The request would run although its caller
+        # could never learn that it did.
         if self.conn.stream.closed():
             return
         request = CallerRequest(
@@ -232,7 +235,7 @@
         self.conn.set_close_callback(self.on_connection_close)
 
     def on_connection_close(self) -> None:
-        """End the work for a caller that has gone."""
+        """Cancel the request of a caller that disconnected."""
         self.server.idle.discard(self)
         if self._task is not None:
             self._task.cancel()
@@ -241,7 +244,7 @@
         try:
             await self.server.answer(request, outlet)
         except StreamClosedError:
-            # The caller went away between two writes.
+            # The caller disconnected between two writes.
             outlet.abort()
         finally:
             if not outlet.ended:
--- a/src/balsamreach/gateway/service_handler.py
+++ b/src/balsamreach/gateway/service_handler.py
@@ -1,4 +1,4 @@
-"""The callers' interface to plain services."""
+"""Handler of calls to plain services."""
 
 import posixpath
 from http import HTTPStatus
@@ -10,7 +10,7 @@
 from balsamreach.requests.identity import RequestId
 from balsamreach.table.rows import PLAIN_SERVICE, TargetRow, TeamRow
 
-#: Headers that a target gets as the caller sent them.
+#: Headers that are forwarded to the target unchanged.
 _PASSED = ('Content-Type', 'Accept', 'Accept-Language')
 
 
@@ -29,7 +29,7 @@
     )
 
     async def prepare(self) -> None:
-        """Serve every method alike."""
+        """Run the call, whatever its method."""
         await self.serve_call(self._read(*self.path_args))
 
     def _read(self, service: str, path: str) -> Call | Refusal:
@@ -83,15 +83,15 @@
 
 
 def _target_path(uri: str) -> str:
-    # The path goes on as the caller wrote it: a decoded one could name
-    # something else at the target.
+    # The path is forwarded as the caller wrote it, because a decoded path
+    # could name another resource at the target.
     _empty, _services, _name, rest = uri.split('/', 3)
     return f'/{rest}'
 
 
 def _runs_once(workers: list[TargetRow], path: str) -> bool:
-    # A target takes "//certificate" or "./certificate" for "certificate".
-    # If only the plain spelling counted, another one would run twice.
+    # A target treats "//certificate" and "./certificate" as "certificate".
+    # Without normalization, a request with such a path could run twice.
     plain = posixpath.normpath(f'/{unquote(path)}').lstrip('/').lower()
     return any(
         plain.startswith(start.strip('/').lower())
--- a/src/balsamreach/gateway/sinks.py
+++ b/src/balsamreach/gateway/sinks.py
@@ -1,4 +1,4 @@
-"""Writes an answer to a caller's connection as it comes in."""
+"""Sink that writes an answer to the caller while it is received."""
 
 import asyncio
 from http import HTTPStatus
@@ -14,18 +14,25 @@
 
 
 class HandlerSink(Sink):
-    """Feeds one caller's copy of an answer into its HTTP response.
+    """Writes an answer into the HTTP response of one caller.
 
-    The first bytes go the handler's way, together with the head. The rest
-    is framed here and goes straight to the connection: at one token a
-    chunk the handler's own way costs more than all other work on it.
+    The handler writes the first bytes together with the head. The rest is
+    framed here and written directly to the connection: with one token per
+    chunk, writing by the handler costs more than all other work on a chunk.
 
     Parameters
     ----------
     handler : RequestHandler
-        Writes the response.
+        Handler of the caller's request.
     clock : Clock
-        Tells when the first byte went out.
+        Source of the time of the first byte.
+
+    Attributes
+    ----------
+    first_at : float
+        Monotonic seconds at which the first byte was written, 0 before.
+    started : bool
+        Whether status and headers are set.
     """
 
     def __init__(self, handler: RequestHandler, clock: Clock) -> None:
@@ -41,11 +48,11 @@
 
     @property
     def backlog(self) -> int:
-        """Bytes that wait for the caller to take them."""
+        """Number of bytes that wait for the caller to read."""
         return self._waiting_size
 
     def start(self, status: int, headers: dict[str, str]) -> None:
-        """Set status and headers; they go out with the first bytes."""
+        """Set status and headers, which are sent with the first bytes."""
         self.started = True
         self._has_length = 'content-length' in headers
         self._handler.set_status(status)
@@ -53,12 +60,12 @@
             self._handler.set_header(name, text)
 
     def write(self, chunk: bytes) -> None:
-        """Write bytes out at once, or when those before them are out."""
+        """Write bytes at once, or queue them while a write is pending."""
         if self._stream is None:
             self._write_first(chunk)
             return
         if not chunk:
-            # An empty chunk would be read as the end of the answer.
+            # In chunked encoding, an empty chunk ends the body.
             return
         framed = b'%x\r\n%b\r\n' % (len(chunk), chunk)
         if self._writing:
@@ -68,13 +75,13 @@
             self._send(framed)
 
     def cut(self) -> None:
-        """Close the connection of a caller that reads too slowly."""
+        """Close the connection before the answer is complete."""
         connection = self._handler.request.connection
         if isinstance(connection, HTTP1Connection):
             connection.stream.close()
 
     def flush(self) -> None:
-        """Hand over what waits, so that the handler can end the answer."""
+        """Write all queued bytes, so that the handler can finish."""
         if self._waiting and self._stream is not None:
             framed = self._take_waiting()
             self._stream.write(framed)
@@ -91,8 +98,8 @@
         if self._has_length or not _is_chunked(self._handler):
             return
         self._stream = connection.stream
-        # Otherwise a small chunk waits until the caller has acknowledged
-        # the one before it.
+        # Without TCP_NODELAY, a small chunk is delayed until the caller has
+        # acknowledged the previous one.
         if not self._stream.closed():
             self._stream.set_nodelay(True)
         self._write_on_after(written)
@@ -106,15 +113,16 @@
             self._write_on_after(stream.write(framed[sent:]))
 
     def _write_on_after(self, written: asyncio.Future[None]) -> None:
-        # One write at a time is in the stream's own buffer. The rest waits
-        # here, where it is counted, so that reading from the target pauses.
+        # Only one write at a time is in the stream's buffer. The rest is
+        # queued here and counted as backlog, so that reading from the target
+        # pauses.
         if not written.done():
             self._writing = True
             written.add_done_callback(self._write_on)
 
     def _write_on(self, written: asyncio.Future[None]) -> None:
         self._writing = False
-        # Where the caller went away, the handler is told by its connection.
+        # If the caller disconnected, the connection notifies the handler.
         if written.cancelled() or written.exception() is not None:
             self._take_waiting()
         elif self._waiting:
@@ -135,8 +143,8 @@
 
 
 def _send_now(stream: IOStream, framed: bytes) -> int:
-    # A TLS layer that was once given bytes must be given the same again;
-    # the stream sees to that itself.
+    # After an incomplete write, TLS must be given the same bytes again; the
+    # stream takes care of that.
     if isinstance(stream, SSLIOStream) or stream.writing():
         return 0
     try:
--- a/src/balsamreach/gateway/target_client.py
+++ b/src/balsamreach/gateway/target_client.py
@@ -1,4 +1,4 @@
-"""Asks targets for reports and sends them orders over HTTP."""
+"""HTTP client that polls targets and sends them orders."""
 
 import json
 from collections.abc import Mapping
@@ -36,14 +36,14 @@
 
 
 class HttpTargetClient(TargetClient):
-    """Client on pooled connections of bounded age.
+    """Target client that reuses connections idle for a limited time.
 
     Parameters
     ----------
     cfg : Settings
-        The longest wait for an answer, and TLS.
+        Timeout of a request, and TLS.
     clock : Clock
-        Source of the moments at which reports were asked for.
+        Source of the times at which reports were requested.
     """
 
     def __init__(self, cfg: Settings, clock: Clock) -> None:
@@ -62,7 +62,7 @@
         *,
         fresh: bool = False,
     ) -> LoadReport | TargetFault:
-        """Ask for a load report."""
+        """Request a load report."""
         asked_at = self._clock.now()
         prepare = self._prepare_fresh if fresh else self._prepare
         body = await self._fetch(
@@ -82,7 +82,7 @@
         address: str,
         since: int,
     ) -> CacheEvents | TargetFault:
-        """Ask for cache events from a sequence number on."""
+        """Request the cache events from a sequence number on."""
         path = f'/cache-events?since={since}'
         body = await self._fetch(
             address,
@@ -99,8 +99,9 @@
     async def order(self, address: str, order: Order) -> TargetFault | None:
         """Send an order once, on a new connection.
 
-        A pooled connection that closes unanswered makes curl send again by
-        itself; a doubled order is harmless, but it would not be counted.
+        If a pooled connection closes without an answer, curl resends the
+        order by itself. A duplicate order is harmless, but it would not be
+        counted.
         """
         fields = {
             'order': order.kind,
@@ -157,7 +158,7 @@
     def _prepare(self, curl: pycurl.Curl) -> None:
         curl.setopt(pycurl.MAXAGE_CONN, _CONNECTION_AGE_S)
         curl.setopt(pycurl.NOPROXY, '*')
-        # The handle is pooled: what the last request asked for would stick.
+        # The handle is pooled and keeps the options of its last request.
         curl.setopt(pycurl.FRESH_CONNECT, 0)
         curl.setopt(pycurl.FORBID_REUSE, 0)
         self._tls.prepare(curl)
--- a/src/balsamreach/gateway/target_tls.py
+++ b/src/balsamreach/gateway/target_tls.py
@@ -1,4 +1,4 @@
-"""How targets are reached: over TLS or in plain text."""
+"""URLs and TLS files for connections to targets."""
 
 from balsamreach.config.settings import RoutingSettings
 from balsamreach.curl_tls import CurlTls
@@ -11,7 +11,7 @@
 
 
 def target_tls(routing: RoutingSettings) -> CurlTls:
-    """Return the PEM files for targets."""
+    """Return the PEM files for TLS connections to targets."""
     return CurlTls(
         ca=routing.target_tls_ca,
         certificate=routing.target_tls_certificate,
--- a/src/balsamreach/gateway/traced_upstream.py
+++ b/src/balsamreach/gateway/traced_upstream.py
@@ -1,4 +1,4 @@
-"""Carries the trace of a request to its targets and measures them."""
+"""Upstream that traces and measures the attempts at targets."""
 
 import attrs
 
@@ -20,16 +20,16 @@
 
 @attrs.define
 class TracedUpstream(Upstream):
-    """Gives each attempt a span and sends its context to the target.
+    """Records a span per attempt and sends its context to the target.
 
     Parameters
     ----------
     upstream : Upstream
         Sends the attempts.
     metrics : Metrics
-        Takes what the attempts lasted and how they ended.
+        Records durations and outcomes of the attempts.
     clock : Clock
-        Measures them.
+        Time source for the durations.
     """
 
     upstream: Upstream
@@ -41,7 +41,7 @@
         attempt: Attempt,
         intake: Intake,
     ) -> UpstreamFault | None:
-        """Send a request and feed the answer to the intake until it ends."""
+        """Send a request and pass the answer to the intake until it ends."""
         began = self.clock.now()
         outcome = 'cancelled'
         try:
--- a/tests/operators_server.py
+++ b/tests/operators_server.py
@@ -1,4 +1,4 @@
-"""An operators' listener in a thread, for clients that block."""
+"""Operators' listener in a thread, for tests of blocking clients."""
 
 import asyncio
 import ssl
@@ -21,7 +21,7 @@
 
 @attrs.define
 class OperatorsServer:
-    """One router's operators' interface on a free port."""
+    """Operators' interface of one router on a free port."""
 
     tls: ssl.SSLContext | None = None
     fleet: TableFleet = attrs.field(factory=TableFleet)
@@ -33,23 +33,23 @@
     _thread: threading.Thread = attrs.field(init=False)
 
     def start(self) -> None:
-        """Serve until ``stop``."""
+        """Start the thread and serve until ``stop``."""
         self._thread = threading.Thread(target=self.loop.run_forever)
         self._thread.start()
         self._wait_for(self._open())
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread and close its loop."""
         self.loop.call_soon_threadsafe(self.loop.stop)
         self._thread.join()
         self.loop.close()
 
     def step(self) -> None:
-        """Let the router read the table once."""
+        """Run one step of the router's table components."""
         self._wait_for(self.station.step())
 
     def cut(self, *, cut: bool) -> None:
-        """Cut the router off from the platform, or join it again."""
+        """Disconnect the router from the platform, or reconnect it."""
         self.station.way.cut = cut
 
     def _wait_for(self, work: Coroutine[Any, Any, None]) -> None:
--- a/tests/test_gateway_callers.py
+++ b/tests/test_gateway_callers.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' interface: every refusal, and whole answers."""
+"""Tests of the callers' interface: refusals and complete answers."""
 
 import asyncio
 import json
@@ -42,7 +42,7 @@
 _JSON_CODE = 'malformed_json'
 _BODY_CODE = 'invalid_request'
 
-#: Name, body of a chat request, code of its refusal.
+#: Test name, body of a chat request, code of its refusal.
 _BAD_BODIES = (
     ('not_json', b'{', _JSON_CODE),
     ('no_body', b'', _JSON_CODE),
@@ -69,7 +69,7 @@
     ('no_model', _ask(model=None), _BODY_CODE),
 )
 
-#: Name, headers of a chat request, status and code of its refusal.
+#: Test name, headers of a chat request, status and code of its refusal.
 _BAD_HEADERS = (
     ('no_key', {'secret': ''}, 401, 'missing_key'),
     ('wrong_key', {'secret': 'x'}, 401, 'wrong_key'),
@@ -84,7 +84,7 @@
     ('header', {'X_Long': 'x' * 1500}, 431, 'header_too_large'),
 )
 
-#: Name, request line, status and code of its refusal.
+#: Test name, request line, status and code of its refusal.
 _BAD_LINES = (
     ('path', 'GET /v2/chat', 404, 'unknown_path'),
     ('service', 'GET /services/x/y', 404, 'unknown_service'),
@@ -104,7 +104,8 @@
 
 _NARROW = 'narrow-secret'
 
-#: Name, request line, body and headers of what only a newer table may allow.
+#: Test name, request line, body and headers of requests that a newer table
+#: may allow.
 _DENIED_BY_TABLE = (
     ('key', _CHAT, _ask(), {'secret': 'x'}),
     ('key_of_list', 'GET /v1/models', b'', {'secret': 'x'}),
@@ -116,7 +117,8 @@
     ('service', 'GET /services/x/y', b'', {}),
 )
 
-#: Name, request line, body, headers and status of what stays denied.
+#: Test name, request line, body, headers and status of requests that are
+#: refused even if the table may be outdated.
 _DENIED_ANYWAY = (
     ('no_key', _CHAT, _ask(), {'secret': ''}, 401),
     ('paused', _CHAT, _ask(), {'secret': 'paused-secret'}, 403),
@@ -126,7 +128,7 @@
 
 
 class CallersCase(unittest.IsolatedAsyncioTestCase):
-    """One router before one engine and one plain service."""
+    """Base with a router, an engine and a plain service."""
 
     async def asyncSetUp(self):
         self.deployment = Deployment(
@@ -147,7 +149,7 @@
 
 
 class CallersTest(CallersCase):
-    """What callers send and are told, the platform being there."""
+    """Requests and responses while the platform is available."""
 
     @parameterized.expand(_REFUSED)
     async def test_refusal(self, _, line, body, headers, status, code):
@@ -179,10 +181,10 @@
         self.assertIn(f'{FIRST_BYTE}_count{{kind="engine"}} 1', page)
 
     async def test_slow_body_is_refused(self):
-        """Callers that send a byte now and then hold connections.
+        """A body that never arrives must not keep its connection open.
 
-        Symptom: open connections grow until none is left. Events: a header
-        comes at once, its body never. Cause: no bound on the body's time.
+        Without a timeout for bodies, callers that send only a header use up
+        all connections.
         """
         self.router.guard.cfg = _with(self.router, body_timeout=0.01)
         sent = request(_CHAT, _ask())[:-5]
@@ -193,7 +195,7 @@
         self.assertEqual(answer.header('Retry-After'), '1')
 
     async def test_slow_header_is_closed(self):
-        """Symptom and cause as above; here the header never ends."""
+        """As above, with a header that never ends."""
         self.router.guard.cfg = _with(self.router, header_timeout=0.01)
         received = await exchange(self.deployment.callers, b'GET / HT')
         self.assertEqual(received, b'')
@@ -232,11 +234,11 @@
         )
     )
     async def test_spelling_does_not_make_a_call_idempotent(self, path):
-        """A certificate runs twice although its path is marked.
+        """Another spelling of a non-idempotent path must not run twice.
 
-        Symptom: two certificates. Events: a caller writes the path in
-        another way, the first answer is lost, the call is sent again.
-        Cause: the mark was compared with the plain spelling only.
+        A caller writes the path in another way, the first answer is lost,
+        and the call is sent again. If only the plain spelling were compared,
+        two certificates would be made.
         """
         sent = request(f'POST /services/desk/{path}', Idempotency_Key='c-1')
         await self.send(sent)
@@ -277,15 +279,15 @@
 
 
 class _LaterClock(SystemClock):
-    """A clock that shows a minute more."""
+    """System clock that is a minute ahead."""
 
     def now(self):
-        """Return the machine's monotonic time and a minute."""
+        """Return the monotonic time plus a minute."""
         return super().now() + 60
 
 
 class UnconfirmedTest(CallersCase):
-    """A router whose table nobody has confirmed for a minute."""
+    """A router whose table has not been confirmed for a minute."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -309,7 +311,7 @@
     async def test_nothing_is_denied_by_an_old_table(
         self, _, line, body, headers
     ):
-        """Guards against 401 and 404 for what an edit has allowed since."""
+        """No 401 or 404 for requests that an unseen edit may allow."""
         answer = await self.send(request(line, body, **headers))
         self.assertEqual(answer.status, 503, answer)
         error = json.loads(answer.body)['error']
@@ -321,19 +323,19 @@
 
     @parameterized.expand(_DENIED_ANYWAY)
     async def test_denied_anyway(self, _, line, body, headers, status):
-        """Guards against 503 for an operator's pause or a malformed request."""
+        """No 503 for a paused team or an invalid request."""
         answer = await self.send(request(line, body, **headers))
         self.assertEqual(answer.status, status, answer)
         self.assertEqual(answer.header('X-Should-Retry'), 'false')
 
     async def test_what_the_table_allows_is_served(self):
-        """Guards against a zone that stops serving when it is cut off."""
+        """A disconnected zone must not stop serving."""
         answer = await self.send(request(f'GET /v1/models/{MODEL}'))
         self.assertEqual(answer.status, 200)
 
 
 class OpenaiTest(unittest.IsolatedAsyncioTestCase):
-    """The client library that callers use."""
+    """Requests by the OpenAI client library, which callers use."""
 
     async def asyncSetUp(self):
         self.deployment = Deployment()
@@ -396,11 +398,11 @@
         self.assertEqual(self.refused(), 1)
 
     async def test_client_asks_again_only_where_told(self):
-        """The client library repeats a request that may have run.
+        """The client must not retry a request that may have run.
 
-        Symptom: work is done and billed twice. Events: a target fails after
-        it took the request; the library retries every status from 500 on by
-        itself. Cause: nothing told it not to.
+        A target fails after it accepted the request. The library retries
+        every status from 500 on unless a header forbids it, and the work
+        would be done and billed twice.
         """
         self.engine.fail_share = 1
         error = openai.InternalServerError
--- a/tests/test_gateway_curl_upstream.py
+++ b/tests/test_gateway_curl_upstream.py
@@ -1,4 +1,4 @@
-"""Tests of the transport to targets against a small TCP fake."""
+"""Tests of CurlUpstream against a fake target on TCP."""
 
 import asyncio
 import ssl
@@ -32,7 +32,11 @@
 
 
 class FakeTarget:
-    """Says what its script holds, by the number of the request."""
+    """Sends one entry of its script per request, in order.
+
+    An entry that ends with ``close`` closes the connection after the bytes
+    before it.
+    """
 
     def __init__(self, *script: bytes) -> None:
         self.script = list(script)
@@ -59,7 +63,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             self.closed.set()
         except asyncio.CancelledError:
-            # The test is over with the connection still open.
+            # The test ended while the connection was open.
             writer.transport.abort()
         finally:
             writer.close()
@@ -80,7 +84,7 @@
 
 
 class Memory(Intake):
-    """Keeps what it is given; full where a test says so."""
+    """Stores the answer; tests set whether it is full."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -126,7 +130,7 @@
 
 
 class CurlUpstreamTest(unittest.IsolatedAsyncioTestCase):
-    """Base with an upstream that is closed at the end."""
+    """Base that creates upstreams and fake targets and closes them."""
 
     def make(self, *overrides: str) -> CurlUpstream:
         upstream = CurlUpstream(_settings(*overrides))
@@ -141,7 +145,7 @@
 
 
 class FaultTest(CurlUpstreamTest):
-    """What becomes of an exchange that does not end in order."""
+    """Faults of exchanges that fail."""
 
     @parameterized.expand(
         (
@@ -168,11 +172,11 @@
 
     @parameterized.expand((('stream', True), ('whole', False)))
     async def test_no_second_sending(self, _name: str, stream: bool) -> None:
-        """A request ran twice although it was sent once.
+        """A request sent once must not run twice.
 
-        The target answered on a connection, took the next request on it and
-        closed it without an answer. Curl took the connection for stale and
-        sent the request again on a new one by itself.
+        The target answers on a connection, accepts the next request on it
+        and closes it without an answer. Curl considers the connection stale
+        and resends the request on a new one by itself.
         """
         fake, address = await self.fake(_WHOLE, b'close', _WHOLE)
         upstream = self.make()
@@ -185,10 +189,10 @@
         self.assertEqual(len(fake.requests), 2)
 
     async def test_non_idempotent_gets_a_new_connection(self) -> None:
-        """A certificate's outcome was unknown although nothing had failed.
+        """A stale connection must not make a certificate's outcome unknown.
 
-        The target had closed the idle connection that the request was sent
-        on, and one that may not be repeated can't be tried again.
+        The target closes an idle connection while the request is sent on it,
+        and a request that may not be repeated can't be retried.
         """
         fake, address = await self.fake(_WHOLE, _WHOLE)
         upstream = self.make()
@@ -199,17 +203,17 @@
 
 
 class SilenceTest(CurlUpstreamTest):
-    """Connections on which nothing comes any more."""
+    """Connections on which no more data arrives."""
 
     @parameterized.expand(
         (('before the head', b''), ('within the stream', _STREAM_HEAD)),
     )
     async def test_silent_stream(self, _name: str, said: bytes) -> None:
-        """A caller waits for a stream until its deadline.
+        """A silent stream must not keep its caller waiting until the deadline.
 
-        Symptom: half an answer, then nothing. Sequence: the target takes the
-        request; the connection stands and carries nothing more.
-        Cause: only closed connections counted as broken.
+        The target accepts the request, then the connection stays open
+        without data. If only closed connections counted as broken, the
+        caller would get a partial answer and then wait.
         """
         fake, address = await self.fake(said)
         outcome = await self.make().send(_attempt(address), Memory())
@@ -217,12 +221,11 @@
         await fake.closed.wait()
 
     async def test_pooled_connections_are_not_used_after_silence(self) -> None:
-        """Each request to a target hung for a gap timeout, one by one.
+        """After one silent connection, the pool must not cost more timeouts.
 
-        Symptom: gap timeout after gap timeout at a target that lives.
-        Sequence: a device between loses track of all connections that
-        stood; one is found silent; the next request goes out on another.
-        Cause: the pool outlived the silence of one of its connections.
+        A device on the path loses the state of all open connections. One is
+        found to be silent. If the others stayed in the pool, each request
+        sent on one would wait for a gap timeout at a healthy target.
         """
         fake, address = await self.fake(_WHOLE, b'', _WHOLE, _WHOLE)
         upstream = self.make()
@@ -234,7 +237,7 @@
         self.assertEqual(fake.connections, 2)
 
     async def test_standing_pool_is_left_after_silence(self) -> None:
-        """As above, with the old connection idle during the silence."""
+        """As above, with another connection idle during the silence."""
         fake, address = await self.fake(b'', _WHOLE, _WHOLE)
         upstream = self.make()
         silent = asyncio.create_task(
@@ -249,13 +252,13 @@
 
 
 class StreamTest(CurlUpstreamTest):
-    """Exchanges that go on for a while."""
+    """Exchanges that are cancelled, paused or have several heads."""
 
     async def test_cancelling_closes_the_connection(self) -> None:
-        """An engine generated on for a caller that had gone.
+        """An engine must not go on generating for a caller that has gone.
 
-        The task of the request was cancelled, but its connection to the
-        target stayed open until the answer's end.
+        If the connection to the target stayed open after the request's task
+        is cancelled, the engine would generate the whole answer.
         """
         fake, address = await self.fake(_STREAM_HEAD)
         upstream = self.make('routing.gap_timeout=1h')
@@ -267,9 +270,10 @@
         await fake.closed.wait()
 
     async def test_slow_caller_pauses_the_target(self) -> None:
-        """A caller that did not read made the router's memory grow.
+        """A caller that does not read must not exhaust the router's memory.
 
-        The target sent faster than the caller took, and what came was kept.
+        The target sends faster than the caller reads, and without a pause
+        the router would buffer the difference.
         """
         size = 16 * _MIB
         head = b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n' % size
@@ -278,7 +282,7 @@
         memory.is_full = True
         upstream = self.make()
         task = asyncio.create_task(upstream.send(_attempt(address), memory))
-        # Far longer than the gap timeout: a pause is no silence.
+        # Longer than the gap timeout of 200 ms: a pause is not silence.
         await asyncio.sleep(0.5)
         self.assertEqual(memory.body, b'')
         self.assertFalse(task.done())
--- a/tests/test_gateway_operators.py
+++ b/tests/test_gateway_operators.py
@@ -1,4 +1,4 @@
-"""The operators' interface: who gets in, and what each request may hold."""
+"""Tests of the operators' interface: keys, requests and responses."""
 
 import json
 from unittest import mock
@@ -28,14 +28,14 @@
 
 @attrs.frozen
 class Answer:
-    """Status and JSON of an answer."""
+    """Status and JSON body of a response."""
 
     status: int
     body: dict
 
 
 class OperatorsTest(AsyncHTTPTestCase):
-    """One router with two operator keys, one of them a team's by mistake."""
+    """Base: a router with two operator keys, one of them also a team's."""
 
     def get_app(self):
         self.fleet = TableFleet()
@@ -63,7 +63,7 @@
         self.made = self.send('PATCH', _ROW, _NEW | {'fields': made}).body
 
     def send(self, method, path, body=None, secret=_OPERATOR):
-        """Send a request; a body that is no text goes as JSON."""
+        """Send a request; encode a body that is not str or bytes as JSON."""
         if body is not None and not isinstance(body, (str, bytes)):
             body = json.dumps(body)
         answer = self.fetch(
@@ -77,7 +77,7 @@
 
 
 class KeysTest(OperatorsTest):
-    """Only operator keys open the interface."""
+    """Only operator keys give access."""
 
     @parameterized.expand(
         [
@@ -104,7 +104,7 @@
 
 
 class BadEditTest(OperatorsTest):
-    """Each wrong edit gets a clear answer and changes nothing."""
+    """An invalid edit gets an error that names the cause, and has no effect."""
 
     @parameterized.expand(
         [
@@ -188,18 +188,18 @@
 
 
 class EditTest(OperatorsTest):
-    """Edits that are right, and how they are told."""
+    """Valid edits, and what the interface then shows."""
 
     def test_accepted_edit_is_in_force_at_once(self):
         self.send('PATCH', _ROW, _edit())
         self.assertEqual(self.station.team().weight, 2)
 
     def test_loser_of_a_race_gets_the_current_row(self):
-        """Two operators save the same row.
+        """An edit of an outdated version must be refused, not applied.
 
-        Symptom: the second one's page shows what the first one set. Events:
-        both read the row, the first saves, the second saves. Cause: the
-        second names a version that was replaced.
+        Two operators read the same row and save it one after the other. The
+        second names a version that was replaced, and must be shown the row
+        that the first saved.
         """
         seen = self.made['version']
         self.send('PATCH', _ROW, _edit(version=seen))
@@ -266,7 +266,7 @@
 
 
 class StatusTest(OperatorsTest):
-    """Which routers are behind, and since when."""
+    """Table version of each router, and since when one is behind."""
 
     def test_states(self):
         others = {name: self.fleet.join(name) for name in 'bcd'}
--- a/tests/test_gateway_operators_peers.py
+++ b/tests/test_gateway_operators_peers.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' view of peers, with two router processes."""
+"""Tests of ``GET /peers`` with two router processes."""
 
 import contextlib
 import json
@@ -40,7 +40,7 @@
 
 
 class PeersTest(unittest.TestCase):
-    """Routers find each other by seeds while the platform is away."""
+    """Routers find each other by seeds while the platform is unavailable."""
 
     def setUp(self):
         self.stack = contextlib.ExitStack()
--- a/tests/test_gateway_operators_quarantine.py
+++ b/tests/test_gateway_operators_quarantine.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' view of quarantines, over HTTP, two routers."""
+"""Tests of the quarantine handlers over HTTP, with two routers."""
 
 import json
 from unittest import mock
@@ -22,7 +22,7 @@
 
 
 class QuarantineTest(AsyncHTTPTestCase):
-    """One router has seen a request crash two targets, another was told."""
+    """A request crashed two targets; one router saw it and told the other."""
 
     def get_app(self):
         clock, net = FakeClock(), FakeNet()
@@ -49,17 +49,16 @@
         self.io_loop.run_sync(self._crash_two)
 
     def send(self, method, path, secret=_OPERATOR):
-        """Send a request; return the status and the JSON of its answer."""
+        """Send a request; return status and JSON of the response."""
         headers = {'Authorization': f'Bearer {secret}'}
         answer = self.fetch(path, method=method, headers=headers)
         return answer.code, json.loads(answer.body)
 
     def test_listed_and_lifted_everywhere(self):
-        """A request that an operator lets out stays out of reach.
+        """Lifting a quarantine at one router must lift it at all routers.
 
-        Symptom: after the lift some routers still refuse the request.
-        Sequence: it is quarantined over the fleet and lifted at one router.
-        Cause: the lift is not told, or the gauge still counts it.
+        If the lift is not sent to the peers, some routers go on refusing the
+        request; the gauge must not count it any more either.
         """
         code, body = self.send('GET', '/quarantine')
         self.assertEqual(len(body['quarantine']), 1)
--- a/tests/test_gateway_probes.py
+++ b/tests/test_gateway_probes.py
@@ -1,4 +1,4 @@
-"""Tests of probes that are answered without the web framework."""
+"""Tests of the readiness and metrics endpoints without the framework."""
 
 from parameterized import parameterized
 from tornado.testing import AsyncHTTPTestCase
@@ -8,7 +8,7 @@
 
 
 class ProbesTest(AsyncHTTPTestCase):
-    """The balancer and operators get short answers."""
+    """Responses to the balancer and to operators."""
 
     def get_app(self):
         self.state = 'starting'
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -1,4 +1,4 @@
-"""Tests of callers' and targets' connections, over real sockets."""
+"""Tests of RelayServer and RelayCurl over real sockets."""
 
 import asyncio
 import random
@@ -42,7 +42,7 @@
 
 
 class RelayServerTest(AsyncTestCase):
-    """What a caller sees on its connection."""
+    """Responses on a caller's connection."""
 
     def setUp(self):
         super().setUp()
@@ -85,10 +85,10 @@
 
     @gen_test
     async def test_an_answer_that_breaks_off_does_not_look_whole(self):
-        """Symptom: a caller takes half an answer for the whole.
+        """A partial answer must not pass for a complete one.
 
-        Sequence: the target dies in the middle.
-        Cause: the last chunk was sent although the answer isn't whole.
+        The target crashes in the middle of its answer. If the last chunk
+        were sent nevertheless, the caller would not notice.
         """
         self.work = _half
         stream = await _connect(self.port)
@@ -107,11 +107,11 @@
 
     @gen_test
     async def test_a_connection_closed_as_its_request_was_read(self):
-        """Symptom: a request runs, and its caller gets no answer.
+        """A request must not run after its connection was closed.
 
-        Sequence: a leaving router closes its idle connections; on one of
-        them a request has been read, but not looked at yet.
-        Cause: it was passed on after the close.
+        A leaving router closes its idle connections. On one of them a
+        request was read but not processed yet; its caller would get no
+        answer.
         """
         self.work = _whole
         stream = await _connect(self.port)
@@ -134,11 +134,10 @@
 
     @gen_test
     async def test_a_crowded_router_ends_connections_after_their_answer(self):
-        """Symptom: a large team keeps to a host whose link is full.
+        """Callers must leave a host whose link is overloaded.
 
-        Sequence: the host is left out by the balancer; its callers go on
-        with the connections that they have. Cause: nobody tells them to
-        open others.
+        The balancer sends no new connections to the host, but its callers
+        keep their open ones unless the router closes them.
         """
         self.work = _whole
         stream = await _connect(self.port)
@@ -153,7 +152,7 @@
 
     @gen_test
     async def test_an_answer_said_to_be_the_last_one_is(self):
-        """The host has room again before its caller has read the answer."""
+        """The host is no longer crowded before the caller reads the answer."""
         self.work = _whole
         self.server.crowded = True
         stream = await _connect(self.port)
@@ -175,7 +174,7 @@
 
 
 class _Target(TCPServer):
-    """Answers each connection's requests with given bytes."""
+    """Sends one of the given answers per request, in order."""
 
     def __init__(self, answers, *, close=False):
         super().__init__()
@@ -197,7 +196,7 @@
 
 
 class RelayCurlTest(AsyncTestCase):
-    """What comes of a target's bytes."""
+    """Requests sent to a target, and results of its answers."""
 
     def setUp(self):
         super().setUp()
@@ -212,14 +211,14 @@
         super().tearDown()
 
     def serve(self, *answers, close=False):
-        """Start a target."""
+        """Start a target with these answers."""
         self.target = _Target(answers, close=close)
         listener, port = bind_unused_port()
         self.port = port
         self.target.add_sockets([listener])
 
     async def send(self, **fields):
-        """Send one attempt; return its end and the intake."""
+        """Send one attempt; return its result and the intake."""
         entry = TargetEntry(
             target_id='i',
             service='s',
@@ -248,11 +247,11 @@
 
     @gen_test
     async def test_a_second_answer_is_nobodys(self):
-        """Symptom: a caller gets the answer to an earlier request.
+        """A caller must not get the answer to an earlier request.
 
-        Sequence: a target sends two answers to one request; the next
-        request goes out on the same connection.
-        Cause: the bytes that came in between were taken for its answer.
+        A target sends two answers to one request. If the next request were
+        sent on the same connection, the surplus bytes would be taken for its
+        answer.
         """
         one = b'HTTP/1.1 200 OK\r\n%sContent-Length: 3\r\n\r\none' % _SIGNED
         two = b'HTTP/1.1 200 OK\r\n%sContent-Length: 3\r\n\r\ntwo' % _SIGNED
@@ -265,7 +264,10 @@
 
     @gen_test
     async def test_time_to_come_back_that_is_given_twice(self):
-        """A target got requests before the longer of two times was over."""
+        """Of several Retry-After headers the longest applies.
+
+        Otherwise the target would get requests too early.
+        """
         self.serve(
             b'HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nNot-Executed: 1\r\n'
             b'Retry-After: 7\r\nRetry-After: 3\r\nRetry-After: 3\r\n\r\n',
@@ -305,10 +307,10 @@
 
     @gen_test
     async def test_what_may_run_once_gets_a_connection_of_its_own(self):
-        """Symptom: nobody knows whether a booking was made.
+        """A request that may run only once needs a new connection.
 
-        Sequence: a target closes a kept connection as a request goes out.
-        Cause: the request was sent on a connection that was used before.
+        A target closes a pooled connection while a request is sent on it,
+        and the outcome, such as a booking, would be unknown.
         """
         empty = b'HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n'
         self.serve(empty, empty)
--- a/tests/test_gateway_sinks.py
+++ b/tests/test_gateway_sinks.py
@@ -1,4 +1,4 @@
-"""Tests of writing an answer to a caller's connection."""
+"""Tests of HandlerSink over real connections."""
 
 import asyncio
 import unittest
@@ -25,7 +25,7 @@
 
 
 class _Handler(RequestHandler):
-    """Writes what the test gave it through a sink."""
+    """Writes the test's chunks through a sink."""
 
     async def get(self) -> None:
         sink = HandlerSink(self, SystemClock())
@@ -43,7 +43,7 @@
 
 
 class SinkTest(unittest.IsolatedAsyncioTestCase):
-    """A server whose one handler writes through a sink."""
+    """A server whose handler writes through a sink."""
 
     async def serve(self, chunks: list[bytes]) -> int:
         self.go_on = asyncio.Event()
@@ -82,7 +82,7 @@
         self.assertEqual(body, expected)
 
     async def test_slow_caller_shows_as_backlog_and_loses_nothing(self) -> None:
-        """A caller that stops reading is seen, and later gets the rest."""
+        """A caller that stops reading causes a backlog, and loses no data."""
         port = await self.serve([b'x' * _MIB for _ in range(20)])
         self.go_on.clear()
         reader, writer = await asyncio.open_connection('127.0.0.1', port)
--- a/tests/test_gateway_target_client.py
+++ b/tests/test_gateway_target_client.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP client of targets against the stand-in engine."""
+"""Tests of HttpTargetClient against the stand-in engine."""
 
 import unittest
 
@@ -44,7 +44,7 @@
         self.assertEqual(events.next_seq, 2)
 
     async def test_heads_of_all_answers_are_told(self) -> None:
-        """What a target said of itself to a poll or an order was dropped."""
+        """Headers in responses to polls and orders must not be lost."""
         heads = []
         self.client.on_head = lambda *head: heads.append(head)
         self.engine.cfg.leaving_header = 'first'
--- a/tests/test_gateway_traced_upstream.py
+++ b/tests/test_gateway_traced_upstream.py
@@ -1,4 +1,4 @@
-"""Tests of spans: one request followed over routers and targets."""
+"""Tests of the spans of one request at routers and targets."""
 
 import asyncio
 import contextlib
@@ -25,9 +25,10 @@
 
     async def asyncSetUp(self):
         # In debug mode the loop reports each callback of 100 ms and more on
-        # standard error: on a busy machine the stream would hold lines that
-        # are no spans, and reading it would end in a JSONDecodeError.
-        # The callback that turns it off is itself still reported.
+        # standard error. On a busy machine the stream would contain lines
+        # that are not spans, and parsing it would raise JSONDecodeError.
+        # The callback that turns the mode off is still reported itself,
+        # hence the sleep.
         asyncio.get_running_loop().set_debug(False)
         await asyncio.sleep(0)
         self.stream = io.StringIO()
@@ -48,10 +49,10 @@
         return [span for span in spans if span['trace_id'] == _TRACE]
 
     async def test_request_is_followed_over_two_routers(self):
-        """A caller retries at another router under one trace.
+        """A retry at another router belongs to the same trace.
 
-        Symptom: nobody can tell what became of a request that was sent
-        twice. Cause: each router began a trace of its own.
+        If each router started its own trace, a request that was sent twice
+        could not be followed.
         """
         headers = {'Idempotency_Key': 'c-1', 'Traceparent': _CALLER}
         for router in self.deployment.routers:
@@ -64,11 +65,11 @@
         self.assertEqual(parents, {_PARENT})
 
     async def test_request_is_followed_into_another_router(self):
-        """One request is served with the help of a second router.
+        """Questions to another router have spans.
 
-        Symptom: a slow request can't be explained from its trace. Events:
-        the caller retries at router 1 what router 0 runs; router 1 asks for
-        the answer. Cause: what was asked of router 0 left no span.
+        The caller retries at router 2 what router 0 runs, and router 2 asks
+        router 0 for the answer. Without these spans, the trace would not
+        explain why such a request is slow.
         """
         first = self.deployment.routers[0]
         near = first.parts.net
