--- a/src/balsamreach/gateway/prompts.py
+++ b/src/balsamreach/gateway/prompts.py
@@ -138,7 +138,7 @@
         return invalid_request(f'parts of type {kind!r} are not supported')
     text = part.get(kind)
     if not isinstance(text, str):
-        return invalid_request(f'a part of type {kind!r} must have a string')
+        return invalid_request(f'a part of type {kind!r} must contain a string')
     prompt.add(text.encode('utf-8', 'surrogatepass'))
     return None
 
--- a/src/balsamreach/gateway/target_client.py
+++ b/src/balsamreach/gateway/target_client.py
@@ -158,7 +158,8 @@
     def _prepare(self, curl: pycurl.Curl) -> None:
         curl.setopt(pycurl.MAXAGE_CONN, _CONNECTION_AGE_S)
         curl.setopt(pycurl.NOPROXY, '*')
-        # The handle is pooled and keeps the options of its last request.
+        # Set in any case, because a pooled handle keeps the options of its
+        # last request.
         curl.setopt(pycurl.FRESH_CONNECT, 0)
         curl.setopt(pycurl.FORBID_REUSE, 0)
         self._tls.prepare(curl)
