--- a/src/balsamreach/dispatch/attempts.py
+++ b/src/balsamreach/dispatch/attempt_sender.py
@@ -27,7 +27,7 @@
 
 
 @attrs.define
-class Attempts:
+class AttemptSender:
     """Sends attempts and classifies how they ended.
 
     Parameters
@@ -77,8 +77,8 @@
         if attempt.target.retry_at > self.clock.now():
             return faults.OVERLOADED.because('the target began to back off')
         if first_byte_shows_queueing(attempt.call):
-            reply.on_first_byte.append(slot.first_byte_came)
-        self.feedback.sent(slot)
+            reply.on_first_byte.append(slot.record_first_byte)
+        self.feedback.record_sent(slot)
         outcome = await self.exchange(attempt, reply)
         slot.verdict = routing_verdict(attempt, reply, outcome)
         return classify_fault(attempt, reply, outcome)
@@ -92,14 +92,14 @@
         time_left = attempt.call.deadline - self.clock.now()
         if self.announcements is not None:
             reply.on_head = functools.partial(
-                self.announcements.take,
+                self.announcements.apply,
                 attempt.target,
             )
         attempt.target.in_flight += 1
         # Requests that start and end between two polls would otherwise leave
         # no trace, and a target of another zone that only gets such requests
         # would never be polled for whether it is leaving.
-        attempt.target.used = True
+        attempt.target.used_since_poll = True
         try:
             async with asyncio.timeout(time_left) as timeout:
                 reply.on_halt = functools.partial(_expire, timeout)
@@ -118,7 +118,7 @@
             output,
             attempt_id,
             wants_usage=call.wants_usage,
-            max_tokens=call.most_completion,
+            max_tokens=call.max_completion_tokens,
         )
     return PlainReply(output, attempt_id, check_json=call.kind == ENGINE)
 
--- a/src/balsamreach/gateway/curl_transfer.py
+++ b/src/balsamreach/gateway/curl_transfer.py
@@ -51,7 +51,7 @@
         # without an answer. A certificate would be made twice, and a request
         # that crashes its target would reach it again without being counted
         # in the retry budget. The intake allows only the first sending.
-        if self.intake.before_send():
+        if self.intake.may_send():
             return pycurl.PREREQFUNC_OK
         self.problem = 'the target closed a reused connection'
         return pycurl.PREREQFUNC_ABORT
@@ -70,7 +70,7 @@
 
     def take_body(self, chunk: bytes) -> int | None:
         """Process bytes of the body, or pause if callers read too slowly."""
-        if self.intake.full:
+        if self.intake.is_full:
             self._pause()
             return pycurl.WRITEFUNC_PAUSE
         self.heard = True
--- a/src/balsamreach/gateway/operators_quarantine.py
+++ b/src/balsamreach/gateway/operators_quarantine.py
@@ -23,7 +23,10 @@
 
     def get(self) -> None:
         """Send the quarantined requests and the targets they crashed."""
-        held = [attrs.asdict(entry) for entry in self.quarantine.listed()]
+        held = [
+            attrs.asdict(entry)
+            for entry in self.quarantine.quarantined_requests()
+        ]
         self.finish({'quarantine': held})
 
 
--- a/src/balsamreach/gateway/sinks.py
+++ b/src/balsamreach/gateway/sinks.py
@@ -74,7 +74,7 @@
         else:
             self._send(framed)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Close the connection before the answer is complete."""
         connection = self._handler.request.connection
         if isinstance(connection, HTTP1Connection):
