--- a/src/balsamreach/gateway/base.py
+++ b/src/balsamreach/gateway/base.py
@@ -11,7 +11,7 @@
 from balsamreach.config.settings import Settings
 from balsamreach.dispatch.dispatcher import Dispatcher
 from balsamreach.dispatch.faults import MAYBE_RUN, NOT_RUN
-from balsamreach.gateway.json_errors import JsonErrors
+from balsamreach.gateway.json_errors import JsonErrorHandler
 from balsamreach.gateway.refusals import (
     NOT_READY,
     Refusal,
@@ -30,13 +30,13 @@
 
 REQUESTS = 'balsamreach_requests_total'
 REFUSALS = 'balsamreach_refusals_total'
-WHOLE = 'balsamreach_request_seconds'
-FIRST_BYTE = 'balsamreach_first_byte_seconds'
+REQUEST_SECONDS = 'balsamreach_request_seconds'
+FIRST_BYTE_SECONDS = 'balsamreach_first_byte_seconds'
 #: Time spent in this router, without the time spent at targets.
-ADDED = 'balsamreach_added_seconds'
+ADDED_SECONDS = 'balsamreach_added_seconds'
 
 _logger = logging.getLogger(__name__)
-_CLIENT_GONE = 499
+_CALLER_GONE = 499
 
 
 @attrs.frozen(kw_only=True)
@@ -59,7 +59,7 @@
     tracing: Tracing
 
 
-class ObservedHandler(JsonErrors):
+class ObservedHandler(JsonErrorHandler):
     """Handler that gives each request an ID, counts it and logs it."""
 
     kind = 'other'
@@ -69,11 +69,11 @@
         self.context = context
         self.answer: Answer | None = None
         self.refusal: Refusal | None = None
-        self.minted = True
+        self.has_generated_key = True
         self.team_name: str | None = None
         self.sink = HandlerSink(self, context.clock)
-        self.received = context.clock.now()
-        self._observed = False
+        self.received_at = context.clock.now()
+        self._is_recorded = False
         self.span = context.tracing.start_span(
             'caller',
             self.request.headers,
@@ -81,9 +81,9 @@
             kind=self.kind,
         )
         self.trail = Trail(self.span, context.tracing)
-        self.name_request(mint_key())
+        self.assign_request_id(mint_key())
 
-    def name_request(self, key: str) -> None:
+    def assign_request_id(self, key: str) -> None:
         """Set the request ID that responses and logs show."""
         self.request_id = key
         self.set_header('X-Request-Id', key)
@@ -96,7 +96,7 @@
         refusal : Refusal
             Error to send.
         """
-        if refusal.by_table and not self.context.is_confirmed():
+        if refusal.relies_on_table and not self.context.is_confirmed():
             # The team, key, model or service may have been added while this
             # router was disconnected. A 401 or 404 would make the caller
             # give up a valid request, and these statuses would show up
@@ -105,15 +105,15 @@
         self.refusal = refusal
         send_refusal(self, refusal)
 
-    def ran(self) -> str:
+    def execution_status(self) -> str:
         """Return whether the request may have run."""
         return NOT_RUN if self.answer is None else MAYBE_RUN
 
     def write_error(self, status_code: int, **_kwargs: Any) -> None:
         """Send an error raised by the framework as a refusal."""
         # The framework clears all headers before this call.
-        self.name_request(self.request_id)
-        self.refuse(from_status(status_code, self.ran()))
+        self.assign_request_id(self.request_id)
+        self.refuse(from_status(status_code, self.execution_status()))
 
     def flush(self, include_footers: bool = False) -> Any:
         """Flush the response; set ``Connection: close`` while leaving."""
@@ -123,27 +123,27 @@
 
     def on_finish(self) -> None:
         """Record the finished request."""
-        self.observe(self.get_status())
+        self.record_outcome(self.get_status())
 
     def on_connection_close(self) -> None:
         """Record a request whose caller closed the connection."""
-        self.observe(_CLIENT_GONE)
+        self.record_outcome(_CALLER_GONE)
 
-    def observe(self, status: int) -> None:
+    def record_outcome(self, status: int) -> None:
         """Record the outcome in metrics, log and trace, at most once."""
-        if self._observed:
+        if self._is_recorded:
             return
-        self._observed = True
-        seconds = self.context.clock.now() - self.received
+        self._is_recorded = True
+        seconds = self.context.clock.now() - self.received_at
         code = None if self.refusal is None else self.refusal.code
         outcome = _outcome(status, code)
-        self._measure(seconds, outcome, code)
+        self._record_metrics(seconds, outcome, code)
         self._log_request(status, seconds, code)
         self.span.set_attribute('status', status)
         self.span.set_attribute('outcome', outcome)
         self.span.end()
 
-    def _measure(
+    def _record_metrics(
         self,
         seconds: float,
         outcome: str,
@@ -151,16 +151,20 @@
     ) -> None:
         metrics = self.context.metrics
         metrics.count(REQUESTS, kind=self.kind, outcome=outcome)
-        metrics.observe(WHOLE, seconds, kind=self.kind)
+        metrics.observe(REQUEST_SECONDS, seconds, kind=self.kind)
         if code is not None:
             metrics.count(REFUSALS, code=code)
-        target = self.trail.timing.target
-        if target:
+        target_seconds = self.trail.timing.target
+        if target_seconds:
             # A duplicate that joined a run has no target time of its own.
-            metrics.observe(ADDED, seconds - target, kind=self.kind)
-        if self.sink.first_at:
-            first = self.sink.first_at - self.received
-            metrics.observe(FIRST_BYTE, first, kind=self.kind)
+            metrics.observe(
+                ADDED_SECONDS, seconds - target_seconds, kind=self.kind
+            )
+        if self.sink.first_byte_at:
+            first_byte_seconds = self.sink.first_byte_at - self.received_at
+            metrics.observe(
+                FIRST_BYTE_SECONDS, first_byte_seconds, kind=self.kind
+            )
 
     def _log_request(
         self, status: int, seconds: float, code: str | None
@@ -190,10 +194,10 @@
 
 
 def _outcome(status: int, code: str | None) -> str:
-    if status == _CLIENT_GONE:
+    if status == _CALLER_GONE:
         return 'caller_gone'
     return 'answered' if code is None else 'refused'
 
 
-def log_nothing(_handler: RequestHandler) -> None:
+def disable_access_log(_handler: RequestHandler) -> None:
     """Disable the framework's access log; handlers log requests themselves."""
--- a/src/balsamreach/gateway/call_headers.py
+++ b/src/balsamreach/gateway/call_headers.py
@@ -10,11 +10,11 @@
 
 _IDEMPOTENT_HEADER = 'Idempotent'
 _TIMEOUT_HEADER = 'X-Request-Timeout'
-_FLAGS = {'true': True, 'false': False}
+_BOOLEANS = {'true': True, 'false': False}
 
 
 @attrs.frozen
-class CallTerms:
+class CallOptions:
     """Options that a caller sets for a request in headers.
 
     Parameters
@@ -29,14 +29,16 @@
     timeout: float
 
 
-def read_terms(headers: HTTPHeaders, longest: float) -> CallTerms | Refusal:
+def parse_call_options(
+    headers: HTTPHeaders, max_timeout: float
+) -> CallOptions | Refusal:
     """Parse the request headers for idempotency and timeout.
 
     Parameters
     ----------
     headers : HTTPHeaders
         The request's headers.
-    longest : float
+    max_timeout : float
         Maximum and default timeout in seconds.
 
     Returns
@@ -45,19 +47,19 @@
         A refusal names the header whose value is invalid.
     """
     flag = headers.get(_IDEMPOTENT_HEADER, 'true')
-    idempotent = _FLAGS.get(flag.strip().lower())
+    idempotent = _BOOLEANS.get(flag.strip().lower())
     if idempotent is None:
         return _bad_header(_IDEMPOTENT_HEADER, 'true or false')
-    asked = headers.get(_TIMEOUT_HEADER)
-    if asked is None:
-        return CallTerms(idempotent, longest)
-    timeout = _read_seconds(asked)
+    requested = headers.get(_TIMEOUT_HEADER)
+    if requested is None:
+        return CallOptions(idempotent, max_timeout)
+    timeout = _parse_seconds(requested)
     if timeout is None:
         return _bad_header(_TIMEOUT_HEADER, 'a number of seconds above 0')
-    return CallTerms(idempotent, min(timeout, longest))
+    return CallOptions(idempotent, min(timeout, max_timeout))
 
 
-def _read_seconds(text: str) -> float | None:
+def _parse_seconds(text: str) -> float | None:
     try:
         seconds = float(text)
     except ValueError:
@@ -65,7 +67,7 @@
     return seconds if math.isfinite(seconds) and seconds > 0 else None
 
 
-def _bad_header(name: str, form: str) -> Refusal:
+def _bad_header(name: str, expected: str) -> Refusal:
     return Refusal(
-        HTTPStatus.BAD_REQUEST, 'invalid_header', f'{name}: must be {form}'
+        HTTPStatus.BAD_REQUEST, 'invalid_header', f'{name}: must be {expected}'
     )
--- a/src/balsamreach/gateway/caller_handler.py
+++ b/src/balsamreach/gateway/caller_handler.py
@@ -8,7 +8,7 @@
 from balsamreach.dispatch.call import Call
 from balsamreach.dispatch.faults import MAYBE_RUN, DispatchFault
 from balsamreach.gateway.base import ObservedHandler
-from balsamreach.gateway.call_headers import CallTerms, read_terms
+from balsamreach.gateway.call_headers import CallOptions, parse_call_options
 from balsamreach.gateway.refusals import Refusal, error_event, from_fault
 from balsamreach.requests.answers import AnswerEnd
 from balsamreach.requests.faults import RequestFault
@@ -17,9 +17,9 @@
 from balsamreach.telemetry import hops
 
 #: Header that identifies a request, so that a repeat is recognized.
-KEY_HEADER = 'Idempotency-Key'
+IDEMPOTENCY_KEY_HEADER = 'Idempotency-Key'
 _BEARER = 'bearer '
-_STARTING = Refusal(
+_ROUTER_STARTING = Refusal(
     HTTPStatus.SERVICE_UNAVAILABLE,
     'router_starting',
     'this router has not caught up with the table yet',
@@ -36,7 +36,7 @@
             # A router that starts in a disconnected zone may have read an
             # old snapshot. With it, the router would serve a team that has
             # been paused since and reject a new key.
-            return _STARTING
+            return _ROUTER_STARTING
         header = self.request.headers.get('Authorization', '')
         if not header.lower().startswith(_BEARER):
             return Refusal(
@@ -51,7 +51,7 @@
                 HTTPStatus.UNAUTHORIZED,
                 'wrong_key',
                 'no team has this key',
-                by_table=True,
+                relies_on_table=True,
             )
         self.team_name = team.name
         if team.state == PAUSED:
@@ -66,13 +66,13 @@
 
     def identify(self, team: TeamRow) -> RequestId | Refusal:
         """Return the request's identity; generate a key if it has none."""
-        given = self.request.headers.get(KEY_HEADER)
+        given = self.request.headers.get(IDEMPOTENCY_KEY_HEADER)
         key = self.request_id if given is None else given
         fault = None if given is None else check_key(key)
         if isinstance(fault, RequestFault):
             return Refusal(HTTPStatus.BAD_REQUEST, fault.code, fault.reason)
-        self.minted = given is None
-        self.name_request(key)
+        self.has_generated_key = given is None
+        self.assign_request_id(key)
         digest = fingerprint(
             self.request.method or '',
             self.request.uri or '',
@@ -80,10 +80,10 @@
         )
         return RequestId(team.name, key, given is None, digest)
 
-    def terms(self) -> CallTerms | Refusal:
+    def call_options(self) -> CallOptions | Refusal:
         """Return the options from the headers, or a refusal."""
-        longest = self.context.cfg.requests.default_deadline
-        return read_terms(self.request.headers, longest)
+        max_timeout = self.context.cfg.requests.default_deadline
+        return parse_call_options(self.request.headers, max_timeout)
 
     async def serve_call(self, call: Call | Refusal) -> None:
         """Run a call and send its answer, or send the refusal."""
@@ -99,7 +99,7 @@
         self.answer = answer
         answer.attach(self.sink)
         end = await answer.wait()
-        self._finish_with(end)
+        self._finish_answer(end)
 
     def on_connection_close(self) -> None:
         """Detach from the answer when the caller has disconnected."""
@@ -108,38 +108,38 @@
             self.answer.detach(self.sink)
             self.context.dispatcher.cancel_if_unattended(self.answer)
 
-    def _finish_with(self, end: AnswerEnd) -> None:
+    def _finish_answer(self, end: AnswerEnd) -> None:
         try:
-            self._finish_checked(end)
+            self._write_end(end)
         except StreamClosedError:
             self.on_connection_close()
 
-    def _refusal(self, fault: DispatchFault) -> Refusal:
+    def _refusal_for(self, fault: DispatchFault) -> Refusal:
         refusal = from_fault(fault)
-        if refusal.ran == MAYBE_RUN and self.minted:
+        if refusal.ran == MAYBE_RUN and self.has_generated_key:
             # Without a key from the caller, a retry is a new request, which
             # would run and be billed in addition to the first.
             return attrs.evolve(refusal, repeatable=False)
         return refusal
 
-    def _finish_checked(self, end: AnswerEnd) -> None:
+    def _write_end(self, end: AnswerEnd) -> None:
         self.sink.flush()
         if end.is_complete:
             self.finish()
             return
         assert isinstance(end.fault, DispatchFault)
-        refusal = self._refusal(end.fault)
+        refusal = self._refusal_for(end.fault)
         if not self.sink.started:
             self.refuse(refusal)
             return
         self.refusal = refusal
-        if self._sends_events():
+        if self._is_event_stream():
             self.finish(error_event(refusal))
         else:
             # An error appended to an incomplete body would be taken for a
             # part of it. Closing the connection early signals the failure.
             self.sink.abort()
 
-    def _sends_events(self) -> bool:
-        kind = str(self._headers.get('Content-Type', ''))
-        return kind.startswith('text/event-stream')
+    def _is_event_stream(self) -> bool:
+        content_type = str(self._headers.get('Content-Type', ''))
+        return content_type.startswith('text/event-stream')
--- a/src/balsamreach/gateway/callers.py
+++ b/src/balsamreach/gateway/callers.py
@@ -5,10 +5,10 @@
 from balsamreach.gateway.base import (
     CallerContext,
     NotFoundHandler,
-    log_nothing,
+    disable_access_log,
 )
-from balsamreach.gateway.chat import CHAT_PATH
 from balsamreach.gateway.chat_handler import ChatHandler
+from balsamreach.gateway.chat_request import CHAT_PATH
 from balsamreach.gateway.models_handler import ModelsHandler
 from balsamreach.gateway.service_handler import ServiceHandler
 
@@ -24,5 +24,5 @@
         ],
         default_handler_class=NotFoundHandler,
         default_handler_args=arguments,
-        log_function=log_nothing,
+        log_function=disable_access_log,
     )
--- a/src/balsamreach/gateway/chat_handler.py
+++ b/src/balsamreach/gateway/chat_handler.py
@@ -4,7 +4,11 @@
 
 from balsamreach.dispatch.call import Call
 from balsamreach.gateway.caller_handler import CallerHandler
-from balsamreach.gateway.chat import CHAT_PATH, ChatRequest, read_chat
+from balsamreach.gateway.chat_request import (
+    CHAT_PATH,
+    ChatRequest,
+    parse_chat_request,
+)
 from balsamreach.gateway.refusals import Refusal
 from balsamreach.requests.identity import RequestId
 from balsamreach.table.rows import ENGINE, TeamRow
@@ -19,14 +23,14 @@
 
     async def post(self) -> None:
         """Run a chat completion."""
-        await self.serve_call(self._read())
+        await self.serve_call(self._read_call())
 
-    def _read(self) -> Call | Refusal:
+    def _read_call(self) -> Call | Refusal:
         team = self.authenticate()
         if isinstance(team, Refusal):
             return team
-        kind = self.request.headers.get('Content-Type', _JSON)
-        if kind.partition(';')[0].strip().lower() != _JSON:
+        content_type = self.request.headers.get('Content-Type', _JSON)
+        if content_type.partition(';')[0].strip().lower() != _JSON:
             return Refusal(
                 HTTPStatus.UNSUPPORTED_MEDIA_TYPE,
                 'unsupported_content_type',
@@ -35,7 +39,7 @@
         req = self.identify(team)
         if isinstance(req, Refusal):
             return req
-        chat = read_chat(
+        chat = parse_chat_request(
             self.request.body,
             team,
             self.context.view.models(),
@@ -52,9 +56,9 @@
         req: RequestId,
         chat: ChatRequest,
     ) -> Call | Refusal:
-        terms = self.terms()
-        if isinstance(terms, Refusal):
-            return terms
+        options = self.call_options()
+        if isinstance(options, Refusal):
+            return options
         return Call(
             req=req,
             team=team,
@@ -66,11 +70,11 @@
             body=chat.body,
             stream=chat.stream,
             wants_usage=chat.wants_usage,
-            idempotent=terms.idempotent,
+            idempotent=options.idempotent,
             prefix=chat.prefix,
-            reserved_tokens=chat.most_tokens,
-            max_completion_tokens=chat.max_tokens,
+            reserved_tokens=chat.max_total_tokens,
+            max_completion_tokens=chat.max_completion_tokens,
             prompt_tokens=chat.prompt_tokens,
-            deadline=self.received + terms.timeout,
+            deadline=self.received_at + options.timeout,
             trace=self.span,
         )
--- a/src/balsamreach/gateway/chat.py
+++ b/src/balsamreach/gateway/chat_request.py
@@ -8,7 +8,7 @@
 import attrs
 
 from balsamreach.config.settings import CallersSettings
-from balsamreach.gateway.bodies import read_json
+from balsamreach.gateway.json_parser import parse_json
 from balsamreach.gateway.prompts import Prompt, measure_prompt
 from balsamreach.gateway.refusals import Refusal, invalid_request
 from balsamreach.routing.weighted_split import WeightedSplit
@@ -16,7 +16,7 @@
 
 CHAT_PATH = '/v1/chat/completions'
 
-_MOST_CHOICES = 128
+_MAX_CHOICES = 128
 
 
 @attrs.frozen
@@ -29,7 +29,7 @@
         Model that runs the request.
     stream, wants_usage : bool
         Whether the caller wants a stream, and token usage in it.
-    max_tokens : int
+    max_completion_tokens : int
         Maximum completion tokens, summed over all choices.
     prompt : Prompt
         Token counts and prefix of the prompt.
@@ -40,19 +40,19 @@
     model: str
     stream: bool
     wants_usage: bool
-    max_tokens: int
+    max_completion_tokens: int
     prompt: Prompt
     body: bytes
 
     @property
-    def most_tokens(self) -> int:
+    def max_total_tokens(self) -> int:
         """Maximum tokens of prompt and completion together."""
-        return self.prompt.most_tokens + self.max_tokens
+        return self.prompt.max_tokens + self.max_completion_tokens
 
     @property
     def prompt_tokens(self) -> int:
         """Estimated tokens of the prompt."""
-        return self.prompt.likely_tokens
+        return self.prompt.estimated_tokens
 
     @property
     def prefix(self) -> bytes:
@@ -60,7 +60,7 @@
         return self.prompt.prefix
 
 
-def read_chat(
+def parse_chat_request(
     raw: bytes,
     team: TeamRow,
     models: tuple[str, ...],
@@ -87,13 +87,13 @@
     ChatRequest or Refusal
         A refusal names what is wrong with the request.
     """
-    body = _parse(raw)
+    body = _parse_body(raw)
     if isinstance(body, Refusal):
         return body
     model = _choose_model(body, team, models, shares)
     if isinstance(model, Refusal):
         return model
-    max_tokens = _max_tokens(body, team, cfg.most_completion)
+    max_tokens = _read_max_tokens(body, team, cfg.most_completion)
     if isinstance(max_tokens, Refusal):
         return max_tokens
     prompt = measure_prompt(body, cfg.part_tokens)
@@ -102,8 +102,8 @@
     return _build(body, model, max_tokens, prompt)
 
 
-def _parse(raw: bytes) -> dict[str, Any] | Refusal:
-    body = read_json(raw)
+def _parse_body(raw: bytes) -> dict[str, Any] | Refusal:
+    body = parse_json(raw)
     if isinstance(body, Refusal):
         return body
     messages = body.get('messages')
@@ -143,7 +143,7 @@
                 HTTPStatus.BAD_REQUEST,
                 'unknown_model',
                 'no model is open to this team',
-                by_table=True,
+                relies_on_table=True,
             )
         return shares.pick(team.name, weights)
     if model not in models or (team.models and model not in team.models):
@@ -151,46 +151,46 @@
             HTTPStatus.NOT_FOUND,
             'unknown_model',
             f'no model {model!r} is open to this team',
-            by_table=True,
+            relies_on_table=True,
         )
     return model
 
 
-def _max_tokens(
+def _read_max_tokens(
     body: Mapping[str, Any],
     team: TeamRow,
-    most: int,
+    maximum: int,
 ) -> int | Refusal:
     for name in ('max_completion_tokens', 'max_tokens'):
         if body.get(name) is not None:
-            return _read_count(body, name, most)
-    return min(team.max_tokens, most)
+            return _read_int(body, name, maximum)
+    return min(team.max_tokens, maximum)
 
 
-def _choices(body: Mapping[str, Any]) -> int | Refusal:
+def _read_choices(body: Mapping[str, Any]) -> int | Refusal:
     # Every choice is generated in full and billed, including those that an
     # engine discards for best_of.
     counts = [1]
     for name in ('n', 'best_of'):
         if body.get(name) is None:
             continue
-        count = _read_count(body, name, _MOST_CHOICES)
+        count = _read_int(body, name, _MAX_CHOICES)
         if isinstance(count, Refusal):
             return count
         counts.append(count)
     return max(counts)
 
 
-def _read_count(
+def _read_int(
     body: Mapping[str, Any],
     name: str,
-    most: int,
+    maximum: int,
 ) -> int | Refusal:
     number = body[name]
     if isinstance(number, bool) or not isinstance(number, int):
         return invalid_request(f'{name} must be an integer')
-    if not 1 <= number <= most:
-        return invalid_request(f'{name} must be from 1 to {most}')
+    if not 1 <= number <= maximum:
+        return invalid_request(f'{name} must be from 1 to {maximum}')
     return number
 
 
@@ -200,20 +200,20 @@
     max_tokens: int,
     prompt: Prompt,
 ) -> ChatRequest | Refusal:
-    choices = _choices(body)
+    choices = _read_choices(body)
     if isinstance(choices, Refusal):
         return choices
     stream = bool(body.get('stream'))
     options = body.get('stream_options') or {}
-    sent = {**body, 'model': model, 'max_tokens': max_tokens}
-    sent.pop('max_completion_tokens', None)
+    upstream_body = {**body, 'model': model, 'max_tokens': max_tokens}
+    upstream_body.pop('max_completion_tokens', None)
     if stream:
-        sent['stream_options'] = {**options, 'include_usage': True}
+        upstream_body['stream_options'] = {**options, 'include_usage': True}
     return ChatRequest(
         model=model,
         stream=stream,
         wants_usage=bool(options.get('include_usage')),
-        max_tokens=max_tokens * choices,
+        max_completion_tokens=max_tokens * choices,
         prompt=prompt,
-        body=json.dumps(sent).encode(),
+        body=json.dumps(upstream_body).encode(),
     )
--- a/src/balsamreach/gateway/curl_handles.py
+++ b/src/balsamreach/gateway/curl_handles.py
@@ -14,10 +14,10 @@
 )
 from balsamreach.gateway.curl_loop import CurlLoop, TransferEnd
 from balsamreach.gateway.curl_transfer import Transfer
-from balsamreach.gateway.curl_watch import SILENCE, Watch
+from balsamreach.gateway.curl_watch import SILENCE_CODE, TransferWatch
 
 #: Maximum number of idle handles kept for reuse.
-_KEPT_HANDLES = 1024
+_MAX_IDLE_HANDLES = 1024
 
 #: Sets all options of a reset handle.
 Prepare = Callable[[pycurl.Curl, Transfer], None]
@@ -27,14 +27,14 @@
 class CurlHandles:
     """Curl handles of one client, which share a pool of connections."""
 
-    _curls: CurlLoop = attrs.field(factory=CurlLoop)
-    _free: list[pycurl.Curl] = attrs.field(factory=list)
+    _loop: CurlLoop = attrs.field(factory=CurlLoop)
+    _idle: list[pycurl.Curl] = attrs.field(factory=list)
 
     async def send(
         self,
         prepare: Prepare,
         intake: Intake,
-        gap: float,
+        silence_timeout: float,
     ) -> UpstreamFault | None:
         """Run one transfer and pass the answer to its intake.
 
@@ -44,7 +44,7 @@
             Sets the options of the handle.
         intake : Intake
             Receives the answer.
-        gap : float
+        silence_timeout : float
             Seconds without data after which the transfer is stopped; 0 for
             no limit.
 
@@ -54,40 +54,40 @@
             None on success, otherwise NOT_SENT, SILENT or BROKEN.
         """
         transfer = Transfer(intake)
-        curl = self._free.pop() if self._free else pycurl.Curl()
+        curl = self._idle.pop() if self._idle else pycurl.Curl()
         prepare(curl, transfer)
-        watch = Watch(self._curls, curl, transfer, gap)
+        watch = TransferWatch(self._loop, curl, transfer, silence_timeout)
         watch.start()
         try:
-            end = await self._curls.perform(curl)
+            end = await self._loop.perform(curl)
         finally:
             watch.stop()
-            self._keep(curl)
-        return _judge(end, transfer)
+            self._release(curl)
+        return _fault_of(end, transfer)
 
     def close(self) -> None:
         """Close all connections."""
-        self._curls.close()
-        while self._free:
-            self._free.pop().close()
+        self._loop.close()
+        while self._idle:
+            self._idle.pop().close()
 
-    def _keep(self, curl: pycurl.Curl) -> None:
+    def _release(self, curl: pycurl.Curl) -> None:
         curl.reset()
-        if len(self._free) < _KEPT_HANDLES:
-            self._free.append(curl)
+        if len(self._idle) < _MAX_IDLE_HANDLES:
+            self._idle.append(curl)
         else:
             curl.close()
 
 
 def set_callbacks(curl: pycurl.Curl, transfer: Transfer) -> None:
     """Register a transfer's callbacks at a handle."""
-    curl.setopt(pycurl.PREREQFUNCTION, transfer.before_send)
-    curl.setopt(pycurl.HEADERFUNCTION, transfer.take_line)
-    curl.setopt(pycurl.WRITEFUNCTION, transfer.take_body)
+    curl.setopt(pycurl.PREREQFUNCTION, transfer.on_prereq)
+    curl.setopt(pycurl.HEADERFUNCTION, transfer.on_header_line)
+    curl.setopt(pycurl.WRITEFUNCTION, transfer.on_body)
 
 
-def _judge(end: TransferEnd, transfer: Transfer) -> UpstreamFault | None:
-    if end.code == pycurl.E_OK and transfer.started:
+def _fault_of(end: TransferEnd, transfer: Transfer) -> UpstreamFault | None:
+    if end.code == pycurl.E_OK and transfer.head_complete:
         return None
     # Curl reports no error for a connection that closes within the head; the
     # partial head would pass for an answer with an empty body. Hence E_OK
@@ -97,6 +97,8 @@
     # the request was not sent.
     if not transfer.intake.sent:
         return NOT_SENT.because(end.message or 'no connection in time')
-    if end.code == SILENCE:
+    if end.code == SILENCE_CODE:
         return SILENT.because('no data within the gap timeout')
-    return BROKEN.because(transfer.problem or end.message or 'incomplete head')
+    return BROKEN.because(
+        transfer.abort_reason or end.message or 'incomplete head'
+    )
--- a/src/balsamreach/gateway/curl_loop.py
+++ b/src/balsamreach/gateway/curl_loop.py
@@ -7,8 +7,8 @@
 import pycurl
 
 #: Maximum number of idle connections, over all targets.
-_POOLED = 1024
-_EVENTS = {pycurl.POLL_IN, pycurl.POLL_OUT, pycurl.POLL_INOUT}
+_MAX_IDLE_CONNECTIONS = 1024
+_WATCH_EVENTS = {pycurl.POLL_IN, pycurl.POLL_OUT, pycurl.POLL_INOUT}
 
 
 @attrs.frozen
@@ -35,14 +35,14 @@
     """
 
     def __init__(self) -> None:
-        self._ends: dict[pycurl.Curl, asyncio.Future[TransferEnd]] = {}
+        self._pending: dict[pycurl.Curl, asyncio.Future[TransferEnd]] = {}
         self._loop: asyncio.AbstractEventLoop | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._watched: set[int] = set()
+        self._watched_fds: set[int] = set()
         self._multi = pycurl.CurlMulti()
-        self._multi.setopt(pycurl.M_SOCKETFUNCTION, self._watch)
+        self._multi.setopt(pycurl.M_SOCKETFUNCTION, self._watch_socket)
         self._multi.setopt(pycurl.M_TIMERFUNCTION, self._set_timer)
-        self._multi.setopt(pycurl.M_MAXCONNECTS, _POOLED)
+        self._multi.setopt(pycurl.M_MAXCONNECTS, _MAX_IDLE_CONNECTIONS)
 
     async def perform(self, curl: pycurl.Curl) -> TransferEnd:
         """Run a transfer until it ends.
@@ -59,23 +59,23 @@
             before CancelledError propagates.
         """
         self._loop = asyncio.get_running_loop()
-        ended = self._loop.create_future()
+        fut = self._loop.create_future()
         self._multi.add_handle(curl)
-        self._ends[curl] = ended
+        self._pending[curl] = fut
         try:
-            return await ended
+            return await fut
         finally:
-            self._drop(curl)
+            self._remove(curl)
 
-    def stop(self, curl: pycurl.Curl, end: TransferEnd) -> None:
+    def complete(self, curl: pycurl.Curl, end: TransferEnd) -> None:
         """Complete a transfer; one in progress loses its connection."""
-        ended = self._ends.get(curl)
-        if ended is not None and not ended.done():
-            ended.set_result(end)
+        fut = self._pending.get(curl)
+        if fut is not None and not fut.done():
+            fut.set_result(end)
 
     def resume(self, curl: pycurl.Curl) -> None:
         """Resume reading after the write callback paused the transfer."""
-        if curl not in self._ends:
+        if curl not in self._pending:
             return
         # If the transfer has failed meanwhile, curl raises the error here
         # and also queues it with the ended transfers, where it is handled.
@@ -87,33 +87,33 @@
         """Cancel all transfers and close the pooled connections."""
         if self._multi is None:
             return
-        for curl, ended in tuple(self._ends.items()):
-            self._drop(curl)
-            ended.cancel()
+        for curl, fut in tuple(self._pending.items()):
+            self._remove(curl)
+            fut.cancel()
         if self._timer is not None:
             self._timer.cancel()
         self._multi.close()
         self._multi = None
 
-    def _drop(self, curl: pycurl.Curl) -> None:
+    def _remove(self, curl: pycurl.Curl) -> None:
         # Curl closes the connection of a transfer that is removed before its
         # end, and keeps the connection of one that ended normally.
-        if self._ends.pop(curl, None) is not None:
+        if self._pending.pop(curl, None) is not None:
             self._multi.remove_handle(curl)
 
-    def _watch(self, event: int, fd: int, *_rest: object) -> None:
+    def _watch_socket(self, event: int, fd: int, *_rest: object) -> None:
         loop = self._loop
-        if fd in self._watched:
-            self._watched.remove(fd)
+        if fd in self._watched_fds:
+            self._watched_fds.remove(fd)
             loop.remove_reader(fd)
             loop.remove_writer(fd)
-        if event not in _EVENTS:
+        if event not in _WATCH_EVENTS:
             return
-        self._watched.add(fd)
+        self._watched_fds.add(fd)
         if event != pycurl.POLL_OUT:
-            loop.add_reader(fd, self._act, fd, pycurl.CSELECT_IN)
+            loop.add_reader(fd, self._socket_action, fd, pycurl.CSELECT_IN)
         if event != pycurl.POLL_IN:
-            loop.add_writer(fd, self._act, fd, pycurl.CSELECT_OUT)
+            loop.add_writer(fd, self._socket_action, fd, pycurl.CSELECT_OUT)
 
     def _set_timer(self, delay_ms: int) -> None:
         if self._timer is not None:
@@ -124,22 +124,22 @@
 
     def _on_timer(self) -> None:
         self._timer = None
-        self._act(pycurl.SOCKET_TIMEOUT, 0)
+        self._socket_action(pycurl.SOCKET_TIMEOUT, 0)
 
-    def _act(self, fd: int, action: int) -> None:
+    def _socket_action(self, fd: int, action: int) -> None:
         # The event loop may run this callback after close().
         if self._multi is None:
             return
-        before = len(self._ends)
+        running_before = len(self._pending)
         _code, running = self._multi.socket_action(fd, action)
         # Reading the queue of ended transfers at every event would double
         # the cost of the event.
-        if running < before:
-            self._collect()
+        if running < running_before:
+            self._complete_ended()
 
-    def _collect(self) -> None:
-        _left, whole, failed = self._multi.info_read(len(self._ends))
-        for curl in whole:
-            self.stop(curl, TransferEnd())
+    def _complete_ended(self) -> None:
+        _left, succeeded, failed = self._multi.info_read(len(self._pending))
+        for curl in succeeded:
+            self.complete(curl, TransferEnd())
         for curl, code, message in failed:
-            self.stop(curl, TransferEnd(code, message))
+            self.complete(curl, TransferEnd(code, message))
--- a/src/balsamreach/gateway/curl_options.py
+++ b/src/balsamreach/gateway/curl_options.py
@@ -13,13 +13,13 @@
 
 _BODY_METHODS = frozenset(('POST', 'PUT', 'PATCH'))
 #: Idle seconds after which a pooled connection is no longer reused.
-_IDLE_S = 30
+_MAX_IDLE_S = 30
 _MS = 1000
 #: Seconds between two TCP keep-alive probes.
-_PROBE_S = 5
+_KEEPALIVE_S = 5
 #: Maximum number of recorded silences; the oldest is dropped first, as a
 #: target that went silent longer ago has new connections by then.
-_MOST_SILENCES = 1024
+_MAX_SILENCES = 1024
 
 
 @attrs.define
@@ -36,13 +36,13 @@
 
     cfg: Settings
     clock: Clock
-    _silences: dict[str, float] = attrs.field(factory=dict)
+    _silence_times: dict[str, float] = attrs.field(factory=dict)
 
-    def note_silence(self, address: str) -> None:
+    def record_silence(self, address: str) -> None:
         """Stop reusing the connections that a target has at this time."""
-        if len(self._silences) >= _MOST_SILENCES:
-            self._silences.pop(next(iter(self._silences)))
-        self._silences[address] = self.clock.now()
+        if len(self._silence_times) >= _MAX_SILENCES:
+            self._silence_times.pop(next(iter(self._silence_times)))
+        self._silence_times[address] = self.clock.now()
 
     def apply(
         self,
@@ -75,10 +75,10 @@
         connect_ms = int(self.cfg.platform.connect_timeout * _MS)
         curl.setopt(pycurl.CONNECTTIMEOUT_MS, connect_ms)
         curl.setopt(pycurl.TCP_KEEPALIVE, 1)
-        curl.setopt(pycurl.TCP_KEEPIDLE, _PROBE_S)
-        curl.setopt(pycurl.TCP_KEEPINTVL, _PROBE_S)
-        curl.setopt(pycurl.MAXAGE_CONN, _IDLE_S)
-        age = self._greatest_age(attempt.target.row.address)
+        curl.setopt(pycurl.TCP_KEEPIDLE, _KEEPALIVE_S)
+        curl.setopt(pycurl.TCP_KEEPINTVL, _KEEPALIVE_S)
+        curl.setopt(pycurl.MAXAGE_CONN, _MAX_IDLE_S)
+        age = self._max_age(attempt.target.row.address)
         if age:
             curl.setopt(pycurl.MAXLIFETIME_CONN, age)
         # The target may have closed a pooled connection, or a device on the
@@ -87,18 +87,18 @@
         if not (age and attempt.call.idempotent):
             curl.setopt(pycurl.FRESH_CONNECT, 1)
 
-    def _greatest_age(self, address: str) -> int:
+    def _max_age(self, address: str) -> int:
         age = max(1, int(self.cfg.routing.connection_age))
-        silent_at = self._silences.get(address)
+        silent_at = self._silence_times.get(address)
         if silent_at is None:
             return age
         # The cause of one silent connection most likely affects the other
         # connections to the target, and each would cost a request a whole
         # gap timeout. Only connections made after the silence are reused.
-        since = int(self.clock.now() - silent_at)
-        if since > age:
-            self._silences.pop(address)
-        return min(age, since)
+        elapsed = int(self.clock.now() - silent_at)
+        if elapsed > age:
+            self._silence_times.pop(address)
+        return min(age, elapsed)
 
 
 def _set_method(curl: pycurl.Curl, call: Call) -> None:
@@ -111,11 +111,11 @@
 
 
 def _header_lines(attempt: Attempt) -> list[str]:
-    sent = attempt.call.headers | {
+    headers = attempt.call.headers | {
         'X-Attempt-Id': attempt.attempt_id,
         'User-Agent': 'balsamreach',
     }
-    lines = [f'{name}: {text}' for name, text in sent.items()]
+    lines = [f'{name}: {value}' for name, value in headers.items()]
     # An empty Expect stops curl from delaying a large body by one second to
     # wait for '100 Continue'.
     return [*lines, 'Expect:']
--- a/src/balsamreach/gateway/curl_transfer.py
+++ b/src/balsamreach/gateway/curl_transfer.py
@@ -9,10 +9,10 @@
 from balsamreach.dispatch.upstream import Intake
 
 #: Maximum size in bytes of an answer's head.
-_HEAD_LIMIT = 64 * 1024
-_REFUSED = 0
-_FINAL = 200
-_NO_LISTS = frozenset(('content-length', 'set-cookie'))
+_MAX_HEAD_BYTES = 64 * 1024
+_ABORT = 0
+_FIRST_FINAL_STATUS = 200
+_SINGLE_VALUE_HEADERS = frozenset(('content-length', 'set-cookie'))
 
 
 @attrs.define(eq=False)
@@ -25,27 +25,27 @@
         Receives the answer.
     on_pause : callable or None
         Called when the transfer pauses.
-    started : bool
+    head_complete : bool
         Whether the whole head was received.
-    heard : bool
+    received_data : bool
         Whether data was received since this was last set to false.
     paused : bool
         Whether reading is paused because callers read too slowly.
-    problem : str
+    abort_reason : str
         Why a callback stopped the transfer; empty if none did.
     """
 
     intake: Intake
     on_pause: Callable[[], None] | None = None
-    heard: bool = False
+    received_data: bool = False
     paused: bool = False
-    problem: str = ''
-    started: bool = False
+    abort_reason: str = ''
+    head_complete: bool = False
     _status: int = 0
     _headers: dict[str, str] = attrs.field(factory=dict)
     _head_size: int = 0
 
-    def before_send(self, *_addresses: Any) -> int:
+    def on_prereq(self, *_addresses: Any) -> int:
         """Return curl's code that allows or aborts the sending."""
         # Curl resends a request by itself if a reused connection closes
         # without an answer. A certificate would be made twice, and a request
@@ -53,27 +53,27 @@
         # in the retry budget. The intake allows only the first sending.
         if self.intake.may_send():
             return pycurl.PREREQFUNC_OK
-        self.problem = 'the target closed a reused connection'
+        self.abort_reason = 'the target closed a reused connection'
         return pycurl.PREREQFUNC_ABORT
 
-    def take_line(self, line: bytes) -> int:
+    def on_header_line(self, line: bytes) -> int:
         """Process a line of the head; an empty line ends it."""
-        self.heard = True
+        self.received_data = True
         self._head_size += len(line)
         # An endless head would exhaust the memory.
-        if self._head_size > _HEAD_LIMIT:
-            self.problem = 'the head of the answer is too large'
-            return _REFUSED
-        if not self.started:
-            self._read_line(line.decode('latin-1').strip())
+        if self._head_size > _MAX_HEAD_BYTES:
+            self.abort_reason = 'the head of the answer is too large'
+            return _ABORT
+        if not self.head_complete:
+            self._parse_line(line.decode('latin-1').strip())
         return len(line)
 
-    def take_body(self, chunk: bytes) -> int | None:
+    def on_body(self, chunk: bytes) -> int | None:
         """Process bytes of the body, or pause if callers read too slowly."""
         if self.intake.is_full:
             self._pause()
             return pycurl.WRITEFUNC_PAUSE
-        self.heard = True
+        self.received_data = True
         self.intake.write(chunk)
         return None
 
@@ -82,26 +82,26 @@
         if self.on_pause is not None:
             self.on_pause()
 
-    def _read_line(self, line: str) -> None:
+    def _parse_line(self, line: str) -> None:
         if line.startswith('HTTP/'):
-            self._status = _status_of(line)
+            self._status = _parse_status(line)
             self._headers = {}
         elif line:
             name, _colon, text = line.partition(':')
             self._add_header(name.strip().lower(), text.strip())
-        elif self._status >= _FINAL:
-            self.started = True
+        elif self._status >= _FIRST_FINAL_STATUS:
+            self.head_complete = True
             self.intake.start(self._status, self._headers)
 
     def _add_header(self, name: str, text: str) -> None:
-        known = self._headers.get(name, text)
+        existing = self._headers.get(name, text)
         # Repeated headers are joined to a list, except those that can't
         # hold one.
-        if known != text and name not in _NO_LISTS:
-            text = f'{known}, {text}'
+        if existing != text and name not in _SINGLE_VALUE_HEADERS:
+            text = f'{existing}, {text}'
         self._headers[name] = text
 
 
-def _status_of(line: str) -> int:
+def _parse_status(line: str) -> int:
     code = line.split(' ')[1]
     return int(code) if code.isdigit() else 0
--- a/src/balsamreach/gateway/curl_upstream.py
+++ b/src/balsamreach/gateway/curl_upstream.py
@@ -46,11 +46,13 @@
         """Send a request and pass the answer to the intake."""
         # A plain answer arrives at once, after a time limited only by the
         # deadline; only a stream is expected to send data continually.
-        gap = self.cfg.routing.gap_timeout if attempt.call.stream else 0
+        silence_timeout = (
+            self.cfg.routing.gap_timeout if attempt.call.stream else 0
+        )
         prepare = partial(self._options.apply, attempt)
-        fault = await self._handles.send(prepare, intake, gap)
+        fault = await self._handles.send(prepare, intake, silence_timeout)
         if fault == SILENT:
-            self._options.note_silence(attempt.target.row.address)
+            self._options.record_silence(attempt.target.row.address)
         return fault
 
     def close(self) -> None:
--- a/src/balsamreach/gateway/curl_watch.py
+++ b/src/balsamreach/gateway/curl_watch.py
@@ -9,77 +9,79 @@
 from balsamreach.gateway.curl_transfer import Transfer
 
 #: Used as curl's error code: no data was received within the gap timeout.
-SILENCE = -1
+SILENCE_CODE = -1
 #: Number of checks of a transfer within one gap timeout.
-_LOOKS = 8
+_CHECKS_PER_TIMEOUT = 8
 #: Seconds between checks of whether a paused transfer can resume.
-_PAUSE_S = 0.02
+_RESUME_CHECK_S = 0.02
 
 
 @attrs.define(eq=False)
-class Watch:
+class TransferWatch:
     """Checks one transfer periodically.
 
     Parameters
     ----------
-    curls : CurlLoop
+    curl_loop : CurlLoop
         Runs the transfer.
     curl : pycurl.Curl
         Handle of the transfer.
     transfer : Transfer
         State of the transfer.
-    gap : float
+    silence_timeout : float
         Seconds without data after which the transfer is stopped; 0 for no
         limit.
     """
 
-    curls: CurlLoop
+    curl_loop: CurlLoop
     curl: pycurl.Curl
     transfer: Transfer
-    gap: float
-    _silent_looks: int = 0
-    _look: asyncio.TimerHandle | None = None
-    _resume: asyncio.TimerHandle | None = None
+    silence_timeout: float
+    _silent_checks: int = 0
+    _check_timer: asyncio.TimerHandle | None = None
+    _resume_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         """Start the checks."""
-        self.transfer.on_pause = self._wait_for_callers
-        if self.gap:
-            self._look_later()
+        self.transfer.on_pause = self._schedule_resume
+        if self.silence_timeout:
+            self._schedule_check()
 
     def stop(self) -> None:
         """Cancel all timers."""
-        for timer in (self._look, self._resume):
+        for timer in (self._check_timer, self._resume_timer):
             if timer is not None:
                 timer.cancel()
 
-    def _look_later(self) -> None:
+    def _schedule_check(self) -> None:
         loop = asyncio.get_running_loop()
-        self._look = loop.call_later(self.gap / _LOOKS, self._look_now)
+        self._check_timer = loop.call_later(
+            self.silence_timeout / _CHECKS_PER_TIMEOUT, self._check
+        )
 
-    def _look_now(self) -> None:
+    def _check(self) -> None:
         # A device on the path can lose a connection's state: the connection
         # stays open without any data while new ones work. Checks are counted
         # instead of time, because a process that was paused would otherwise
         # mistake its own pause for silence.
-        if self.transfer.heard or self.transfer.paused:
-            self._silent_looks = 0
+        if self.transfer.received_data or self.transfer.paused:
+            self._silent_checks = 0
         else:
-            self._silent_looks += 1
-        self.transfer.heard = False
-        if self._silent_looks < _LOOKS:
-            self._look_later()
+            self._silent_checks += 1
+        self.transfer.received_data = False
+        if self._silent_checks < _CHECKS_PER_TIMEOUT:
+            self._schedule_check()
             return
-        self.curls.stop(self.curl, TransferEnd(SILENCE))
+        self.curl_loop.complete(self.curl, TransferEnd(SILENCE_CODE))
 
-    def _wait_for_callers(self) -> None:
+    def _schedule_resume(self) -> None:
         loop = asyncio.get_running_loop()
-        self._resume = loop.call_later(_PAUSE_S, self._ask_callers)
+        self._resume_timer = loop.call_later(_RESUME_CHECK_S, self._try_resume)
 
-    def _ask_callers(self) -> None:
+    def _try_resume(self) -> None:
         if self.transfer.intake.is_full:
-            self._wait_for_callers()
+            self._schedule_resume()
             return
         self.transfer.paused = False
         # Curl may call the write callback at once with buffered data.
-        self.curls.resume(self.curl)
+        self.curl_loop.resume(self.curl)
--- a/src/balsamreach/gateway/guard.py
+++ b/src/balsamreach/gateway/guard.py
@@ -21,12 +21,12 @@
 from balsamreach.telemetry.metrics import Metrics
 
 #: Seconds during which the rest of a refused body is read and discarded.
-LINGER = 2
+LINGER_S = 2
 #: Counter of requests that were refused before they reached a handler.
-GUARDED = 'balsamreach_guard_refusals_total'
+GUARD_REFUSALS = 'balsamreach_guard_refusals_total'
 
 
-Action = Callable[[], object]
+TimerCallback = Callable[[], object]
 
 
 @attrs.define(eq=False)
@@ -49,8 +49,8 @@
     cfg: CallersSettings
     metrics: Metrics
     leaving: bool = False
-    _known: weakref.WeakSet = attrs.field(factory=weakref.WeakSet)
-    _waiting: weakref.WeakSet = attrs.field(factory=weakref.WeakSet)
+    _seen_connections: weakref.WeakSet = attrs.field(factory=weakref.WeakSet)
+    _awaiting_header: weakref.WeakSet = attrs.field(factory=weakref.WeakSet)
 
     def start_request(
         self,
@@ -59,21 +59,21 @@
     ) -> HTTPMessageDelegate:
         """Return the delegate for a connection's next request."""
         assert isinstance(request_conn, HTTP1Connection)
-        served = self.app.start_request(server_conn, request_conn)
-        guarded = GuardedRequest(self, request_conn, served)
-        if server_conn not in self._known:
-            self._known.add(server_conn)
+        delegate = self.app.start_request(server_conn, request_conn)
+        guarded = GuardedRequest(self, request_conn, delegate)
+        if server_conn not in self._seen_connections:
+            self._seen_connections.add(server_conn)
             guarded.is_first = True
-            guarded.expect_header()
+            guarded.start_header_timeout()
         elif self.leaving:
             # The previous response said that it was the connection's last.
             request_conn.stream.close()
-        self._waiting.add(guarded)
+        self._awaiting_header.add(guarded)
         return guarded
 
-    def begin(self, guarded: 'GuardedRequest') -> None:
+    def mark_received(self, guarded: 'GuardedRequest') -> None:
         """Record that a request's header was received."""
-        self._waiting.discard(guarded)
+        self._awaiting_header.discard(guarded)
 
     def leave(self) -> None:
         """Close idle connections; the others close after their response.
@@ -84,7 +84,7 @@
         """
         self.leaving = True
         self.app.settings['leaving'] = True
-        for guarded in tuple(self._waiting):
+        for guarded in tuple(self._awaiting_header):
             if not guarded.is_first:
                 guarded.conn.stream.close()
 
@@ -98,7 +98,7 @@
         The listener's guard.
     conn : HTTP1Connection
         Connection of the request.
-    served : HTTPMessageDelegate
+    delegate : HTTPMessageDelegate
         The application's delegate for the request.
 
     Attributes
@@ -111,17 +111,17 @@
         self,
         guard: Guard,
         conn: HTTP1Connection,
-        served: HTTPMessageDelegate,
+        delegate: HTTPMessageDelegate,
     ) -> None:
         self.guard = guard
         self.conn = conn
-        self._served = served
+        self._delegate = delegate
         self.is_first = False
-        self._received = 0
+        self._body_size = 0
         self._refused = False
         self._timer: asyncio.TimerHandle | None = None
 
-    def expect_header(self) -> None:
+    def start_header_timeout(self) -> None:
         """Start the timeout for the first header of a connection."""
         self._set_timer(self.guard.cfg.header_timeout, self.conn.stream.close)
 
@@ -132,24 +132,24 @@
     ) -> Awaitable[None] | None:
         """Forward a header unless it exceeds a limit."""
         self._stop_timer()
-        self.guard.begin(self)
+        self.guard.mark_received(self)
         refusal = _check_header(self.guard.cfg, start_line, headers)
         if refusal is not None:
             self._refuse(refusal)
             return None
-        self._set_timer(self.guard.cfg.body_timeout, self._body_late)
-        return self._served.headers_received(start_line, headers)
+        self._set_timer(self.guard.cfg.body_timeout, self._on_body_timeout)
+        return self._delegate.headers_received(start_line, headers)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
         """Forward a part of the body unless the body exceeds its limit."""
         if self._refused:
             return None
-        self._received += len(chunk)
-        if self._received > self.guard.cfg.body_limit:
-            self._served.on_connection_close()
+        self._body_size += len(chunk)
+        if self._body_size > self.guard.cfg.body_limit:
+            self._delegate.on_connection_close()
             self._refuse(refusals.BODY_TOO_LARGE)
             return None
-        return self._served.data_received(chunk)
+        return self._delegate.data_received(chunk)
 
     def finish(self) -> None:
         """Let the application answer the complete request."""
@@ -157,31 +157,31 @@
         if self._refused:
             self.conn.stream.close()
         else:
-            self._served.finish()
+            self._delegate.finish()
 
     def on_connection_close(self) -> None:
         """Tell the application that the connection was closed."""
         self._stop_timer()
         if not self._refused:
-            self._served.on_connection_close()
+            self._delegate.on_connection_close()
 
-    def _body_late(self) -> None:
-        self._served.on_connection_close()
+    def _on_body_timeout(self) -> None:
+        self._delegate.on_connection_close()
         self._refuse(refusals.BODY_TOO_SLOW)
 
     def _refuse(self, refusal: Refusal) -> None:
         self._refused = True
         self._stop_timer()
-        self.guard.metrics.count(GUARDED, code=refusal.code)
-        self.conn.stream.write(_raw_answer(refusal))
+        self.guard.metrics.count(GUARD_REFUSALS, code=refusal.code)
+        self.conn.stream.write(_raw_response(refusal))
         # Closing the connection while bytes of the body are in transit would
         # reset it, and the caller would see "connection reset" instead of
-        # the refusal. Reading on for LINGER seconds lets the refusal arrive.
-        self._set_timer(LINGER, self.conn.stream.close)
+        # the refusal. Reading on for LINGER_S seconds lets the refusal arrive.
+        self._set_timer(LINGER_S, self.conn.stream.close)
 
-    def _set_timer(self, seconds: float, action: Action) -> None:
+    def _set_timer(self, seconds: float, callback: TimerCallback) -> None:
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(seconds, action)
+        self._timer = loop.call_later(seconds, callback)
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
@@ -203,7 +203,7 @@
     return None
 
 
-def _raw_answer(refusal: Refusal) -> bytes:
+def _raw_response(refusal: Refusal) -> bytes:
     body = refusal.body()
     lines = [
         f'HTTP/1.1 {refusal.status} Refused',
--- a/src/balsamreach/gateway/health.py
+++ b/src/balsamreach/gateway/health.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from balsamreach.gateway.json_errors import JsonErrors
+from balsamreach.gateway.json_errors import JsonErrorHandler
 from balsamreach.telemetry.metrics import CONTENT_TYPE, Metrics
 
 
-class HealthHandler(JsonErrors):
+class HealthHandler(JsonErrorHandler):
     """``GET /healthz``: whether the process runs its event loop."""
 
     def get(self) -> None:
@@ -17,7 +17,7 @@
     head = get
 
 
-class ReadyHandler(JsonErrors):
+class ReadyHandler(JsonErrorHandler):
     """``GET /readyz``: whether new requests should be sent here."""
 
     def initialize(self, state: Callable[[], str]) -> None:
@@ -34,7 +34,7 @@
     head = get
 
 
-class MetricsHandler(JsonErrors):
+class MetricsHandler(JsonErrorHandler):
     """``GET /metrics``: all metrics in the Prometheus text format."""
 
     def initialize(self, metrics: Metrics) -> None:
--- a/src/balsamreach/gateway/json_errors.py
+++ b/src/balsamreach/gateway/json_errors.py
@@ -13,7 +13,7 @@
 from balsamreach.gateway.refusals import from_status, send_refusal
 
 
-class JsonErrors(RequestHandler):
+class JsonErrorHandler(RequestHandler):
     """Handler that sends every error as a JSON refusal, never as HTML."""
 
     def set_default_headers(self) -> None:
@@ -22,8 +22,8 @@
 
     def write_error(self, status_code: int, **_kwargs: Any) -> None:
         """Send an error raised by the framework as a refusal."""
-        send_refusal(self, from_status(status_code, self.ran()))
+        send_refusal(self, from_status(status_code, self.execution_status()))
 
-    def ran(self) -> str:
+    def execution_status(self) -> str:
         """Return whether the request may have run."""
         return NOT_RUN
--- a/src/balsamreach/gateway/bodies.py
+++ b/src/balsamreach/gateway/json_parser.py
@@ -9,10 +9,10 @@
 
 #: Deeper than any client library nests. The limit of an engine's parser
 #: differs between engines, and a deeper body could crash one of them.
-MOST_DEPTH = 64
+MAX_DEPTH = 64
 
 
-def read_json(raw: bytes) -> dict[str, Any] | Refusal:
+def parse_json(raw: bytes) -> dict[str, Any] | Refusal:
     """Parse a JSON object.
 
     Parameters
@@ -34,9 +34,9 @@
     try:
         body = json.loads(
             text,
-            object_pairs_hook=_unique,
-            parse_constant=_no_constant,
-            parse_float=_finite,
+            object_pairs_hook=_reject_duplicate_keys,
+            parse_constant=_reject_constant,
+            parse_float=_parse_finite_float,
         )
     except RecursionError:
         return _malformed('the body is nested too deeply')
@@ -44,7 +44,7 @@
         return _malformed(f'the body is not JSON: {exc}')
     if not isinstance(body, dict):
         return _malformed('the body must be a JSON object')
-    if _is_deep(body):
+    if _exceeds_max_depth(body):
         return _malformed('the body is nested too deeply')
     return body
 
@@ -53,7 +53,7 @@
     return Refusal(HTTPStatus.BAD_REQUEST, 'malformed_json', message)
 
 
-def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     # With duplicate keys, the router could reserve tokens by one value while
     # the engine uses the other.
     body = dict(pairs)
@@ -62,30 +62,30 @@
     return body
 
 
-def _no_constant(name: str) -> float:
+def _reject_constant(name: str) -> float:
     raise ValueError(f'{name} is not a JSON number')
 
 
-def _finite(text: str) -> float:
+def _parse_finite_float(text: str) -> float:
     number = float(text)
     if math.isinf(number):
         raise ValueError(f'{text} is too large')
     return number
 
 
-def _is_deep(body: dict[str, Any]) -> bool:
+def _exceeds_max_depth(body: dict[str, Any]) -> bool:
     level: list[Any] = [body]
-    for _ in range(MOST_DEPTH):
+    for _ in range(MAX_DEPTH):
         level = [
-            inner
-            for outer in level
-            for inner in _inside(outer)
-            if isinstance(inner, (dict, list))
+            child
+            for container in level
+            for child in _children(container)
+            if isinstance(child, (dict, list))
         ]
         if not level:
             return False
     return True
 
 
-def _inside(outer: Any) -> Any:
-    return outer.values() if isinstance(outer, dict) else outer
+def _children(container: Any) -> Any:
+    return container.values() if isinstance(container, dict) else container
--- a/src/balsamreach/gateway/models_handler.py
+++ b/src/balsamreach/gateway/models_handler.py
@@ -18,7 +18,7 @@
         if isinstance(team, Refusal):
             self.refuse(team)
             return
-        models = [_describe(model) for model in self._names(team)]
+        models = [_describe(model) for model in self._model_names(team)]
         if name is None:
             self.finish({'object': 'list', 'data': models})
             return
@@ -31,11 +31,11 @@
                 HTTPStatus.NOT_FOUND,
                 'unknown_model',
                 f'no model {name!r} is open to this team',
-                by_table=True,
+                relies_on_table=True,
             )
         )
 
-    def _names(self, team: TeamRow) -> tuple[str, ...]:
+    def _model_names(self, team: TeamRow) -> tuple[str, ...]:
         names = self.context.view.models()
         if team.models:
             return tuple(name for name in names if name in team.models)
--- a/src/balsamreach/gateway/operators_base.py
+++ b/src/balsamreach/gateway/operators_base.py
@@ -88,7 +88,7 @@
         """Send an error raised by Tornado as JSON."""
         self.finish({'error': {'code': 'http', 'message': self._reason}})
 
-    def body(self) -> dict[str, Any] | None:
+    def json_body(self) -> dict[str, Any] | None:
         """Parse the body as a JSON object; send a refusal if it isn't one."""
         try:
             body = json.loads(self.request.body)
@@ -101,7 +101,7 @@
         )
         return None
 
-    def whole(self, name: str, default: int) -> int:
+    def int_argument(self, name: str, default: int) -> int:
         """Return a non-negative integer from the query, or the default."""
         text = self.get_query_argument(name, '')
         return int(text) if text.isascii() and text.isdigit() else default
@@ -116,15 +116,15 @@
         'error': {'code': fault.code, 'message': fault.reason},
     }
     if fault.row is not None:
-        described['row'] = shown(attrs.asdict(fault.row))
+        described['row'] = with_short_key(attrs.asdict(fault.row))
     return described
 
 
-def full_key(kind: str, name: str) -> str:
+def row_key(kind: str, name: str) -> str:
     """Return the key of a row in the table service."""
     return f'{TABLE_PREFIX}{kind}/{name}'
 
 
-def shown(row: dict[str, Any]) -> dict[str, Any]:
+def with_short_key(row: dict[str, Any]) -> dict[str, Any]:
     """Return a row with its key in the form used by operators."""
     return {**row, 'key': row['key'].removeprefix(TABLE_PREFIX)}
--- a/src/balsamreach/gateway/operators_edits.py
+++ b/src/balsamreach/gateway/operators_edits.py
@@ -9,15 +9,15 @@
 from balsamreach.table.faults import BAD_ROW, TableFault
 
 _AUTHOR_LIMIT = 64
-_DIGEST_SHOWN = 8
-_LARGEST = 2**53
-_KNOWN = frozenset(
+_DIGEST_CHARS = 8
+_MAX_TOP_UP = 2**53
+_EDIT_KEYS = frozenset(
     ('edit_id', 'author', 'key', 'version', 'fields', 'top_up', 'delete'),
 )
 
 
 @attrs.frozen
-class Reading:
+class EditParser:
     """Parses the edits of one request.
 
     Parameters
@@ -28,14 +28,14 @@
 
     key_digest: str
 
-    def read(self, key: str, sent: Any) -> Edit | TableFault:
+    def parse(self, key: str, edit: Any) -> Edit | TableFault:
         """Parse and validate one edit.
 
         Parameters
         ----------
         key : str
             Full key of the row.
-        sent : object
+        edit : object
             Decoded JSON that the operator sent.
 
         Returns
@@ -43,22 +43,22 @@
         Edit or TableFault
             The edit, or BAD_ROW with what is wrong.
         """
-        flaw = _flaw(sent)
-        if flaw:
-            return BAD_ROW.because(flaw)
+        error = _find_error(edit)
+        if error:
+            return BAD_ROW.because(error)
         return Edit(
-            edit_id=sent.get('edit_id') or uuid.uuid4().hex,
-            author=self._author(sent.get('author', 'operator')),
+            edit_id=edit.get('edit_id') or uuid.uuid4().hex,
+            author=self._author(edit.get('author', 'operator')),
             key=key,
-            version=sent.get('version', -1),
-            fields=None if sent.get('delete') else sent.get('fields'),
-            top_up=sent.get('top_up', 0),
+            version=edit.get('version', -1),
+            fields=None if edit.get('delete') else edit.get('fields'),
+            top_up=edit.get('top_up', 0),
         )
 
     def _author(self, name: str) -> str:
         # The name is chosen freely by the sender. Only the key identifies
         # the operator, so the history shows which key was used.
-        return f'{name} (key {self.key_digest[:_DIGEST_SHOWN]})'
+        return f'{name} (key {self.key_digest[:_DIGEST_CHARS]})'
 
 
 def describe_outcome(edit: Edit, outcome: Accepted) -> dict[str, Any]:
@@ -66,43 +66,43 @@
     return {'edit_id': edit.edit_id, **attrs.asdict(outcome)}
 
 
-def _flaw(sent: Any) -> str:
-    if not isinstance(sent, dict):
+def _find_error(edit: Any) -> str:
+    if not isinstance(edit, dict):
         return 'an edit must be a JSON object'
-    unknown = sorted(set(sent) - _KNOWN)
+    unknown = sorted(set(edit) - _EDIT_KEYS)
     if unknown:
         listed = ', '.join(unknown)
         return f'{listed}: unknown key in an edit'
-    return _flaw_in_marks(sent) or _flaw_in_change(sent)
+    return _metadata_error(edit) or _change_error(edit)
 
 
-def _flaw_in_marks(sent: dict[str, Any]) -> str:
-    if not isinstance(sent.get('edit_id', ''), str):
+def _metadata_error(edit: dict[str, Any]) -> str:
+    if not isinstance(edit.get('edit_id', ''), str):
         return 'edit_id: must be a string'
-    author = sent.get('author', '')
+    author = edit.get('author', '')
     if not isinstance(author, str) or len(author) > _AUTHOR_LIMIT:
         return 'author: must be a string of at most 64 characters'
     return '' if author.isprintable() else 'author: must be printable'
 
 
-def _flaw_in_change(sent: dict[str, Any]) -> str:
-    wanted = [
-        sent.get('fields') is not None,
-        sent.get('delete', False),
-        'top_up' in sent,
+def _change_error(edit: dict[str, Any]) -> str:
+    changes = [
+        edit.get('fields') is not None,
+        edit.get('delete', False),
+        'top_up' in edit,
     ]
-    if sum(map(bool, wanted)) != 1:
+    if sum(map(bool, changes)) != 1:
         return 'send exactly one of fields, top_up and "delete": true'
-    if 'fields' in sent and not isinstance(sent['fields'], dict):
+    if 'fields' in edit and not isinstance(edit['fields'], dict):
         return 'fields: must be a JSON object'
-    if 'top_up' in sent:
-        top_up = sent['top_up']
-        whole = _is_whole(top_up) and 0 < top_up <= _LARGEST
-        return '' if whole else 'top_up: must be an integer from 1 to 2**53'
-    if not _is_whole(sent.get('version')) or sent['version'] < -1:
+    if 'top_up' in edit:
+        top_up = edit['top_up']
+        is_valid = _is_int(top_up) and 0 < top_up <= _MAX_TOP_UP
+        return '' if is_valid else 'top_up: must be an integer from 1 to 2**53'
+    if not _is_int(edit.get('version')) or edit['version'] < -1:
         return 'version: must be the version you read, or 0 for a new row'
     return ''
 
 
-def _is_whole(number: Any) -> bool:
+def _is_int(number: Any) -> bool:
     return isinstance(number, int) and not isinstance(number, bool)
--- a/src/balsamreach/gateway/operators_lowering.py
+++ b/src/balsamreach/gateway/operators_lowering.py
@@ -7,7 +7,7 @@
 from balsamreach.table.editor import Outcome
 from balsamreach.table.edits import Edit
 
-_MOST_HOSTS = 5
+_MAX_LISTED_HOSTS = 5
 
 
 async def apply_edit(context: OperatorContext, edit: Edit) -> Outcome:
@@ -40,22 +40,22 @@
 
 
 def _explain(team: str, out: Outstanding) -> str:
-    said = [
+    sentences = [
         f'{team} can be lowered to {out.taken} now: {out.spent} are spent',
     ]
-    hosts = [f'{one.held} at {one.host}' for one in out.holdings]
+    hosts = [f'{holding.held} at {holding.host}' for holding in out.holdings]
     if hosts:
-        shown = ', '.join(hosts[:_MOST_HOSTS])
-        more = len(hosts) - _MOST_HOSTS
+        listed = ', '.join(hosts[:_MAX_LISTED_HOSTS])
+        more = len(hosts) - _MAX_LISTED_HOSTS
         rest = f' and {more} more' if more > 0 else ''
-        said.append(
-            f'held for requests in progress: {shown}{rest}; '
+        sentences.append(
+            f'held for requests in progress: {listed}{rest}; '
             'ask again when these have ended',
         )
     if out.elsewhere:
-        said.append(
+        sentences.append(
             f'{out.elsewhere} at routers that are gone or did not answer; '
             'see `balsamreach audit`, and `balsamreach budget release` for '
             'those that are gone',
         )
-    return '; '.join(said)
+    return '; '.join(sentences)
--- a/src/balsamreach/gateway/operators_peers.py
+++ b/src/balsamreach/gateway/operators_peers.py
@@ -18,12 +18,13 @@
     def get(self) -> None:
         """Send the list of routers."""
         net = self.net
-        linked = {member.incarnation for member in net.neighbours()}
+        connected = {member.incarnation for member in net.neighbours()}
         self.finish(
             {
-                'me': _shown(net.me),
+                'me': _describe(net.me),
                 'members': [
-                    _shown(member) | {'linked': member.incarnation in linked}
+                    _describe(member)
+                    | {'linked': member.incarnation in connected}
                     for member in sorted(net.members(), key=_by_address)
                     if member.incarnation != net.me.incarnation
                 ],
@@ -40,7 +41,7 @@
     return member.address
 
 
-def _shown(member: Member) -> dict[str, object]:
+def _describe(member: Member) -> dict[str, object]:
     return {
         'incarnation': member.incarnation,
         'host': member.host,
--- a/src/balsamreach/gateway/operators_quarantine.py
+++ b/src/balsamreach/gateway/operators_quarantine.py
@@ -23,11 +23,11 @@
 
     def get(self) -> None:
         """Send the quarantined requests and the targets they crashed."""
-        held = [
+        entries = [
             attrs.asdict(entry)
             for entry in self.quarantine.quarantined_requests()
         ]
-        self.finish({'quarantine': held})
+        self.finish({'quarantine': entries})
 
 
 class QuarantineHandler(QuarantineListHandler):
--- a/src/balsamreach/gateway/operators_table.py
+++ b/src/balsamreach/gateway/operators_table.py
@@ -7,10 +7,10 @@
 from balsamreach.gateway.operators_base import (
     OperatorHandler,
     describe_fault,
-    full_key,
-    shown,
+    row_key,
+    with_short_key,
 )
-from balsamreach.gateway.operators_edits import Reading, describe_outcome
+from balsamreach.gateway.operators_edits import EditParser, describe_outcome
 from balsamreach.gateway.operators_lowering import apply_edit
 from balsamreach.services.base import Scan
 from balsamreach.services.faults import PlatformFault
@@ -21,8 +21,8 @@
 from balsamreach.table.history import read_history
 from balsamreach.table.rows import TABLE_PREFIX
 
-LARGEST_PAGE = 1000
-_HISTORY_PAGE = 20
+MAX_PAGE_ROWS = 1000
+_DEFAULT_HISTORY_ENTRIES = 20
 
 
 class TableHandler(OperatorHandler):
@@ -31,19 +31,19 @@
     async def get(self) -> None:
         """Send the rows that follow the key ``after``."""
         after = self.get_query_argument('after', '')
-        wanted = self.whole('limit', LARGEST_PAGE)
+        requested = self.int_argument('limit', MAX_PAGE_ROWS)
         prefix = TABLE_PREFIX + self.get_query_argument('prefix', '')
         page = await self.context.service.scan(
             Scan(
                 prefix,
                 after=TABLE_PREFIX + after if after else '',
-                limit=min(max(wanted, 1), LARGEST_PAGE),
+                limit=min(max(requested, 1), MAX_PAGE_ROWS),
             ),
         )
         if isinstance(page, PlatformFault):
             self.refuse_fault(faults.TABLE_AWAY.because(page.code))
             return
-        rows = [shown(attrs.asdict(row)) for row in page.rows]
+        rows = [with_short_key(attrs.asdict(row)) for row in page.rows]
         self.finish({'rows': rows, 'more': page.more})
 
 
@@ -52,28 +52,28 @@
 
     async def get(self, kind: str, name: str) -> None:
         """Send the committed row."""
-        read = await self.context.service.read((full_key(kind, name),))
+        read = await self.context.service.read((row_key(kind, name),))
         if isinstance(read, PlatformFault):
             self.refuse_fault(faults.TABLE_AWAY.because(read.code))
         elif read[0].value is None:
             self.refuse_fault(faults.NO_ROW.because(f'no {kind} {name}'))
         else:
-            self.finish(shown(attrs.asdict(read[0])))
+            self.finish(with_short_key(attrs.asdict(read[0])))
 
     async def patch(self, kind: str, name: str) -> None:
         """Change fields of a row or top up its budget."""
-        body = self.body()
+        body = self.json_body()
         if body is not None:
-            await self._edit(full_key(kind, name), body)
+            await self._edit(row_key(kind, name), body)
 
     async def delete(self, kind: str, name: str) -> None:
         """Delete a row if its version is the one given in the body."""
-        body = self.body()
+        body = self.json_body()
         if body is not None:
-            await self._edit(full_key(kind, name), body | {'delete': True})
+            await self._edit(row_key(kind, name), body | {'delete': True})
 
     async def _edit(self, key: str, body: dict[str, object]) -> None:
-        edit = Reading(self.key_digest).read(key, body)
+        edit = EditParser(self.key_digest).parse(key, body)
         if isinstance(edit, TableFault):
             self.refuse_fault(edit)
             return
@@ -89,7 +89,7 @@
 
     async def post(self) -> None:
         """Send the rows, all as committed at the same instant."""
-        body = self.body()
+        body = self.json_body()
         if body is None:
             return
         keys = body.get('keys')
@@ -106,7 +106,9 @@
         if isinstance(read, PlatformFault):
             self.refuse_fault(faults.TABLE_AWAY.because(read.code))
             return
-        self.finish({'rows': [shown(attrs.asdict(row)) for row in read]})
+        self.finish(
+            {'rows': [with_short_key(attrs.asdict(row)) for row in read]}
+        )
 
 
 class EditsHandler(OperatorHandler):
@@ -114,26 +116,26 @@
 
     async def post(self) -> None:
         """Apply edits of different rows and send the outcome of each."""
-        body = self.body()
+        body = self.json_body()
         if body is None:
             return
         sent = body.get('edits')
-        flaw = _flaw_in_batch(sent)
-        if flaw:
-            self.refuse(HTTPStatus.BAD_REQUEST, 'invalid_batch', flaw)
+        error = _batch_error(sent)
+        if error:
+            self.refuse(HTTPStatus.BAD_REQUEST, 'invalid_batch', error)
             return
         self.finish({'outcomes': await self._apply(sent)})
 
     async def _apply(self, sent: list[dict[str, object]]) -> list[object]:
-        reading = Reading(self.key_digest)
+        parser = EditParser(self.key_digest)
         edits = [
-            reading.read(TABLE_PREFIX + str(edit['key']), edit) for edit in sent
+            parser.parse(TABLE_PREFIX + str(edit['key']), edit) for edit in sent
         ]
-        sound = tuple(
+        valid = tuple(
             edit for edit in edits if not isinstance(edit, TableFault)
         )
-        applied = await self.context.editor.apply_all(sound)
-        outcomes = iter(zip(sound, applied, strict=True))
+        applied = await self.context.editor.apply_all(valid)
+        outcomes = iter(zip(valid, applied, strict=True))
         return [
             describe_fault(edit)
             if isinstance(edit, TableFault)
@@ -151,7 +153,7 @@
             self.context.service,
             self.get_query_argument('key'),
             self.get_query_argument('after', ''),
-            self.whole('limit', _HISTORY_PAGE),
+            self.int_argument('limit', _DEFAULT_HISTORY_ENTRIES),
         )
         if isinstance(page, TableFault):
             self.refuse_fault(page)
@@ -171,13 +173,13 @@
     return all(isinstance(key, str) for key in keys)
 
 
-def _flaw_in_batch(sent: object) -> str:
+def _batch_error(sent: object) -> str:
     if not isinstance(sent, list) or not 0 < len(sent) <= LARGEST_BATCH:
         return f'edits: must be a list of 1 to {LARGEST_BATCH} edits'
     if not all(isinstance(edit, dict) and 'key' in edit for edit in sent):
         return 'edits: each must be a JSON object with a key'
     for name in ('key', 'edit_id'):
-        named = [str(edit[name]) for edit in sent if name in edit]
-        if len(set(named)) < len(named):
+        values = [str(edit[name]) for edit in sent if name in edit]
+        if len(set(values)) < len(values):
             return f'{name}: must be unique within one request'
     return ''
--- a/src/balsamreach/gateway/operators_targets.py
+++ b/src/balsamreach/gateway/operators_targets.py
@@ -34,11 +34,16 @@
         now = self.watched.clock.now()
         by_name = self.watched.targets.by_name
         self.finish(
-            {'targets': [show(by_name[name], now) for name in sorted(by_name)]}
+            {
+                'targets': [
+                    describe_target(by_name[name], now)
+                    for name in sorted(by_name)
+                ]
+            }
         )
 
 
-def show(target: Target, now: float) -> dict[str, Any]:
+def describe_target(target: Target, now: float) -> dict[str, Any]:
     """Return the JSON object that describes a target to operators."""
     report = target.report
     hold = target.hold
--- a/src/balsamreach/gateway/probes.py
+++ b/src/balsamreach/gateway/probes.py
@@ -16,7 +16,7 @@
 
 from balsamreach.telemetry.metrics import CONTENT_TYPE, Metrics
 
-_METRICS = '/metrics'
+_METRICS_PATH = '/metrics'
 _JSON = 'application/json'
 _READY = 'ready'
 _METHODS = frozenset(('GET', 'HEAD'))
@@ -45,14 +45,14 @@
         if request.method not in _METHODS:
             _answer(request, HTTPStatus.METHOD_NOT_ALLOWED, _JSON, b'{}')
         elif request.path == self.ready_path:
-            self._tell_state(request)
-        elif request.path == _METRICS:
+            self._answer_ready(request)
+        elif request.path == _METRICS_PATH:
             body = self.metrics.render().encode()
             _answer(request, HTTPStatus.OK, CONTENT_TYPE, body)
         else:
             _answer(request, HTTPStatus.NOT_FOUND, _JSON, b'{}')
 
-    def _tell_state(self, request: HTTPServerRequest) -> None:
+    def _answer_ready(self, request: HTTPServerRequest) -> None:
         state = self.state()
         status = HTTPStatus.OK
         if state != _READY:
@@ -71,6 +71,6 @@
     headers['Content-Type'] = content_type
     headers['Content-Length'] = str(len(body))
     line = ResponseStartLine('HTTP/1.1', status.value, status.phrase)
-    shown = b'' if request.method == 'HEAD' else body
-    request.connection.write_headers(line, headers, shown)
+    payload = b'' if request.method == 'HEAD' else body
+    request.connection.write_headers(line, headers, payload)
     request.connection.finish()
--- a/src/balsamreach/gateway/prompts.py
+++ b/src/balsamreach/gateway/prompts.py
@@ -9,19 +9,19 @@
 from balsamreach.gateway.refusals import Refusal, invalid_request
 
 #: Maximum tokens that a chat template adds per message.
-MESSAGE_OVERHEAD = 16
+MESSAGE_OVERHEAD_TOKENS = 16
 #: Part types whose token count does not depend on the size of their JSON.
-MEDIA = frozenset(('image_url', 'input_audio', 'video_url', 'file'))
-TEXTS = frozenset(('text', 'refusal'))
+MEDIA_TYPES = frozenset(('image_url', 'input_audio', 'video_url', 'file'))
+TEXT_TYPES = frozenset(('text', 'refusal'))
 
 _BYTES_PER_TOKEN = 4
-_PREFIX_LIMIT = 8192
+_MAX_PREFIX_BYTES = 8192
 _ROLES = ('assistant', 'developer', 'function', 'system', 'tool', 'user')
 #: Keys that chat templates put before the messages.
-_LEADING = frozenset(('functions', 'tools'))
+_PREFIX_KEYS = frozenset(('functions', 'tools'))
 #: Keys that are skipped: the messages are measured separately, and the others
 #: never become part of the prompt.
-_OUTSIDE = frozenset(('messages', 'model', 'stream_options', 'metadata'))
+_SKIPPED_KEYS = frozenset(('messages', 'model', 'stream_options', 'metadata'))
 
 
 @attrs.define
@@ -49,27 +49,27 @@
     prefix: bytes = b''
 
     @property
-    def most_tokens(self) -> int:
+    def max_tokens(self) -> int:
         """Maximum tokens: each token of text has at least one byte."""
-        overhead = MESSAGE_OVERHEAD * self.messages
+        overhead = MESSAGE_OVERHEAD_TOKENS * self.messages
         return self.size + overhead + self.media * self.part_tokens
 
     @property
-    def likely_tokens(self) -> int:
+    def estimated_tokens(self) -> int:
         """Estimated tokens, at least 1."""
         text = self.size // _BYTES_PER_TOKEN
         return max(1, text + self.media * self.part_tokens)
 
-    def add(self, text: bytes, *, leads: bool = True) -> None:
-        """Add text to the size, and to the prefix if ``leads`` is true.
+    def add(self, text: bytes, *, in_prefix: bool = True) -> None:
+        """Add text to the size, and to the prefix if ``in_prefix`` is true.
 
         A field such as ``user`` counts in the maximum. In the prefix it
         would route the requests of different users to different engines,
         away from the one that has their common beginning in its cache.
         """
         self.size += len(text)
-        if leads and len(self.prefix) < _PREFIX_LIMIT:
-            self.prefix = (self.prefix + text)[:_PREFIX_LIMIT]
+        if in_prefix and len(self.prefix) < _MAX_PREFIX_BYTES:
+            self.prefix = (self.prefix + text)[:_MAX_PREFIX_BYTES]
 
 
 def measure_prompt(
@@ -92,8 +92,8 @@
     """
     prompt = Prompt(part_tokens)
     for name, field in sorted(body.items()):
-        if name not in _OUTSIDE and isinstance(field, (dict, list, str)):
-            prompt.add(_encode(field), leads=name in _LEADING)
+        if name not in _SKIPPED_KEYS and isinstance(field, (dict, list, str)):
+            prompt.add(_encode(field), in_prefix=name in _PREFIX_KEYS)
     for message in body['messages']:
         prompt.messages += 1
         refusal = _add_message(prompt, message)
@@ -131,10 +131,10 @@
         return invalid_request(
             'each part of content must be an object with a type'
         )
-    if kind in MEDIA:
+    if kind in MEDIA_TYPES:
         prompt.media += 1
         return None
-    if kind not in TEXTS:
+    if kind not in TEXT_TYPES:
         return invalid_request(f'parts of type {kind!r} are not supported')
     text = part.get(kind)
     if not isinstance(text, str):
--- a/src/balsamreach/gateway/refusals.py
+++ b/src/balsamreach/gateway/refusals.py
@@ -10,7 +10,7 @@
 from balsamreach.dispatch import faults
 from balsamreach.dispatch.faults import DispatchFault
 
-_STATUS = {
+_STATUS_OF_FAULT = {
     faults.BUDGET_EXHAUSTED: 402,
     faults.BUDGET_UNREACHABLE: 503,
     faults.NO_TARGET: 503,
@@ -53,7 +53,7 @@
         Seconds until a retry makes sense; 0 for never.
     repeatable : bool
         Whether a retry is recognized as the same request.
-    by_table : bool
+    relies_on_table : bool
         Whether the reason is a missing row, so that a newer table may allow
         the request.
     """
@@ -64,7 +64,7 @@
     ran: str = faults.NOT_RUN
     retry_after: float = 0
     repeatable: bool = True
-    by_table: bool = False
+    relies_on_table: bool = False
 
     def body(self) -> bytes:
         """Return the JSON body, in the format of the OpenAI API."""
@@ -118,7 +118,7 @@
     'the body did not arrive in time',
     retry_after=1,
 )
-_BY_STATUS = {
+_REFUSAL_OF_STATUS = {
     404: Refusal(404, 'unknown_path', 'there is nothing at this path'),
     405: Refusal(
         405, 'method_not_allowed', 'this path does not allow the method'
@@ -141,7 +141,7 @@
     ran : str
         Whether the request ran: ``no`` or ``unknown``.
     """
-    known = _BY_STATUS.get(status)
+    known = _REFUSAL_OF_STATUS.get(status)
     if known is not None:
         return known
     if status < _DEFAULT_STATUS:
@@ -151,7 +151,7 @@
 
 def from_fault(fault: DispatchFault) -> Refusal:
     """Return the refusal for a dispatch fault."""
-    status = _STATUS.get(fault, _DEFAULT_STATUS)
+    status = _STATUS_OF_FAULT.get(fault, _DEFAULT_STATUS)
     message = fault.reason or fault.code.replace('_', ' ')
     return Refusal(status, fault.code, message, fault.ran, fault.retry_after)
 
@@ -159,8 +159,8 @@
 def send_refusal(handler: RequestHandler, refusal: Refusal) -> None:
     """Send a refusal as the response and finish it."""
     handler.set_status(refusal.status)
-    for name, text in refusal.headers().items():
-        handler.set_header(name, text)
+    for name, value in refusal.headers().items():
+        handler.set_header(name, value)
     handler.finish(refusal.body())
 
 
--- a/src/balsamreach/gateway/relay_curl.py
+++ b/src/balsamreach/gateway/relay_curl.py
@@ -14,9 +14,9 @@
 #: Idle seconds after which a pooled connection is no longer reused. Targets
 #: close idle connections after a few seconds, and a request sent at that
 #: moment is lost.
-_IDLE_S = 3
+_MAX_IDLE_S = 3
 #: Headers that curl adds by default.
-_CURL_ADDS = ('Accept', 'User-Agent', 'Content-Type', 'Expect')
+_CURL_DEFAULT_HEADERS = ('Accept', 'User-Agent', 'Content-Type', 'Expect')
 
 
 @attrs.define
@@ -53,7 +53,7 @@
         curl: pycurl.Curl,
         transfer: Transfer,
     ) -> None:
-        _set_place(curl, outgoing)
+        _set_url(curl, outgoing)
         _set_method(curl, outgoing)
         curl.setopt(pycurl.HTTPHEADER, _header_lines(outgoing.headers))
         self._set_reuse(curl, outgoing)
@@ -62,12 +62,12 @@
     def _set_reuse(self, curl: pycurl.Curl, outgoing: Outgoing) -> None:
         connect_ms = int(self.connect_timeout * _MS)
         curl.setopt(pycurl.CONNECTTIMEOUT_MS, connect_ms)
-        curl.setopt(pycurl.MAXAGE_CONN, _IDLE_S)
+        curl.setopt(pycurl.MAXAGE_CONN, _MAX_IDLE_S)
         if outgoing.new_connection:
             curl.setopt(pycurl.FRESH_CONNECT, 1)
 
 
-def _set_place(curl: pycurl.Curl, outgoing: Outgoing) -> None:
+def _set_url(curl: pycurl.Curl, outgoing: Outgoing) -> None:
     url = f'http://{outgoing.target.address}{outgoing.path}'
     curl.setopt(pycurl.URL, url)
     # Targets are addressed directly, even if the environment names a proxy.
@@ -92,5 +92,7 @@
     lines = [
         f'{name}: {text}' if text else f'{name};' for name, text in headers
     ]
-    dropped = (name for name in _CURL_ADDS if name.lower() not in present)
-    return [*lines, *(f'{name}:' for name in dropped)]
+    suppressed = (
+        name for name in _CURL_DEFAULT_HEADERS if name.lower() not in present
+    )
+    return [*lines, *(f'{name}:' for name in suppressed)]
--- a/src/balsamreach/gateway/relay_server.py
+++ b/src/balsamreach/gateway/relay_server.py
@@ -23,7 +23,7 @@
 from balsamreach.relay.codec import CallerRequest
 
 #: Maximum bytes buffered for a caller before reading from the target pauses.
-_MOST_WAITING = 256 * 1024
+_MAX_BUFFERED_BYTES = 256 * 1024
 
 #: Answers a request; its task is cancelled if the connection closes.
 Answerer = Callable[[CallerRequest, CallerResponse], Awaitable[None]]
@@ -36,25 +36,25 @@
     ----------
     conn : HTTP1Connection
         The caller's connection.
-    closing : callable
+    closes_after : callable
         Returns whether the connection closes after this response.
     """
 
     def __init__(
         self,
         conn: HTTP1Connection,
-        closing: Callable[[], bool],
+        closes_after: Callable[[], bool],
     ) -> None:
         self._conn = conn
-        self._closing = closing
-        self._waiting = 0
+        self._closes_after = closes_after
+        self._buffered_bytes = 0
         self.started = False
         self.ended = False
 
     @property
     def should_pause(self) -> bool:
         """Whether too many bytes wait for the caller."""
-        return self._waiting > _MOST_WAITING
+        return self._buffered_bytes > _MAX_BUFFERED_BYTES
 
     def start(self, status: int, headers: Sequence[tuple[str, str]]) -> None:
         """Send the status line and the headers."""
@@ -62,17 +62,17 @@
         lines = HTTPHeaders()
         for name, text in headers:
             lines.add(name, text)
-        if self._closing():
+        if self._closes_after():
             lines['Connection'] = 'close'
         line = ResponseStartLine('HTTP/1.1', status, _phrase(status))
         if not self._conn.stream.closed():
             self._conn.stream.set_nodelay(True)
-        self._note(0, self._conn.write_headers(line, lines))
+        self._track_write(0, self._conn.write_headers(line, lines))
 
     def write(self, chunk: bytes) -> None:
         """Send bytes of the body."""
         if chunk and not self._conn.stream.closed():
-            self._note(len(chunk), self._conn.write(chunk))
+            self._track_write(len(chunk), self._conn.write(chunk))
 
     def finish(self) -> None:
         """Complete the response."""
@@ -85,12 +85,12 @@
         self.ended = True
         self._conn.stream.close()
 
-    def _note(self, size: int, written: asyncio.Future[None]) -> None:
-        self._waiting += size
-        written.add_done_callback(partial(self._written, size))
+    def _track_write(self, size: int, written: asyncio.Future[None]) -> None:
+        self._buffered_bytes += size
+        written.add_done_callback(partial(self._on_written, size))
 
-    def _written(self, size: int, written: asyncio.Future[None]) -> None:
-        self._waiting -= size
+    def _on_written(self, size: int, written: asyncio.Future[None]) -> None:
+        self._buffered_bytes -= size
         # The close callback handles a caller that disconnected. Retrieving
         # the exception only prevents the warning that it was never retrieved.
         if not written.cancelled():
@@ -128,8 +128,8 @@
     crowded: bool = False
     running: set[asyncio.Task] = attrs.field(factory=set)
     idle: set['RelayRequest'] = attrs.field(factory=set)
-    _known: weakref.WeakSet = attrs.field(factory=weakref.WeakSet)
-    _ending: weakref.WeakSet = attrs.field(factory=weakref.WeakSet)
+    _seen_connections: weakref.WeakSet = attrs.field(factory=weakref.WeakSet)
+    _closing_connections: weakref.WeakSet = attrs.field(factory=weakref.WeakSet)
 
     def start_request(
         self,
@@ -139,18 +139,18 @@
         """Return the delegate for a connection's next request."""
         assert isinstance(request_conn, HTTP1Connection)
         request = RelayRequest(self, request_conn, server_conn)
-        left = self.leaving and server_conn in self._known
-        if left or server_conn in self._ending:
+        left = self.leaving and server_conn in self._seen_connections
+        if left or server_conn in self._closing_connections:
             # The previous response said that it was the connection's last.
             request_conn.stream.close()
-        self._known.add(server_conn)
+        self._seen_connections.add(server_conn)
         self.idle.add(request)
         return request
 
-    def ends(self, server_conn: object) -> bool:
+    def closes_after_response(self, server_conn: object) -> bool:
         """Return whether a connection closes after the current response."""
         if self.crowded:
-            self._ending.add(server_conn)
+            self._closing_connections.add(server_conn)
         return self.leaving or self.crowded
 
     def leave(self) -> None:
@@ -190,7 +190,7 @@
         self._line: RequestStartLine | None = None
         self._headers: HTTPHeaders | None = None
         self._body = bytearray()
-        self._arrived = 0.0
+        self._arrived_at = 0.0
         self._task: asyncio.Task | None = None
 
     def headers_received(
@@ -202,7 +202,7 @@
         self.server.idle.discard(self)
         self._line = start_line
         self._headers = headers
-        self._arrived = self.server.clock.now()
+        self._arrived_at = self.server.clock.now()
         self.conn.set_max_body_size(self.server.body_limit())
         return None
 
@@ -223,11 +223,11 @@
             path=self._line.path,
             headers=tuple(self._headers.get_all()),
             body=bytes(self._body),
-            arrived=self._arrived,
+            arrived=self._arrived_at,
         )
         caller_response = ConnectionResponse(
             self.conn,
-            partial(self.server.ends, self._server_conn),
+            partial(self.server.closes_after_response, self._server_conn),
         )
         self._task = asyncio.ensure_future(
             self._answer(request, caller_response)
--- a/src/balsamreach/gateway/service_handler.py
+++ b/src/balsamreach/gateway/service_handler.py
@@ -5,13 +5,16 @@
 from urllib.parse import unquote
 
 from balsamreach.dispatch.call import Call
-from balsamreach.gateway.caller_handler import KEY_HEADER, CallerHandler
+from balsamreach.gateway.caller_handler import (
+    IDEMPOTENCY_KEY_HEADER,
+    CallerHandler,
+)
 from balsamreach.gateway.refusals import Refusal
 from balsamreach.requests.identity import RequestId
 from balsamreach.table.rows import PLAIN_SERVICE, TargetRow, TeamRow
 
 #: Headers that are forwarded to the target unchanged.
-_PASSED = ('Content-Type', 'Accept', 'Accept-Language')
+_FORWARDED_HEADERS = ('Content-Type', 'Accept', 'Accept-Language')
 
 
 class ServiceHandler(CallerHandler):
@@ -30,54 +33,57 @@
 
     async def prepare(self) -> None:
         """Run the call, whatever its method."""
-        await self.serve_call(self._read(*self.path_args))
+        await self.serve_call(self._read_call(*self.path_args))
 
-    def _read(self, service: str, path: str) -> Call | Refusal:
+    def _read_call(self, service: str, path: str) -> Call | Refusal:
         team = self.authenticate()
         if isinstance(team, Refusal):
             return team
-        workers = [
+        targets = [
             row
             for row in self.context.view.workers_of(service)
             if row.kind == PLAIN_SERVICE
         ]
-        if not workers:
+        if not targets:
             return Refusal(
                 HTTPStatus.NOT_FOUND,
                 'unknown_service',
                 f'there is no service {service!r}',
-                by_table=True,
+                relies_on_table=True,
             )
         req = self.identify(team)
         if isinstance(req, Refusal):
             return req
-        return self._make_call(team, req, workers, path)
+        return self._make_call(team, req, targets, path)
 
     def _make_call(
         self,
         team: TeamRow,
         req: RequestId,
-        workers: list[TargetRow],
+        targets: list[TargetRow],
         path: str,
     ) -> Call | Refusal:
-        terms = self.terms()
-        if isinstance(terms, Refusal):
-            return terms
+        options = self.call_options()
+        if isinstance(options, Refusal):
+            return options
         given = self.request.headers
-        passed = {name: given[name] for name in _PASSED if name in given}
+        forwarded = {
+            name: given[name] for name in _FORWARDED_HEADERS if name in given
+        }
         return Call(
             req=req,
             team=team,
             kind=PLAIN_SERVICE,
-            name=workers[0].service,
+            name=targets[0].service,
             method=self.request.method or '',
             path=_target_path(self.request.uri or ''),
-            headers=passed | {KEY_HEADER: req.key},
+            headers=forwarded | {IDEMPOTENCY_KEY_HEADER: req.key},
             body=self.request.body,
             stream=False,
-            idempotent=terms.idempotent and not _runs_once(workers, path),
-            reserved_tokens=max(row.price for row in workers),
-            deadline=self.received + terms.timeout,
+            idempotent=options.idempotent
+            and not _is_non_idempotent(targets, path),
+            reserved_tokens=max(row.price for row in targets),
+            deadline=self.received_at + options.timeout,
             trace=self.span,
         )
 
@@ -89,12 +95,12 @@
     return f'/{rest}'
 
 
-def _runs_once(workers: list[TargetRow], path: str) -> bool:
+def _is_non_idempotent(targets: list[TargetRow], path: str) -> bool:
     # A target treats "//certificate" and "./certificate" as "certificate".
     # Without normalization, a request with such a path could run twice.
-    plain = posixpath.normpath(f'/{unquote(path)}').lstrip('/').lower()
+    normalized = posixpath.normpath(f'/{unquote(path)}').lstrip('/').lower()
     return any(
-        plain.startswith(start.strip('/').lower())
-        for row in workers
-        for start in row.non_idempotent
+        normalized.startswith(prefix.strip('/').lower())
+        for row in targets
+        for prefix in row.non_idempotent
     )
--- a/src/balsamreach/gateway/sinks.py
+++ b/src/balsamreach/gateway/sinks.py
@@ -29,7 +29,7 @@
 
     Attributes
     ----------
-    first_at : float
+    first_byte_at : float
         Monotonic seconds at which the first byte was written, 0 before.
     started : bool
         Whether status and headers are set.
@@ -38,10 +38,10 @@
     def __init__(self, handler: RequestHandler, clock: Clock) -> None:
         self._handler = handler
         self._clock = clock
-        self.first_at: float = 0
+        self.first_byte_at: float = 0
         self._stream: IOStream | None = None
-        self._waiting: list[bytes] = []
-        self._waiting_size = 0
+        self._queue: list[bytes] = []
+        self._queue_size = 0
         self._writing = False
         self._has_length = False
         self.started = False
@@ -49,7 +49,7 @@
     @property
     def backlog(self) -> int:
         """Number of bytes that wait for the caller to read."""
-        return self._waiting_size
+        return self._queue_size
 
     def start(self, status: int, headers: dict[str, str]) -> None:
         """Set status and headers, which are sent with the first bytes."""
@@ -69,8 +69,8 @@
             return
         framed = b'%x\r\n%b\r\n' % (len(chunk), chunk)
         if self._writing:
-            self._waiting.append(framed)
-            self._waiting_size += len(framed)
+            self._queue.append(framed)
+            self._queue_size += len(framed)
         else:
             self._send(framed)
 
@@ -82,13 +82,13 @@
 
     def flush(self) -> None:
         """Write all queued bytes, so that the handler can finish."""
-        if self._waiting and self._stream is not None:
-            framed = self._take_waiting()
+        if self._queue and self._stream is not None:
+            framed = self._take_queue()
             self._stream.write(framed)
 
     def _write_first(self, chunk: bytes) -> None:
-        if not self.first_at:
-            self.first_at = self._clock.now()
+        if not self.first_byte_at:
+            self.first_byte_at = self._clock.now()
         self._handler.write(chunk)
         written = self._handler.flush()
         connection = self._handler.request.connection
@@ -102,7 +102,7 @@
         # acknowledged the previous one.
         if not self._stream.closed():
             self._stream.set_nodelay(True)
-        self._write_on_after(written)
+        self._track_write(written)
 
     def _send(self, framed: bytes) -> None:
         stream = self._stream
@@ -110,28 +110,28 @@
             return
         sent = _send_now(stream, framed)
         if sent < len(framed):
-            self._write_on_after(stream.write(framed[sent:]))
+            self._track_write(stream.write(framed[sent:]))
 
-    def _write_on_after(self, written: asyncio.Future[None]) -> None:
+    def _track_write(self, written: asyncio.Future[None]) -> None:
         # Only one write at a time is in the stream's buffer. The rest is
         # queued here and counted as backlog, so that reading from the target
         # pauses.
         if not written.done():
             self._writing = True
-            written.add_done_callback(self._write_on)
+            written.add_done_callback(self._on_written)
 
-    def _write_on(self, written: asyncio.Future[None]) -> None:
+    def _on_written(self, written: asyncio.Future[None]) -> None:
         self._writing = False
         # If the caller disconnected, the connection notifies the handler.
         if written.cancelled() or written.exception() is not None:
-            self._take_waiting()
-        elif self._waiting:
-            self._send(self._take_waiting())
-
-    def _take_waiting(self) -> bytes:
-        framed = b''.join(self._waiting)
-        self._waiting.clear()
-        self._waiting_size = 0
+            self._take_queue()
+        elif self._queue:
+            self._send(self._take_queue())
+
+    def _take_queue(self) -> bytes:
+        framed = b''.join(self._queue)
+        self._queue.clear()
+        self._queue_size = 0
         return framed
 
 
--- a/src/balsamreach/gateway/target_client.py
+++ b/src/balsamreach/gateway/target_client.py
@@ -28,7 +28,7 @@
 
 _MAX_CLIENTS = 64
 _CONNECTION_AGE_S = 30
-_FIRST_ERROR = 400
+_FIRST_ERROR_STATUS = 400
 _STORED = 'stored'
 _NO_CONNECTION = frozenset(
     (pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST),
@@ -141,14 +141,14 @@
         try:
             response = await self._client.fetch(request, raise_error=False)
         except CurlError as exc:
-            refused = exc.errno in _NO_CONNECTION
-            fault = UNREACHABLE if refused else NO_ANSWER
+            is_unreachable = exc.errno in _NO_CONNECTION
+            fault = UNREACHABLE if is_unreachable else NO_ANSWER
             return fault.because(str(exc))
         if self.on_head is not None:
-            named = response.headers.get_all()
-            headers = {name.lower(): text for name, text in named}
+            pairs = response.headers.get_all()
+            headers = {name.lower(): text for name, text in pairs}
             self.on_head(address, response.code, headers)
-        if response.code >= _FIRST_ERROR:
+        if response.code >= _FIRST_ERROR_STATUS:
             return REFUSED.because(f'the target answered {response.code}')
         try:
             return json.loads(response.body)
--- a/src/balsamreach/gateway/traced_upstream.py
+++ b/src/balsamreach/gateway/traced_upstream.py
@@ -15,7 +15,7 @@
 ATTEMPTS = 'balsamreach_attempts_total'
 ATTEMPT_SECONDS = 'balsamreach_attempt_seconds'
 
-_DONE = 'answered'
+_ANSWERED = 'answered'
 
 
 @attrs.define
@@ -42,19 +42,23 @@
         intake: Intake,
     ) -> UpstreamFault | None:
         """Send a request and pass the answer to the intake until it ends."""
-        began = self.clock.now()
+        started_at = self.clock.now()
         outcome = 'cancelled'
         try:
             with hops.hop('target', target=attempt.target.name) as span:
-                fault = await self.upstream.send(_carry(attempt), intake)
-                outcome = _DONE if fault is None else fault.code
+                fault = await self.upstream.send(
+                    _with_trace_headers(attempt), intake
+                )
+                outcome = _ANSWERED if fault is None else fault.code
                 span.set_attribute('outcome', outcome)
         finally:
-            self._measure(attempt.call.kind, outcome, began)
+            self._record_metrics(attempt.call.kind, outcome, started_at)
         return fault
 
-    def _measure(self, kind: str, outcome: str, began: float) -> None:
-        seconds = self.clock.now() - began
+    def _record_metrics(
+        self, kind: str, outcome: str, started_at: float
+    ) -> None:
+        seconds = self.clock.now() - started_at
         trail = hops.current()
         if trail is not None:
             trail.timing.target += seconds
@@ -62,7 +66,7 @@
         self.metrics.observe(ATTEMPT_SECONDS, seconds, kind=kind)
 
 
-def _carry(attempt: Attempt) -> Attempt:
+def _with_trace_headers(attempt: Attempt) -> Attempt:
     headers = attempt.call.headers | hops.current_headers()
     return attrs.evolve(
         attempt,
--- a/tests/test_gateway_callers.py
+++ b/tests/test_gateway_callers.py
@@ -9,7 +9,12 @@
 from parameterized import parameterized
 
 from balsamreach.clock import SystemClock
-from balsamreach.gateway.base import ADDED, FIRST_BYTE, REFUSALS, REQUESTS
+from balsamreach.gateway.base import (
+    ADDED_SECONDS,
+    FIRST_BYTE_SECONDS,
+    REFUSALS,
+    REQUESTS,
+)
 from balsamreach.table.rows import TeamRow
 from balsamreach.table.view import hash_key
 from tests.deployment import (
@@ -23,50 +28,61 @@
     until,
 )
 
-_CHAT = 'POST /v1/chat/completions'
-_ASK = {'model': MODEL, 'messages': [{'role': 'user', 'content': 'words=2'}]}
-_LIMIT = 2000
+_CHAT_LINE = 'POST /v1/chat/completions'
+_CHAT_REQUEST = {
+    'model': MODEL,
+    'messages': [{'role': 'user', 'content': 'words=2'}],
+}
+_BODY_LIMIT = 2000
 
 
-def _ask(**changes):
-    return json.dumps(_ASK | changes).encode()
+def _chat_body(**changes):
+    return json.dumps(_CHAT_REQUEST | changes).encode()
 
 
-def _content(part):
-    return _ask(messages=[{'role': 'user', 'content': [part]}])
+def _chat_body_with_part(part):
+    return _chat_body(messages=[{'role': 'user', 'content': [part]}])
 
 
-_NEST = 100
-_DEEP = b''.join((b'{"messages": ', b'[' * _NEST, b']' * _NEST, b'}'))
-_TWICE = b'{"model": "model-a", "model": "model-b", "messages": [{}]}'
-_JSON_CODE = 'malformed_json'
-_BODY_CODE = 'invalid_request'
+_NESTING_DEPTH = 100
+_DEEP_BODY = b''.join(
+    (b'{"messages": ', b'[' * _NESTING_DEPTH, b']' * _NESTING_DEPTH, b'}')
+)
+_DUPLICATE_KEY_BODY = (
+    b'{"model": "model-a", "model": "model-b", "messages": [{}]}'
+)
+_MALFORMED_JSON = 'malformed_json'
+_INVALID_REQUEST = 'invalid_request'
 
 #: Test name, body of a chat request, code of its refusal.
 _BAD_BODIES = (
-    ('not_json', b'{', _JSON_CODE),
-    ('no_body', b'', _JSON_CODE),
-    ('not_utf8', b'{"model": "\xff"}', _JSON_CODE),
-    ('no_object', b'[]', _JSON_CODE),
-    ('deep', _DEEP, _JSON_CODE),
-    ('key_twice', _TWICE, _JSON_CODE),
-    ('nan', _ask(temperature=float('nan')), _JSON_CODE),
-    ('infinite', b'{"temperature": 1e999}', _JSON_CODE),
-    ('no_messages', _ask(messages=[]), _BODY_CODE),
-    ('odd_message', _ask(messages=['x']), _BODY_CODE),
-    ('odd_content', _ask(messages=[{'content': 7}]), _BODY_CODE),
-    ('odd_part', _content('x'), _BODY_CODE),
-    ('unknown_part', _content({'type': 'smell'}), _BODY_CODE),
-    ('part_without_text', _content({'type': 'text'}), _BODY_CODE),
-    ('stream_text', _ask(stream='yes'), _BODY_CODE),
-    ('options', _ask(stream_options=[]), _BODY_CODE),
-    ('zero_tokens', _ask(max_tokens=0), _BODY_CODE),
-    ('huge_tokens', _ask(max_tokens=10**9), _BODY_CODE),
-    ('float_tokens', _ask(max_tokens=1.5), _BODY_CODE),
-    ('true_tokens', _ask(max_completion_tokens=True), _BODY_CODE),
-    ('no_choices', _ask(n=0), _BODY_CODE),
-    ('many_choices', _ask(best_of=1000), _BODY_CODE),
-    ('no_model', _ask(model=None), _BODY_CODE),
+    ('not_json', b'{', _MALFORMED_JSON),
+    ('no_body', b'', _MALFORMED_JSON),
+    ('not_utf8', b'{"model": "\xff"}', _MALFORMED_JSON),
+    ('no_object', b'[]', _MALFORMED_JSON),
+    ('deep', _DEEP_BODY, _MALFORMED_JSON),
+    ('key_twice', _DUPLICATE_KEY_BODY, _MALFORMED_JSON),
+    ('nan', _chat_body(temperature=float('nan')), _MALFORMED_JSON),
+    ('infinite', b'{"temperature": 1e999}', _MALFORMED_JSON),
+    ('no_messages', _chat_body(messages=[]), _INVALID_REQUEST),
+    ('odd_message', _chat_body(messages=['x']), _INVALID_REQUEST),
+    ('odd_content', _chat_body(messages=[{'content': 7}]), _INVALID_REQUEST),
+    ('odd_part', _chat_body_with_part('x'), _INVALID_REQUEST),
+    ('unknown_part', _chat_body_with_part({'type': 'smell'}), _INVALID_REQUEST),
+    (
+        'part_without_text',
+        _chat_body_with_part({'type': 'text'}),
+        _INVALID_REQUEST,
+    ),
+    ('stream_text', _chat_body(stream='yes'), _INVALID_REQUEST),
+    ('options', _chat_body(stream_options=[]), _INVALID_REQUEST),
+    ('zero_tokens', _chat_body(max_tokens=0), _INVALID_REQUEST),
+    ('huge_tokens', _chat_body(max_tokens=10**9), _INVALID_REQUEST),
+    ('float_tokens', _chat_body(max_tokens=1.5), _INVALID_REQUEST),
+    ('true_tokens', _chat_body(max_completion_tokens=True), _INVALID_REQUEST),
+    ('no_choices', _chat_body(n=0), _INVALID_REQUEST),
+    ('many_choices', _chat_body(best_of=1000), _INVALID_REQUEST),
+    ('no_model', _chat_body(model=None), _INVALID_REQUEST),
 )
 
 #: Test name, headers of a chat request, status and code of its refusal.
@@ -85,7 +101,7 @@
 )
 
 #: Test name, request line, status and code of its refusal.
-_BAD_LINES = (
+_BAD_REQUEST_LINES = (
     ('path', 'GET /v2/chat', 404, 'unknown_path'),
     ('service', 'GET /services/x/y', 404, 'unknown_service'),
     ('method', 'GET /v1/chat/completions', 405, 'method_not_allowed'),
@@ -94,45 +110,53 @@
     ('model', 'GET /v1/models/x', 404, 'unknown_model'),
 )
 
-_REFUSED = (
-    *((name, _CHAT, body, {}, 400, code) for name, body, code in _BAD_BODIES),
-    *((row[0], _CHAT, _ask(), *row[1:]) for row in _BAD_HEADERS),
-    *((row[0], row[1], b'', {}, *row[2:]) for row in _BAD_LINES),
-    ('unknown', _CHAT, _ask(model='x'), {}, 404, 'unknown_model'),
-    ('large', _CHAT, b'x' * (_LIMIT + 1), {}, 413, 'body_too_large'),
+_REFUSED_REQUESTS = (
+    *(
+        (name, _CHAT_LINE, body, {}, 400, code)
+        for name, body, code in _BAD_BODIES
+    ),
+    *((row[0], _CHAT_LINE, _chat_body(), *row[1:]) for row in _BAD_HEADERS),
+    *((row[0], row[1], b'', {}, *row[2:]) for row in _BAD_REQUEST_LINES),
+    ('unknown', _CHAT_LINE, _chat_body(model='x'), {}, 404, 'unknown_model'),
+    ('large', _CHAT_LINE, b'x' * (_BODY_LIMIT + 1), {}, 413, 'body_too_large'),
 )
 
-_NARROW = 'narrow-secret'
+_RESTRICTED_SECRET = 'narrow-secret'
 
 #: Test name, request line, body and headers of requests that a newer table
 #: may allow.
 _DENIED_BY_TABLE = (
-    ('key', _CHAT, _ask(), {'secret': 'x'}),
+    ('key', _CHAT_LINE, _chat_body(), {'secret': 'x'}),
     ('key_of_list', 'GET /v1/models', b'', {'secret': 'x'}),
     ('key_of_service', 'GET /services/desk/a', b'', {'secret': 'x'}),
-    ('model', _CHAT, _ask(model='x'), {}),
-    ('model_of_team', _CHAT, _ask(), {'secret': _NARROW}),
-    ('any_model', _CHAT, _ask(model='auto'), {'secret': _NARROW}),
+    ('model', _CHAT_LINE, _chat_body(model='x'), {}),
+    ('model_of_team', _CHAT_LINE, _chat_body(), {'secret': _RESTRICTED_SECRET}),
+    (
+        'any_model',
+        _CHAT_LINE,
+        _chat_body(model='auto'),
+        {'secret': _RESTRICTED_SECRET},
+    ),
     ('shown_model', 'GET /v1/models/x', b'', {}),
     ('service', 'GET /services/x/y', b'', {}),
 )
 
 #: Test name, request line, body, headers and status of requests that are
 #: refused even if the table may be outdated.
-_DENIED_ANYWAY = (
-    ('no_key', _CHAT, _ask(), {'secret': ''}, 401),
-    ('paused', _CHAT, _ask(), {'secret': 'paused-secret'}, 403),
+_ALWAYS_DENIED = (
+    ('no_key', _CHAT_LINE, _chat_body(), {'secret': ''}, 401),
+    ('paused', _CHAT_LINE, _chat_body(), {'secret': 'paused-secret'}, 403),
     ('path', 'GET /v2/chat', b'', {}, 404),
-    ('body', _CHAT, b'{', {}, 400),
+    ('body', _CHAT_LINE, b'{', {}, 400),
 )
 
 
-class CallersCase(unittest.IsolatedAsyncioTestCase):
+class CallersTestCase(unittest.IsolatedAsyncioTestCase):
     """Base with a router, an engine and a plain service."""
 
     async def asyncSetUp(self):
         self.deployment = Deployment(
-            (f'callers.body_limit={_LIMIT}B', 'callers.header_limit=1KiB'),
+            (f'callers.body_limit={_BODY_LIMIT}B', 'callers.header_limit=1KiB'),
         )
         await self.deployment.start()
         self.router = self.deployment.routers[0]
@@ -144,14 +168,16 @@
     async def send(self, sent):
         return parse_answer(await exchange(self.deployment.callers, sent))
 
-    async def ask(self, body=None, **headers):
-        return await self.send(request(_CHAT, body or _ask(), **headers))
+    async def chat(self, body=None, **headers):
+        return await self.send(
+            request(_CHAT_LINE, body or _chat_body(), **headers)
+        )
 
 
-class CallersTest(CallersCase):
+class CallersTest(CallersTestCase):
     """Requests and responses while the platform is available."""
 
-    @parameterized.expand(_REFUSED)
+    @parameterized.expand(_REFUSED_REQUESTS)
     async def test_refusal(self, _, line, body, headers, status, code):
         with self.assertNoLogs('tornado', 'WARNING'):
             answer = await self.send(request(line, body, **headers))
@@ -167,18 +193,18 @@
         self.assertEqual(self.deployment.engine_runs, 0)
 
     async def test_refusal_is_counted_by_code(self):
-        await self.ask(_ask(model='x'))
+        await self.chat(_chat_body(model='x'))
         counted = self.metrics.counted(REFUSALS, code='unknown_model')
         self.assertEqual(counted, 1)
 
     async def test_answer_is_measured(self):
-        answer = await self.ask()
+        answer = await self.chat()
         self.assertEqual(answer.status, 200)
         outcome = {'kind': 'engine', 'outcome': 'answered'}
         self.assertEqual(self.metrics.counted(REQUESTS, **outcome), 1)
         page = self.metrics.render()
-        self.assertIn(f'{ADDED}_count{{kind="engine"}} 1', page)
-        self.assertIn(f'{FIRST_BYTE}_count{{kind="engine"}} 1', page)
+        self.assertIn(f'{ADDED_SECONDS}_count{{kind="engine"}} 1', page)
+        self.assertIn(f'{FIRST_BYTE_SECONDS}_count{{kind="engine"}} 1', page)
 
     async def test_slow_body_is_refused(self):
         """A body that never arrives must not keep its connection open.
@@ -186,22 +212,26 @@
         Without a timeout for bodies, callers that send only a header use up
         all connections.
         """
-        self.router.guard.cfg = _with(self.router, body_timeout=0.01)
-        sent = request(_CHAT, _ask())[:-5]
+        self.router.guard.cfg = _callers_settings(
+            self.router, body_timeout=0.01
+        )
+        sent = request(_CHAT_LINE, _chat_body())[:-5]
         answer = await self.send(sent)
         self.assertEqual(answer.status, 408)
         self.assertEqual(json.loads(answer.body)['error']['ran'], 'no')
         self.assertEqual(answer.header('X-Should-Retry'), 'true')
         self.assertEqual(answer.header('Retry-After'), '1')
 
-    async def test_slow_header_is_closed(self):
+    async def test_slow_header_closes_connection(self):
         """As above, with a header that never ends."""
-        self.router.guard.cfg = _with(self.router, header_timeout=0.01)
+        self.router.guard.cfg = _callers_settings(
+            self.router, header_timeout=0.01
+        )
         received = await exchange(self.deployment.callers, b'GET / HT')
         self.assertEqual(received, b'')
 
     async def test_chunked_body_is_bounded(self):
-        head = request(_CHAT, Transfer_Encoding='chunked')
+        head = request(_CHAT_LINE, Transfer_Encoding='chunked')
         part = b''.join((b'400\r\n', b'x' * 1024, b'\r\n'))
         answer = await self.send(head + 3 * part)
         self.assertEqual(answer.status, 413)
@@ -245,27 +275,27 @@
         stored = await self.deployment.store.read((f'claim/{TEAM}/c-1',))
         self.assertIsNotNone(stored[0].value)
 
-    async def test_request_id_names_the_key(self):
-        named = await self.ask(Idempotency_Key='quote-7')
-        minted = await self.ask()
-        refused = await self.ask(_ask(model='x'))
+    async def test_request_id_is_the_idempotency_key(self):
+        named = await self.chat(Idempotency_Key='quote-7')
+        minted = await self.chat()
+        refused = await self.chat(_chat_body(model='x'))
         self.assertEqual(named.header('X-Request-Id'), 'quote-7')
         self.assertRegex(minted.header('X-Request-Id'), '^~[0-9a-f]{32}$')
         self.assertRegex(refused.header('X-Request-Id'), '^~[0-9a-f]{32}$')
 
     async def test_key_with_another_body_is_refused(self):
-        await self.ask(Idempotency_Key='quote-7')
-        answer = await self.ask(_ask(n=2), Idempotency_Key='quote-7')
+        await self.chat(Idempotency_Key='quote-7')
+        answer = await self.chat(_chat_body(n=2), Idempotency_Key='quote-7')
         self.assertEqual(answer.status, 422)
 
     async def test_model_is_described(self):
         answer = await self.send(request(f'GET /v1/models/{MODEL}'))
         self.assertEqual(json.loads(answer.body)['id'], MODEL)
 
-    async def test_access_log_names_no_key_and_no_prompt(self):
+    async def test_access_log_contains_no_secret_and_no_prompt(self):
         logger = 'balsamreach.gateway.base'
         with self.assertLogs(logger, 'INFO') as logs:
-            await self.ask(Idempotency_Key='quote-7')
+            await self.chat(Idempotency_Key='quote-7')
             records = logs.records
         fields = records[0].event_fields
         self.assertEqual(fields['request_id'], 'quote-7')
@@ -274,11 +304,11 @@
         self.assertNotIn('words=2', str(fields))
 
 
-def _with(router, **changes):
+def _callers_settings(router, **changes):
     return attrs.evolve(router.cfg.callers, **changes)
 
 
-class _LaterClock(SystemClock):
+class _AheadClock(SystemClock):
     """System clock that is a minute ahead."""
 
     def now(self):
@@ -286,29 +316,29 @@
         return super().now() + 60
 
 
-class UnconfirmedTest(CallersCase):
+class UnconfirmedTest(CallersTestCase):
     """A router whose table has not been confirmed for a minute."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        narrow = TeamRow(
+        restricted = TeamRow(
             name='narrow',
-            key_hashes=(hash_key(_NARROW),),
+            key_hashes=(hash_key(_RESTRICTED_SECRET),),
             models={'x': 1},
         )
-        await self.deployment.put_rows((narrow,))
+        await self.deployment.put_rows((restricted,))
         table = self.router.parts.table
         self.assertTrue(await until(lambda: 'narrow' in table.view.teams))
         self.platform = self.deployment.platform.core
         self.platform.weather.down = True
-        table.follower.clock = _LaterClock()
+        table.follower.clock = _AheadClock()
 
     async def asyncTearDown(self):
         self.platform.weather.down = False
         await super().asyncTearDown()
 
     @parameterized.expand(_DENIED_BY_TABLE)
-    async def test_nothing_is_denied_by_an_old_table(
+    async def test_unconfirmed_table_denies_nothing(
         self, _, line, body, headers
     ):
         """No 401 or 404 for requests that an unseen edit may allow."""
@@ -321,20 +351,22 @@
         self.assertEqual(answer.header('Retry-After'), '1')
         self.assertEqual(self.deployment.engine_runs, 0)
 
-    @parameterized.expand(_DENIED_ANYWAY)
-    async def test_denied_anyway(self, _, line, body, headers, status):
+    @parameterized.expand(_ALWAYS_DENIED)
+    async def test_denial_that_needs_no_table(
+        self, _, line, body, headers, status
+    ):
         """No 503 for a paused team or an invalid request."""
         answer = await self.send(request(line, body, **headers))
         self.assertEqual(answer.status, status, answer)
         self.assertEqual(answer.header('X-Should-Retry'), 'false')
 
-    async def test_what_the_table_allows_is_served(self):
+    async def test_unconfirmed_table_still_serves(self):
         """A disconnected zone must not stop serving."""
         answer = await self.send(request(f'GET /v1/models/{MODEL}'))
         self.assertEqual(answer.status, 200)
 
 
-class OpenaiTest(unittest.IsolatedAsyncioTestCase):
+class OpenaiClientTest(unittest.IsolatedAsyncioTestCase):
     """Requests by the OpenAI client library, which callers use."""
 
     async def asyncSetUp(self):
@@ -354,17 +386,19 @@
         await self.client.close()
         await self.deployment.stop()
 
-    async def test_plain(self):
-        answer = await self.create(**_ASK)
+    async def test_plain_answer(self):
+        answer = await self.create(**_CHAT_REQUEST)
         choice = answer.choices[0]
         self.assertEqual(choice.finish_reason, 'stop')
         self.assertEqual(len(choice.message.content.split()), 2)
         self.assertEqual(answer.usage.completion_tokens, 2)
 
     @parameterized.expand(((True,), (False,)))
-    async def test_streamed(self, usage):
+    async def test_streamed_answer(self, usage):
         options = {'include_usage': usage}
-        stream = await self.create(**_ASK, stream=True, stream_options=options)
+        stream = await self.create(
+            **_CHAT_REQUEST, stream=True, stream_options=options
+        )
         chunks = [chunk async for chunk in stream]
         texts = [
             choice.delta.content or ''
@@ -391,13 +425,13 @@
             ('budget', openai.APIStatusError, 'poor-secret', {}),
         )
     )
-    async def test_refusal_is_the_clients_error(self, _, error, secret, body):
+    async def test_refusal_raises_client_error(self, _, error, secret, body):
         client = self.client.with_options(api_key=secret)
-        refusal = await self.refusal(error, client, _ASK | body)
+        refusal = await self.expect_refusal(error, client, _CHAT_REQUEST | body)
         self.assertEqual(refusal.body['ran'], 'no')
-        self.assertEqual(self.refused(), 1)
+        self.assertEqual(self.refused_count(), 1)
 
-    async def test_client_asks_again_only_where_told(self):
+    async def test_client_retries_only_if_allowed(self):
         """The client must not retry a request that may have run.
 
         A target fails after it accepted the request. The library retries
@@ -406,19 +440,19 @@
         """
         self.engine.fail_share = 1
         error = openai.InternalServerError
-        refusal = await self.refusal(error, self.client, _ASK)
+        refusal = await self.expect_refusal(error, self.client, _CHAT_REQUEST)
         self.assertEqual(refusal.body['ran'], 'unknown')
-        self.assertEqual(self.refused(), 1)
+        self.assertEqual(self.refused_count(), 1)
 
-    async def test_client_asks_again_when_it_did_not_run(self):
+    async def test_client_retries_request_that_did_not_run(self):
         self.engine.leaving = True
-        asked = asyncio.create_task(self.create(**_ASK))
-        self.assertTrue(await until(self.refused))
+        task = asyncio.create_task(self.create(**_CHAT_REQUEST))
+        self.assertTrue(await until(self.refused_count))
         self.engine.leaving = False
-        answer = await asked
+        answer = await task
         self.assertEqual(answer.choices[0].finish_reason, 'stop')
 
-    async def refusal(self, error, client, body):
+    async def expect_refusal(self, error, client, body):
         completions = client.chat.completions
         try:
             await completions.create(**body)
@@ -426,6 +460,6 @@
             return exc
         return self.fail('the request was not refused')
 
-    def refused(self):
+    def refused_count(self):
         outcome = {'kind': 'engine', 'outcome': 'refused'}
         return self.deployment.counted(REQUESTS, **outcome)
--- a/tests/test_gateway_curl_upstream.py
+++ b/tests/test_gateway_curl_upstream.py
@@ -27,7 +27,7 @@
     b'HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n'
     b'Transfer-Encoding: chunked\r\n\r\n'
 )
-_WHOLE = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
+_COMPLETE_ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
 _MIB = 1024 * 1024
 
 
@@ -42,8 +42,8 @@
         self.script = list(script)
         self.requests: list[bytes] = []
         self.connections = 0
-        self.closed = asyncio.Event()
-        self.asked = asyncio.Event()
+        self.connection_closed = asyncio.Event()
+        self.request_received = asyncio.Event()
 
     async def serve(self, tls: ssl.SSLContext | None = None) -> str:
         self.server = await asyncio.start_server(
@@ -61,7 +61,7 @@
             while head := await reader.readuntil(b'\r\n\r\n'):
                 await self._answer(head, reader, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.closed.set()
+            self.connection_closed.set()
         except asyncio.CancelledError:
             # The test ended while the connection was open.
             writer.transport.abort()
@@ -73,17 +73,17 @@
             if line.startswith(b'content-length:'):
                 await reader.readexactly(int(line.partition(b':')[2]))
         self.requests.append(head)
-        self.asked.set()
-        said = self.script.pop(0) if self.script else b''
-        if said == b'close':
+        self.request_received.set()
+        answer = self.script.pop(0) if self.script else b''
+        if answer == b'close':
             raise ConnectionError
-        writer.write(said.removesuffix(b'close'))
+        writer.write(answer.removesuffix(b'close'))
         await writer.drain()
-        if said.endswith(b'close'):
+        if answer.endswith(b'close'):
             raise ConnectionError
 
 
-class Memory(Intake):
+class RecordingIntake(Intake):
     """Stores the answer; tests set whether it is full."""
 
     def __init__(self) -> None:
@@ -129,22 +129,22 @@
     return Attempt('attempt-1', call, Target(row))
 
 
-class CurlUpstreamTest(unittest.IsolatedAsyncioTestCase):
+class CurlUpstreamTestCase(unittest.IsolatedAsyncioTestCase):
     """Base that creates upstreams and fake targets and closes them."""
 
-    def make(self, *overrides: str) -> CurlUpstream:
+    def make_upstream(self, *overrides: str) -> CurlUpstream:
         upstream = CurlUpstream(_settings(*overrides))
         self.addCleanup(upstream.close)
         return upstream
 
-    async def fake(self, *script: bytes) -> tuple[FakeTarget, str]:
-        fake = FakeTarget(*script)
-        address = await fake.serve()
-        self.addCleanup(fake.server.close)
-        return fake, address
+    async def start_target(self, *script: bytes) -> tuple[FakeTarget, str]:
+        target = FakeTarget(*script)
+        address = await target.serve()
+        self.addCleanup(target.server.close)
+        return target, address
 
 
-class FaultTest(CurlUpstreamTest):
+class FaultTest(CurlUpstreamTestCase):
     """Faults of exchanges that fail."""
 
     @parameterized.expand(
@@ -156,37 +156,45 @@
             ('endless head', b'HTTP/1.1 200 OK\r\n%b' % (b'a: b\r\n' * 20000)),
         ),
     )
-    async def test_broken(self, _name: str, said: bytes) -> None:
-        fake, address = await self.fake(said, _WHOLE)
-        outcome = await self.make().send(_attempt(address), Memory())
+    async def test_incomplete_answer_is_broken(
+        self, _name: str, answer: bytes
+    ) -> None:
+        target, address = await self.start_target(answer, _COMPLETE_ANSWER)
+        outcome = await self.make_upstream().send(
+            _attempt(address), RecordingIntake()
+        )
         self.assertEqual(outcome, BROKEN)
-        self.assertEqual(len(fake.requests), 1)
+        self.assertEqual(len(target.requests), 1)
 
     async def test_refused_connection_is_not_sent(self) -> None:
-        fake, address = await self.fake()
-        fake.server.close()
-        memory = Memory()
-        outcome = await self.make().send(_attempt(address), memory)
+        target, address = await self.start_target()
+        target.server.close()
+        intake = RecordingIntake()
+        outcome = await self.make_upstream().send(_attempt(address), intake)
         self.assertEqual(outcome, NOT_SENT)
-        self.assertFalse(memory.sent)
+        self.assertFalse(intake.sent)
 
     @parameterized.expand((('stream', True), ('whole', False)))
-    async def test_no_second_sending(self, _name: str, stream: bool) -> None:
+    async def test_request_is_not_resent(
+        self, _name: str, stream: bool
+    ) -> None:
         """A request sent once must not run twice.
 
         The target answers on a connection, accepts the next request on it
         and closes it without an answer. Curl considers the connection stale
         and resends the request on a new one by itself.
         """
-        fake, address = await self.fake(_WHOLE, b'close', _WHOLE)
-        upstream = self.make()
+        target, address = await self.start_target(
+            _COMPLETE_ANSWER, b'close', _COMPLETE_ANSWER
+        )
+        upstream = self.make_upstream()
         attempt = _attempt(address, stream=stream)
-        self.assertIsNone(await upstream.send(attempt, Memory()))
-        again = Memory()
-        outcome = await upstream.send(attempt, again)
+        self.assertIsNone(await upstream.send(attempt, RecordingIntake()))
+        second = RecordingIntake()
+        outcome = await upstream.send(attempt, second)
         self.assertEqual(outcome, BROKEN)
-        self.assertTrue(again.sent)
-        self.assertEqual(len(fake.requests), 2)
+        self.assertTrue(second.sent)
+        self.assertEqual(len(target.requests), 2)
 
     async def test_non_idempotent_gets_a_new_connection(self) -> None:
         """A stale connection must not make a certificate's outcome unknown.
@@ -194,31 +202,37 @@
         The target closes an idle connection while the request is sent on it,
         and a request that may not be repeated can't be retried.
         """
-        fake, address = await self.fake(_WHOLE, _WHOLE)
-        upstream = self.make()
+        target, address = await self.start_target(
+            _COMPLETE_ANSWER, _COMPLETE_ANSWER
+        )
+        upstream = self.make_upstream()
         for _ in range(2):
             attempt = _attempt(address, idempotent=False)
-            self.assertIsNone(await upstream.send(attempt, Memory()))
-        self.assertEqual(fake.connections, 2)
+            self.assertIsNone(await upstream.send(attempt, RecordingIntake()))
+        self.assertEqual(target.connections, 2)
 
 
-class SilenceTest(CurlUpstreamTest):
+class SilenceTest(CurlUpstreamTestCase):
     """Connections on which no more data arrives."""
 
     @parameterized.expand(
         (('before the head', b''), ('within the stream', _STREAM_HEAD)),
     )
-    async def test_silent_stream(self, _name: str, said: bytes) -> None:
+    async def test_silent_stream_is_aborted(
+        self, _name: str, answer: bytes
+    ) -> None:
         """A silent stream must not keep its caller waiting until the deadline.
 
         The target accepts the request, then the connection stays open
         without data. If only closed connections counted as broken, the
         caller would get a partial answer and then wait.
         """
-        fake, address = await self.fake(said)
-        outcome = await self.make().send(_attempt(address), Memory())
+        target, address = await self.start_target(answer)
+        outcome = await self.make_upstream().send(
+            _attempt(address), RecordingIntake()
+        )
         self.assertEqual(outcome, SILENT)
-        await fake.closed.wait()
+        await target.connection_closed.wait()
 
     async def test_pooled_connections_are_not_used_after_silence(self) -> None:
         """After one silent connection, the pool must not cost more timeouts.
@@ -227,31 +241,35 @@
         found to be silent. If the others stayed in the pool, each request
         sent on one would wait for a gap timeout at a healthy target.
         """
-        fake, address = await self.fake(_WHOLE, b'', _WHOLE, _WHOLE)
-        upstream = self.make()
-        await upstream.send(_attempt(address, stream=False), Memory())
-        silent = await upstream.send(_attempt(address), Memory())
+        target, address = await self.start_target(
+            _COMPLETE_ANSWER, b'', _COMPLETE_ANSWER, _COMPLETE_ANSWER
+        )
+        upstream = self.make_upstream()
+        await upstream.send(_attempt(address, stream=False), RecordingIntake())
+        silent = await upstream.send(_attempt(address), RecordingIntake())
         self.assertEqual(silent, SILENT)
-        self.assertEqual(fake.connections, 1)
-        await upstream.send(_attempt(address), Memory())
-        self.assertEqual(fake.connections, 2)
+        self.assertEqual(target.connections, 1)
+        await upstream.send(_attempt(address), RecordingIntake())
+        self.assertEqual(target.connections, 2)
 
-    async def test_standing_pool_is_left_after_silence(self) -> None:
+    async def test_idle_connection_is_not_used_after_silence(self) -> None:
         """As above, with another connection idle during the silence."""
-        fake, address = await self.fake(b'', _WHOLE, _WHOLE)
-        upstream = self.make()
+        target, address = await self.start_target(
+            b'', _COMPLETE_ANSWER, _COMPLETE_ANSWER
+        )
+        upstream = self.make_upstream()
         silent = asyncio.create_task(
-            upstream.send(_attempt(address), Memory()),
+            upstream.send(_attempt(address), RecordingIntake()),
         )
-        await fake.asked.wait()
-        await upstream.send(_attempt(address), Memory())
+        await target.request_received.wait()
+        await upstream.send(_attempt(address), RecordingIntake())
         self.assertEqual(await silent, SILENT)
-        self.assertEqual(fake.connections, 2)
-        await upstream.send(_attempt(address), Memory())
-        self.assertEqual(fake.connections, 3)
+        self.assertEqual(target.connections, 2)
+        await upstream.send(_attempt(address), RecordingIntake())
+        self.assertEqual(target.connections, 3)
 
 
-class StreamTest(CurlUpstreamTest):
+class StreamTest(CurlUpstreamTestCase):
     """Exchanges that are cancelled, paused or have several heads."""
 
     async def test_cancelling_closes_the_connection(self) -> None:
@@ -260,14 +278,16 @@
         If the connection to the target stayed open after the request's task
         is cancelled, the engine would generate the whole answer.
         """
-        fake, address = await self.fake(_STREAM_HEAD)
-        upstream = self.make('routing.gap_timeout=1h')
-        task = asyncio.create_task(upstream.send(_attempt(address), Memory()))
-        await fake.asked.wait()
+        target, address = await self.start_target(_STREAM_HEAD)
+        upstream = self.make_upstream('routing.gap_timeout=1h')
+        task = asyncio.create_task(
+            upstream.send(_attempt(address), RecordingIntake())
+        )
+        await target.request_received.wait()
         task.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await task
-        await fake.closed.wait()
+        await target.connection_closed.wait()
 
     async def test_slow_caller_pauses_the_target(self) -> None:
         """A caller that does not read must not exhaust the router's memory.
@@ -277,49 +297,55 @@
         """
         size = 16 * _MIB
         head = b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n' % size
-        _fake, address = await self.fake(head + b'x' * size)
-        memory = Memory()
-        memory.must_pause = True
-        upstream = self.make()
-        task = asyncio.create_task(upstream.send(_attempt(address), memory))
+        _target, address = await self.start_target(head + b'x' * size)
+        intake = RecordingIntake()
+        intake.must_pause = True
+        upstream = self.make_upstream()
+        task = asyncio.create_task(upstream.send(_attempt(address), intake))
         # Longer than the gap timeout of 200 ms: a pause is not silence.
         await asyncio.sleep(0.5)
-        self.assertEqual(memory.body, b'')
+        self.assertEqual(intake.body, b'')
         self.assertFalse(task.done())
-        memory.must_pause = False
+        intake.must_pause = False
         self.assertIsNone(await task)
-        self.assertEqual(len(memory.body), size)
+        self.assertEqual(len(intake.body), size)
 
     async def test_informational_head_is_not_the_answer(self) -> None:
-        early = b'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n'
-        fake, address = await self.fake(early + _WHOLE)
-        memory = Memory()
-        self.assertIsNone(await self.make().send(_attempt(address), memory))
-        self.assertEqual((memory.status, memory.body), (200, b'ok'))
-        head = fake.requests[0]
+        early_hints = b'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n'
+        target, address = await self.start_target(
+            early_hints + _COMPLETE_ANSWER
+        )
+        intake = RecordingIntake()
+        self.assertIsNone(
+            await self.make_upstream().send(_attempt(address), intake)
+        )
+        self.assertEqual((intake.status, intake.body), (200, b'ok'))
+        head = target.requests[0]
         self.assertIn(f'Host: {address}\r\n'.encode(), head)
         self.assertIn(b'X-Attempt-Id: attempt-1\r\n', head)
         self.assertNotIn(b'Expect', head)
 
 
-class TlsTest(CurlUpstreamTest):
+class TlsTest(CurlUpstreamTestCase):
     """Targets reached over TLS."""
 
     async def test_certificate_is_checked(self) -> None:
         authority = trustme.CA()
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         authority.issue_cert('127.0.0.1').configure_cert(context)
-        fake = FakeTarget(_WHOLE)
-        address = await fake.serve(context)
-        self.addCleanup(fake.server.close)
+        target = FakeTarget(_COMPLETE_ANSWER)
+        address = await target.serve(context)
+        self.addCleanup(target.server.close)
         with tempfile.TemporaryDirectory() as directory:
             path = Path(directory) / 'ca.pem'
             authority.cert_pem.write_to_path(path)
-            known = self.make(
+            trusting = self.make_upstream(
                 'routing.target_tls=yes',
                 f'routing.target_tls_ca={path}',
             )
-            strange = self.make('routing.target_tls=yes')
+            distrusting = self.make_upstream('routing.target_tls=yes')
             attempt = _attempt(address)
-            self.assertEqual(await strange.send(attempt, Memory()), NOT_SENT)
-            self.assertIsNone(await known.send(attempt, Memory()))
+            self.assertEqual(
+                await distrusting.send(attempt, RecordingIntake()), NOT_SENT
+            )
+            self.assertIsNone(await trusting.send(attempt, RecordingIntake()))
--- a/tests/test_gateway_operators.py
+++ b/tests/test_gateway_operators.py
@@ -12,10 +12,10 @@
 from balsamreach.table.view import hash_key
 from tests.table_fleet import TableFleet
 
-_OPERATOR = 'operator-secret'
-_TEAM = 'team-secret'
-_ROW = '/table/team/winders'
-_NEW = {'version': 0, 'fields': {'prepaid': 100}}
+_OPERATOR_KEY = 'operator-secret'
+_TEAM_KEY = 'team-secret'
+_ROW_PATH = '/table/team/winders'
+_NEW_ROW = {'version': 0, 'fields': {'prepaid': 100}}
 
 
 def _edit(**keys):
@@ -34,13 +34,13 @@
     body: dict
 
 
-class OperatorsTest(AsyncHTTPTestCase):
+class OperatorsTestCase(AsyncHTTPTestCase):
     """Base: a router with two operator keys, one of them also a team's."""
 
     def get_app(self):
         self.fleet = TableFleet()
         self.station = self.fleet.join('a')
-        keys = f'{hash_key(_OPERATOR)} {hash_key(_TEAM)}'
+        keys = f'{hash_key(_OPERATOR_KEY)} {hash_key(_TEAM_KEY)}'
         parts = self.station.parts
         return make_operators_app(
             OperatorContext(
@@ -59,10 +59,12 @@
     def setUp(self):
         super().setUp()
         self.io_loop.run_sync(self.station.step)
-        made = _NEW['fields'] | {'key_hashes': [hash_key(_TEAM)]}
-        self.made = self.send('PATCH', _ROW, _NEW | {'fields': made}).body
+        created = _NEW_ROW['fields'] | {'key_hashes': [hash_key(_TEAM_KEY)]}
+        self.created = self.send(
+            'PATCH', _ROW_PATH, _NEW_ROW | {'fields': created}
+        ).body
 
-    def send(self, method, path, body=None, secret=_OPERATOR):
+    def send(self, method, path, body=None, secret=_OPERATOR_KEY):
         """Send a request; encode a body that is not str or bytes as JSON."""
         if body is not None and not isinstance(body, (str, bytes)):
             body = json.dumps(body)
@@ -76,7 +78,7 @@
         return Answer(answer.code, json.loads(answer.body))
 
 
-class KeysTest(OperatorsTest):
+class OperatorKeyTest(OperatorsTestCase):
     """Only operator keys give access."""
 
     @parameterized.expand(
@@ -84,15 +86,15 @@
             (method, path, secret)
             for method, path in (
                 ('GET', '/table'),
-                ('GET', _ROW),
-                ('PATCH', _ROW),
-                ('DELETE', _ROW),
+                ('GET', _ROW_PATH),
+                ('PATCH', _ROW_PATH),
+                ('DELETE', _ROW_PATH),
                 ('POST', '/edits'),
                 ('GET', '/history?key=team/winders'),
                 ('GET', '/status'),
                 ('GET', '/budgets/winders'),
             )
-            for secret in ('', 'guess', _TEAM, hash_key(_OPERATOR))
+            for secret in ('', 'guess', _TEAM_KEY, hash_key(_OPERATOR_KEY))
         ]
     )
     def test_refused(self, method, path, secret):
@@ -103,7 +105,7 @@
         self.assertEqual(self.station.team().weight, 1)
 
 
-class BadEditTest(OperatorsTest):
+class InvalidRequestTest(OperatorsTestCase):
     """An invalid edit gets an error that names the cause, and has no effect."""
 
     @parameterized.expand(
@@ -137,12 +139,12 @@
             ('top-up beyond all', {'top_up': 2**60}, 'top_up'),
         ]
     )
-    def test_refused(self, _, body, named):
-        before = self.send('GET', _ROW)
-        answer = self.send('PATCH', _ROW, body)
+    def test_refused(self, _, body, expected):
+        before = self.send('GET', _ROW_PATH)
+        answer = self.send('PATCH', _ROW_PATH, body)
         self.assertEqual(answer.status, 400, answer.body)
-        self.assertIn(named, answer.body['error']['message'])
-        self.assertEqual(self.send('GET', _ROW), before)
+        self.assertIn(expected, answer.body['error']['message'])
+        self.assertEqual(self.send('GET', _ROW_PATH), before)
 
     @parameterized.expand(
         [
@@ -166,10 +168,10 @@
             ),
         ]
     )
-    def test_bad_batch(self, _, body, named):
+    def test_bad_batch(self, _, body, expected):
         answer = self.send('POST', '/edits', body)
         self.assertEqual(answer.status, 400)
-        self.assertIn(named, answer.body['error']['message'])
+        self.assertIn(expected, answer.body['error']['message'])
 
     @parameterized.expand(
         [
@@ -187,26 +189,26 @@
         self.assertIn('error', answer.body)
 
 
-class EditTest(OperatorsTest):
+class EditTest(OperatorsTestCase):
     """Valid edits, and what the interface then shows."""
 
     def test_accepted_edit_is_in_force_at_once(self):
-        self.send('PATCH', _ROW, _edit())
+        self.send('PATCH', _ROW_PATH, _edit())
         self.assertEqual(self.station.team().weight, 2)
 
-    def test_loser_of_a_race_gets_the_current_row(self):
+    def test_stale_edit_returns_current_row(self):
         """An edit of an outdated version must be refused, not applied.
 
         Two operators read the same row and save it one after the other. The
         second names a version that was replaced, and must be shown the row
         that the first saved.
         """
-        seen = self.made['version']
-        self.send('PATCH', _ROW, _edit(version=seen))
-        answer = self.send('PATCH', _ROW, _edit(version=seen))
+        version = self.created['version']
+        self.send('PATCH', _ROW_PATH, _edit(version=version))
+        answer = self.send('PATCH', _ROW_PATH, _edit(version=version))
         self.assertEqual(answer.status, 409)
         self.assertEqual(answer.body['row']['value']['weight'], 2)
-        self.assertGreater(answer.body['row']['version'], seen)
+        self.assertGreater(answer.body['row']['version'], version)
         counted = self.station.metrics.counted
         name = 'balsamreach_table_edits_total'
         self.assertEqual(counted(name, outcome='accepted'), 2)
@@ -214,20 +216,20 @@
 
     def test_top_up_is_idempotent(self):
         top_up = {'top_up': 50, 'edit_id': 'top-1'}
-        first = self.send('PATCH', _ROW, top_up)
-        again = self.send('PATCH', _ROW, top_up)
+        first = self.send('PATCH', _ROW_PATH, top_up)
+        again = self.send('PATCH', _ROW_PATH, top_up)
         self.assertEqual(first, again)
         self.assertEqual(first.body['row']['prepaid'], 150)
 
     def test_history_names_author_and_key(self):
-        self.send('PATCH', _ROW, _edit(author='Anna Kovács'))
+        self.send('PATCH', _ROW_PATH, _edit(author='Anna Kovács'))
         page = self.send('GET', '/history?key=team/winders&limit=1').body
-        digest = hash_key(_OPERATOR)[:8]
+        digest = hash_key(_OPERATOR_KEY)[:8]
         author = page['entries'][0]['author']
         self.assertEqual(author, f'Anna Kovács (key {digest})')
         self.assertTrue(page['after'])
 
-    def test_table_comes_in_pages(self):
+    def test_table_is_paged(self):
         rows = [_edit(key=f'team/t{n}', version=0) for n in range(5)]
         outcomes = self.send('POST', '/edits', _batch(*rows)).body
         self.assertEqual(len(outcomes['outcomes']), 5)
@@ -240,9 +242,9 @@
         )
         self.assertEqual(len(first['rows'] + rest['rows']), 6)
 
-    def test_batch_tells_each_outcome(self):
+    def test_batch_returns_each_outcome(self):
         batch = _batch(
-            _edit(key='team/winders', version=self.made['version']),
+            _edit(key='team/winders', version=self.created['version']),
             _edit(key='team/other', version=7),
             _edit(key='team/bad', version=0, fields={'weight': -1}),
             {'key': 'team/none', 'delete': True, 'version': 0},
@@ -251,30 +253,30 @@
         codes = [outcome.get('error', {}).get('code') for outcome in outcomes]
         self.assertEqual(codes, [None, 'stale_edit', 'bad_row', 'no_row'])
 
-    def test_platform_away(self):
+    def test_platform_unavailable(self):
         self.station.way.cut = True
-        answer = self.send('PATCH', _ROW, _edit())
+        answer = self.send('PATCH', _ROW_PATH, _edit())
         self.assertEqual(answer.status, 503)
         self.assertEqual(answer.body['error']['code'], 'table_away')
         self.assertEqual(self.send('GET', '/table').status, 503)
         self.assertEqual(self.send('GET', '/history?key=team/x').status, 503)
         self.assertEqual(self.send('GET', '/budgets/winders').status, 503)
 
-    def test_budget(self):
+    def test_budget_is_shown(self):
         shown = self.send('GET', '/budgets/winders').body
         self.assertEqual((shown['prepaid'], shown['free']), (100, 100))
 
 
-class StatusTest(OperatorsTest):
+class StatusTest(OperatorsTestCase):
     """Table version of each router, and since when one is behind."""
 
-    def test_states(self):
+    def test_router_states(self):
         others = {name: self.fleet.join(name) for name in 'bcd'}
         self.io_loop.run_sync(others['b'].step)
         self.io_loop.run_sync(others['d'].step)
         self.fleet.fabric.cut('ad', 'b')
         self.fleet.clock.seconds = 100
-        self.send('PATCH', _ROW, _edit())
+        self.send('PATCH', _ROW_PATH, _edit())
         self.io_loop.run_sync(self.station.step)
         self.fleet.fabric.heal()
         self.fleet.fabric.cut('a', 'd')
--- a/tests/test_gateway_operators_peers.py
+++ b/tests/test_gateway_operators_peers.py
@@ -45,27 +45,33 @@
     def setUp(self):
         self.stack = contextlib.ExitStack()
         self.addCleanup(self.stack.close)
-        one = self.stack.enter_context(process('serve', *_options('a')))
-        self.one = json.loads(one.first_line)
+        first_router = self.stack.enter_context(
+            process('serve', *_options('a'))
+        )
+        self.addresses = json.loads(first_router.first_line)
 
     def peers(self, secret=_OPERATOR_KEY):
-        address = self.one['operators']
+        address = self.addresses['operators']
         return call(f'http://{address}/peers', secret)
 
-    def shown(self):
+    def connected_by_zone(self):
         members = self.peers().json()['members']
         return [(member['zone'], member['linked']) for member in members]
 
     def test_router_joins_and_leaves(self):
-        self.assertEqual(self.shown(), [])
-        options = _options('b', self.one['peers'])
-        with process('serve', *options) as two:
-            self.assertTrue(_wait_for(lambda: self.shown() == [('b', True)]))
+        self.assertEqual(self.connected_by_zone(), [])
+        options = _options('b', self.addresses['peers'])
+        with process('serve', *options) as second_router:
+            self.assertTrue(
+                _wait_for(lambda: self.connected_by_zone() == [('b', True)])
+            )
             listed = self.peers().json()['members'][0]['address']
-            self.assertEqual(listed, json.loads(two.first_line)['peers'])
-        self.assertTrue(_wait_for(lambda: not self.shown()))
+            self.assertEqual(
+                listed, json.loads(second_router.first_line)['peers']
+            )
+        self.assertTrue(_wait_for(lambda: not self.connected_by_zone()))
 
-    def test_stranger_sees_nothing(self):
+    def test_wrong_key_is_refused(self):
         reply = self.peers('wrong')
         self.assertEqual(reply.status, 401)
         self.assertNotIn('members', reply.json())
--- a/tests/test_gateway_probes.py
+++ b/tests/test_gateway_probes.py
@@ -35,5 +35,5 @@
         self.assertIn(b'some_total 1', answer.body)
 
     @parameterized.expand([('/else', 'GET', 404), ('/ready', 'DELETE', 405)])
-    def test_anything_else(self, path, method, status):
+    def test_other_requests(self, path, method, status):
         self.assertEqual(self.fetch(path, method=method).code, status)
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -20,7 +20,7 @@
 from tests.relay_samples import REQUEST
 
 _GET = b'GET /a HTTP/1.1\r\nHost: x\r\n\r\n'
-_SIGNED = b'Response-Stamp: s\r\nAttempt-Id: request-1\r\n'
+_SIGNED_HEADERS = b'Response-Stamp: s\r\nAttempt-Id: request-1\r\n'
 
 
 async def _connect(port):
@@ -29,13 +29,13 @@
     return stream
 
 
-def _whole(caller_response):
+def _send_complete(caller_response):
     caller_response.start(200, [('Content-Length', '2')])
     caller_response.write(b'ok')
     caller_response.finish()
 
 
-def _half(caller_response):
+def _send_partial(caller_response):
     caller_response.start(200, [])
     caller_response.write(b'half')
     caller_response.abort()
@@ -46,9 +46,9 @@
 
     def setUp(self):
         super().setUp()
-        self.seen = []
-        self.work = None
-        self.begun = asyncio.Event()
+        self.requests_seen = []
+        self.respond = None
+        self.request_received = asyncio.Event()
         self.cancelled = asyncio.Event()
         self.server = RelayServer(self.answer, SystemClock(), lambda: 100)
         listener, port = bind_unused_port()
@@ -61,11 +61,11 @@
         super().tearDown()
 
     async def answer(self, request, caller_response):
-        self.seen.append(request)
-        self.begun.set()
-        if self.work is None:
+        self.requests_seen.append(request)
+        self.request_received.set()
+        if self.respond is None:
             await self.wait()
-        self.work(caller_response)
+        self.respond(caller_response)
 
     async def wait(self):
         try:
@@ -74,8 +74,8 @@
             self.cancelled.set()
 
     @gen_test
-    async def test_a_kept_connection_serves_request_after_request(self):
-        self.work = _whole
+    async def test_connection_is_reused(self):
+        self.respond = _send_complete
         stream = await _connect(self.port)
         for _ in range(2):
             await stream.write(_GET)
@@ -84,36 +84,36 @@
             self.assertEqual(await stream.read_bytes(2), b'ok')
 
     @gen_test
-    async def test_an_answer_that_breaks_off_does_not_look_whole(self):
+    async def test_partial_answer_is_not_completed(self):
         """A partial answer must not pass for a complete one.
 
         The target crashes in the middle of its answer. If the last chunk
         were sent nevertheless, the caller would not notice.
         """
-        self.work = _half
+        self.respond = _send_partial
         stream = await _connect(self.port)
         await stream.write(_GET)
-        got = await stream.read_until_close()
-        self.assertTrue(got.endswith(b'4\r\nhalf\r\n'), got)
+        received = await stream.read_until_close()
+        self.assertTrue(received.endswith(b'4\r\nhalf\r\n'), received)
 
     @gen_test
-    async def test_a_caller_that_leaves_ends_the_work(self):
+    async def test_disconnect_cancels_request(self):
         stream = await _connect(self.port)
         await stream.write(_GET)
-        await self.begun.wait()
+        await self.request_received.wait()
         stream.close()
         await self.cancelled.wait()
-        self.assertEqual(len(self.seen), 1)
+        self.assertEqual(len(self.requests_seen), 1)
 
     @gen_test
-    async def test_a_connection_closed_as_its_request_was_read(self):
+    async def test_request_on_closed_connection_does_not_run(self):
         """A request must not run after its connection was closed.
 
         A leaving router closes its idle connections. On one of them a
         request was read but not processed yet; its caller would get no
         answer.
         """
-        self.work = _whole
+        self.respond = _send_complete
         stream = await _connect(self.port)
         await stream.write(_GET)
         await stream.read_until(b'\r\n\r\nok')
@@ -124,22 +124,22 @@
         stream.close()
 
     @gen_test
-    async def test_a_leaving_router_says_so_with_its_last_answer(self):
-        self.work = _whole
+    async def test_leaving_router_closes_after_response(self):
+        self.respond = _send_complete
         self.server.leaving = True
         stream = await _connect(self.port)
         await stream.write(_GET)
-        got = await stream.read_until_close()
-        self.assertIn(b'Connection: close', got)
+        received = await stream.read_until_close()
+        self.assertIn(b'Connection: close', received)
 
     @gen_test
-    async def test_a_crowded_router_ends_connections_after_their_answer(self):
+    async def test_crowded_router_closes_after_response(self):
         """Callers must leave a host whose link is overloaded.
 
         The balancer sends no new connections to the host, but its callers
         keep their open ones unless the router closes them.
         """
-        self.work = _whole
+        self.respond = _send_complete
         stream = await _connect(self.port)
         await stream.write(_GET)
         first = await stream.read_until(b'\r\n\r\nok')
@@ -151,29 +151,29 @@
         self.assertTrue(last.endswith(b'ok'))
 
     @gen_test
-    async def test_an_answer_said_to_be_the_last_one_is(self):
+    async def test_announced_close_is_kept(self):
         """The host is no longer crowded before the caller reads the answer."""
-        self.work = _whole
+        self.respond = _send_complete
         self.server.crowded = True
         stream = await _connect(self.port)
         await stream.write(_GET)
-        await self.begun.wait()
+        await self.request_received.wait()
         self.server.crowded = False
-        got = await stream.read_until_close()
-        self.assertIn(b'Connection: close', got)
+        received = await stream.read_until_close()
+        self.assertIn(b'Connection: close', received)
 
     @gen_test
-    async def test_a_body_that_is_too_large_reaches_nobody(self):
+    async def test_too_large_body_is_refused(self):
         stream = await _connect(self.port)
         await stream.write(
             b'POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 101\r\n\r\n',
         )
-        got = await stream.read_until_close()
-        self.assertIn(b' 400 ', got)
-        self.assertEqual(self.seen, [])
+        received = await stream.read_until_close()
+        self.assertIn(b' 400 ', received)
+        self.assertEqual(self.requests_seen, [])
 
 
-class _Target(TCPServer):
+class _FakeTarget(TCPServer):
     """Sends one of the given answers per request, in order."""
 
     def __init__(self, answers, *, close=False):
@@ -212,7 +212,7 @@
 
     def serve(self, *answers, close=False):
         """Start a target with these answers."""
-        self.target = _Target(answers, close=close)
+        self.target = _FakeTarget(answers, close=close)
         listener, port = bind_unused_port()
         self.port = port
         self.target.add_sockets([listener])
@@ -236,7 +236,7 @@
         return await self.curl.send(outgoing, intake), intake
 
     @gen_test
-    async def test_what_a_target_gets(self):
+    async def test_request_at_target(self):
         self.serve(b'HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n')
         end, _intake = await self.send()
         self.assertIsNone(end)
@@ -246,16 +246,22 @@
         self.assertEqual(names, {b'Host', b'X-One', b'X-Empty'})
 
     @gen_test
-    async def test_a_second_answer_is_nobodys(self):
+    async def test_surplus_answer_is_discarded(self):
         """A caller must not get the answer to an earlier request.
 
         A target sends two answers to one request. If the next request were
         sent on the same connection, the surplus bytes would be taken for its
         answer.
         """
-        one = b'HTTP/1.1 200 OK\r\n%sContent-Length: 3\r\n\r\none' % _SIGNED
-        two = b'HTTP/1.1 200 OK\r\n%sContent-Length: 3\r\n\r\ntwo' % _SIGNED
-        self.serve(one + one, two, two)
+        first_answer = (
+            b'HTTP/1.1 200 OK\r\n%sContent-Length: 3\r\n\r\none'
+            % _SIGNED_HEADERS
+        )
+        second_answer = (
+            b'HTTP/1.1 200 OK\r\n%sContent-Length: 3\r\n\r\ntwo'
+            % _SIGNED_HEADERS
+        )
+        self.serve(first_answer + first_answer, second_answer, second_answer)
         _end, first = await self.send()
         end, second = await self.send()
         self.assertEqual(bytes(first.body), b'one')
@@ -263,7 +269,7 @@
         self.assertEqual(bytes(second.body), b'two')
 
     @gen_test
-    async def test_time_to_come_back_that_is_given_twice(self):
+    async def test_repeated_retry_after(self):
         """Of several Retry-After headers the longest applies.
 
         Otherwise the target would get requests too early.
@@ -277,20 +283,20 @@
         self.assertEqual(intake.head.notice.retry_after, 7)
 
     @gen_test
-    async def test_an_answer_cut_short(self):
+    async def test_incomplete_answer_is_broken(self):
         self.serve(b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx', close=True)
         end, _intake = await self.send()
         self.assertEqual(end, BROKEN)
 
     @gen_test
-    async def test_bytes_that_are_no_answer(self):
+    async def test_invalid_answer_is_broken(self):
         self.serve(b'rubbish\r\n\r\n', close=True)
         end, intake = await self.send()
         self.assertEqual(end, BROKEN)
         self.assertTrue(intake.sent)
 
     @gen_test
-    async def test_nobody_listens(self):
+    async def test_refused_connection_is_not_sent(self):
         self.serve()
         self.target.stop()
         self.target = None
@@ -299,14 +305,14 @@
         self.assertFalse(intake.sent)
 
     @gen_test
-    async def test_a_target_that_says_nothing(self):
+    async def test_silent_target(self):
         self.serve(b'', b'')
         end, intake = await self.send(silence_timeout=0.05)
         self.assertEqual(end, SILENT)
         self.assertTrue(intake.sent)
 
     @gen_test
-    async def test_what_may_run_once_gets_a_connection_of_its_own(self):
+    async def test_new_connection_if_requested(self):
         """A request that may run only once needs a new connection.
 
         A target closes a pooled connection while a request is sent on it,
--- a/tests/test_gateway_sinks.py
+++ b/tests/test_gateway_sinks.py
@@ -16,7 +16,7 @@
 _MIB = 1024 * 1024
 
 
-async def _until(check) -> bool:
+async def _wait_until(check) -> bool:
     for _ in range(5000):
         if check():
             return True
@@ -81,26 +81,26 @@
         expected = b''.join([*framed, b'0\r\n\r\n'] if chunked else sent)
         self.assertEqual(body, expected)
 
-    async def test_slow_caller_shows_as_backlog_and_loses_nothing(self) -> None:
+    async def test_slow_caller_causes_backlog(self) -> None:
         """A caller that stops reading causes a backlog, and loses no data."""
         port = await self.serve([b'x' * _MIB for _ in range(20)])
         self.go_on.clear()
         reader, writer = await asyncio.open_connection('127.0.0.1', port)
         writer.write(b'GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n')
         await reader.readexactly(10)
-        self.assertTrue(await _until(lambda: self.sinks[0].backlog))
+        self.assertTrue(await _wait_until(lambda: self.sinks[0].backlog))
         self.go_on.set()
         answer = await reader.read()
         writer.close()
         self.assertGreater(len(answer), 20 * _MIB)
         self.assertTrue(answer.endswith(b'3\r\nend\r\n0\r\n\r\n'))
 
-    async def test_caller_that_goes_away_leaves_no_backlog(self) -> None:
+    async def test_disconnect_clears_backlog(self) -> None:
         port = await self.serve([b'x' * _MIB for _ in range(20)])
         _reader, writer = await asyncio.open_connection('127.0.0.1', port)
         writer.write(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
         self.assertTrue(
-            await _until(lambda: self.sinks and self.sinks[0].backlog),
+            await _wait_until(lambda: self.sinks and self.sinks[0].backlog),
         )
         writer.transport.abort()
-        self.assertTrue(await _until(lambda: not self.sinks[0].backlog))
+        self.assertTrue(await _wait_until(lambda: not self.sinks[0].backlog))
--- a/tests/test_gateway_target_client.py
+++ b/tests/test_gateway_target_client.py
@@ -25,7 +25,7 @@
         self.addCleanup(self.client.close)
         self.engine = self.running.core
 
-    async def test_report_orders_and_events(self) -> None:
+    async def test_load_orders_and_cache_events(self) -> None:
         address = self.running.address
         report = await self.client.load(address)
         self.assertEqual((report.slots, report.incarnation), (8, 'first'))
@@ -43,7 +43,7 @@
         self.assertEqual(events.events, (CacheEvent(1, 'x', stored=True),))
         self.assertEqual(events.next_seq, 2)
 
-    async def test_heads_of_all_answers_are_told(self) -> None:
+    async def test_on_head_gets_all_responses(self) -> None:
         """Headers in responses to polls and orders must not be lost."""
         heads = []
         self.client.on_head = lambda *head: heads.append(head)
@@ -58,7 +58,7 @@
         self.assertEqual(statuses[:2], [200, 200])
         self.assertGreaterEqual(statuses[2], 400)
 
-    async def test_silent_and_gone(self) -> None:
+    async def test_silent_and_unreachable(self) -> None:
         self.engine.set_silent(silent=True)
         address = self.running.address
         self.assertEqual(await self.client.load(address), NO_ANSWER)
--- a/tests/test_gateway_traced_upstream.py
+++ b/tests/test_gateway_traced_upstream.py
@@ -15,9 +15,9 @@
     until,
 )
 
-_TRACE = '4bf92f3577b34da6a3ce929d0e0e4736'
-_PARENT = '00f067aa0ba902b7'
-_CALLER = f'00-{_TRACE}-{_PARENT}-01'
+_TRACE_ID = '4bf92f3577b34da6a3ce929d0e0e4736'
+_PARENT_ID = '00f067aa0ba902b7'
+_TRACEPARENT = f'00-{_TRACE_ID}-{_PARENT_ID}-01'
 
 
 class TraceTest(unittest.IsolatedAsyncioTestCase):
@@ -46,15 +46,15 @@
     def spans(self):
         lines = self.stream.getvalue().splitlines()
         spans = [json.loads(line) for line in lines]
-        return [span for span in spans if span['trace_id'] == _TRACE]
+        return [span for span in spans if span['trace_id'] == _TRACE_ID]
 
-    async def test_request_is_followed_over_two_routers(self):
+    async def test_retry_at_another_router_keeps_trace(self):
         """A retry at another router belongs to the same trace.
 
         If each router started its own trace, a request that was sent twice
         could not be followed.
         """
-        headers = {'Idempotency_Key': 'c-1', 'Traceparent': _CALLER}
+        headers = {'Idempotency_Key': 'c-1', 'Traceparent': _TRACEPARENT}
         for router in self.deployment.routers:
             await self.call(router, **headers)
         spans = self.spans()
@@ -62,9 +62,9 @@
         hosts = {span['host'] for span in callers}
         self.assertEqual(hosts, {'router-0', 'router-1'})
         parents = {span['parent_id'] for span in callers}
-        self.assertEqual(parents, {_PARENT})
+        self.assertEqual(parents, {_PARENT_ID})
 
-    async def test_request_is_followed_into_another_router(self):
+    async def test_question_to_another_router_has_spans(self):
         """Questions to another router have spans.
 
         The caller retries at router 2 what router 0 runs, and router 2 asks
@@ -72,18 +72,20 @@
         explain why such a request is slow.
         """
         first = self.deployment.routers[0]
-        near = first.parts.net
-        self.deployment.overrides += (f'peers.seeds={near.me.address}',)
+        first_net = first.parts.net
+        self.deployment.overrides += (f'peers.seeds={first_net.me.address}',)
         with contextlib.redirect_stderr(self.stream):
             last = await self.deployment.add_router('router-2')
-        far = last.parts.net
-        met = await until(lambda: near.neighbours() and far.neighbours())
-        self.assertTrue(met)
+        last_net = last.parts.net
+        connected = await until(
+            lambda: first_net.neighbours() and last_net.neighbours()
+        )
+        self.assertTrue(connected)
         await self.call(first, Idempotency_Key='c-1')
         answer = await self.call(
             last,
             Idempotency_Key='c-1',
-            Traceparent=_CALLER,
+            Traceparent=_TRACEPARENT,
         )
         self.assertEqual(answer.status, HTTPStatus.OK)
         asked, answered = (
@@ -101,11 +103,11 @@
         outcomes = {span['attributes']['outcome'] for span in asked}
         self.assertEqual(outcomes, {'ok'})
 
-    async def test_each_hop_has_a_span_below_the_callers(self):
+    async def test_each_hop_has_child_span(self):
         answer = await self.call(
             self.deployment.routers[0],
             Idempotency_Key='c-1',
-            Traceparent=_CALLER,
+            Traceparent=_TRACEPARENT,
         )
         spans = {span['span']: span for span in self.spans()}
         hops = {'caller', 'allotment', 'queue', 'platform', 'target'}
@@ -114,14 +116,14 @@
         self.assertEqual(target['parent_id'], spans['caller']['span_id'])
         sent = json.loads(answer.body)['headers']['Traceparent']
         span_id = target['span_id']
-        self.assertEqual(sent, f'00-{_TRACE}-{span_id}-01')
+        self.assertEqual(sent, f'00-{_TRACE_ID}-{span_id}-01')
 
-    async def test_unsampled_request_leaves_no_span(self):
-        unsampled = f'00-{_TRACE}-{_PARENT}-00'
+    async def test_unsampled_request_has_no_span(self):
+        unsampled = f'00-{_TRACE_ID}-{_PARENT_ID}-00'
         answer = await self.call(
             self.deployment.routers[0],
             Traceparent=unsampled,
         )
         self.assertEqual(self.spans(), [])
         sent = json.loads(answer.body)['headers']['Traceparent']
-        self.assertTrue(sent.startswith(f'00-{_TRACE}-'))
+        self.assertTrue(sent.startswith(f'00-{_TRACE_ID}-'))
