--- a/src/balsamreach/gateway/chat.py
+++ b/src/balsamreach/gateway/chat_request.py
@@ -1,4 +1,4 @@
-"""Reads a chat completion request into a call."""
+"""Parser and validator of chat completion requests."""
 
 import json
 from collections.abc import Mapping
@@ -8,7 +8,7 @@
 import attrs
 
 from balsamreach.config.settings import CallersSettings
-from balsamreach.gateway.bodies import read_json
+from balsamreach.gateway.json_parser import parse_json
 from balsamreach.gateway.prompts import Prompt, measure_prompt
 from balsamreach.gateway.refusals import Refusal, invalid_request
 from balsamreach.routing.weighted_split import WeightedSplit
@@ -16,7 +16,7 @@
 
 CHAT_PATH = '/v1/chat/completions'
 
-_MOST_CHOICES = 128
+_MAX_CHOICES = 128
 
 
 @attrs.frozen
@@ -26,13 +26,13 @@
     Parameters
     ----------
     model : str
-        Model that will run it.
+        Model that runs the request.
     stream, wants_usage : bool
-        What the caller asked for.
-    max_tokens : int
-        Completion tokens at most, over all choices.
+        Whether the caller wants a stream, and token usage in it.
+    max_completion_tokens : int
+        Maximum completion tokens, summed over all choices.
     prompt : Prompt
-        What the prompt may cost and how it begins.
+        Token counts and prefix of the prompt.
     body : bytes
         Body to send to the target.
     """
@@ -40,60 +40,60 @@
     model: str
     stream: bool
     wants_usage: bool
-    max_tokens: int
+    max_completion_tokens: int
     prompt: Prompt
     body: bytes
 
     @property
-    def most_tokens(self) -> int:
-        """Worst case of prompt and completion together."""
-        return self.prompt.most_tokens + self.max_tokens
+    def max_total_tokens(self) -> int:
+        """Maximum tokens of prompt and completion together."""
+        return self.prompt.max_tokens + self.max_completion_tokens
 
     @property
     def prompt_tokens(self) -> int:
-        """Estimate of the prompt's tokens."""
-        return self.prompt.likely_tokens
+        """Estimated tokens of the prompt."""
+        return self.prompt.estimated_tokens
 
     @property
     def prefix(self) -> bytes:
-        """Leading part of the prompt."""
+        """Leading bytes of the prompt, for cache affinity."""
         return self.prompt.prefix
 
 
-def read_chat(
+def parse_chat_request(
     raw: bytes,
     team: TeamRow,
     models: tuple[str, ...],
     cfg: CallersSettings,
     shares: WeightedSplit,
 ) -> ChatRequest | Refusal:
-    """Check a chat completion request and read it.
+    """Validate and parse a chat completion request.
 
     Parameters
     ----------
     raw : bytes
         Body as the caller sent it.
     team : TeamRow
-        Team that calls.
+        Team of the caller.
     models : tuple of str
         Models that some engine serves.
     cfg : CallersSettings
-        Bounds of what is asked for.
+        Limits of completion tokens and tokens per media part.
     shares : WeightedSplit
-        For sharing ``auto`` requests among the team's models.
+        Distributes ``auto`` requests among the team's models.
 
     Returns
     -------
     ChatRequest or Refusal
         A refusal names what is wrong with the request.
     """
-    body = _parse(raw)
+    body = _parse_body(raw)
     if isinstance(body, Refusal):
         return body
     model = _choose_model(body, team, models, shares)
     if isinstance(model, Refusal):
         return model
-    max_tokens = _max_tokens(body, team, cfg.most_completion)
+    max_tokens = _read_max_tokens(body, team, cfg.most_completion)
     if isinstance(max_tokens, Refusal):
         return max_tokens
     prompt = measure_prompt(body, cfg.part_tokens)
@@ -102,8 +102,8 @@
     return _build(body, model, max_tokens, prompt)
 
 
-def _parse(raw: bytes) -> dict[str, Any] | Refusal:
-    body = read_json(raw)
+def _parse_body(raw: bytes) -> dict[str, Any] | Refusal:
+    body = parse_json(raw)
     if isinstance(body, Refusal):
         return body
     messages = body.get('messages')
@@ -128,11 +128,11 @@
 ) -> str | Refusal:
     model = body.get('model')
     if not isinstance(model, str) or not model:
-        return invalid_request('model must be a text')
+        return invalid_request('model must be a string')
     if model == ANY_MODEL:
         weights = team.models or dict.fromkeys(models, 1.0)
-        # A model that no target serves any more would turn its share of the
-        # requests away; the other models take it over.
+        # The share of a model that no target serves any more goes to the
+        # other models; its requests would be refused otherwise.
         weights = {
             name: weight
             for name, weight in weights.items()
@@ -142,8 +142,8 @@
             return Refusal(
                 HTTPStatus.BAD_REQUEST,
                 'unknown_model',
-                'no model is open to the team',
-                by_table=True,
+                'no model is open to this team',
+                relies_on_table=True,
             )
         return shares.pick(team.name, weights)
     if model not in models or (team.models and model not in team.models):
@@ -151,46 +151,46 @@
             HTTPStatus.NOT_FOUND,
             'unknown_model',
             f'no model {model!r} is open to this team',
-            by_table=True,
+            relies_on_table=True,
         )
     return model
 
 
-def _max_tokens(
+def _read_max_tokens(
     body: Mapping[str, Any],
     team: TeamRow,
-    most: int,
+    maximum: int,
 ) -> int | Refusal:
     for name in ('max_completion_tokens', 'max_tokens'):
         if body.get(name) is not None:
-            return _read_count(body, name, most)
-    return min(team.max_tokens, most)
+            return _read_int(body, name, maximum)
+    return min(team.max_tokens, maximum)
 
 
-def _choices(body: Mapping[str, Any]) -> int | Refusal:
-    # Every choice is generated whole and billed, also those that an engine
-    # drops in favour of the best.
+def _read_choices(body: Mapping[str, Any]) -> int | Refusal:
+    # Every choice is generated in full and billed, including those that an
+    # engine discards for best_of.
     counts = [1]
     for name in ('n', 'best_of'):
         if body.get(name) is None:
             continue
-        count = _read_count(body, name, _MOST_CHOICES)
+        count = _read_int(body, name, _MAX_CHOICES)
         if isinstance(count, Refusal):
             return count
         counts.append(count)
     return max(counts)
 
 
-def _read_count(
+def _read_int(
     body: Mapping[str, Any],
     name: str,
-    most: int,
+    maximum: int,
 ) -> int | Refusal:
     number = body[name]
     if isinstance(number, bool) or not isinstance(number, int):
-        return invalid_request(f'{name} must be a whole number')
-    if not 1 <= number <= most:
-        return invalid_request(f'{name} must be from 1 to {most}')
+        return invalid_request(f'{name} must be an integer')
+    if not 1 <= number <= maximum:
+        return invalid_request(f'{name} must be from 1 to {maximum}')
     return number
 
 
@@ -200,20 +200,20 @@
     max_tokens: int,
     prompt: Prompt,
 ) -> ChatRequest | Refusal:
-    choices = _choices(body)
+    choices = _read_choices(body)
     if isinstance(choices, Refusal):
         return choices
     stream = bool(body.get('stream'))
     options = body.get('stream_options') or {}
-    sent = {**body, 'model': model, 'max_tokens': max_tokens}
-    sent.pop('max_completion_tokens', None)
+    upstream_body = {**body, 'model': model, 'max_tokens': max_tokens}
+    upstream_body.pop('max_completion_tokens', None)
     if stream:
-        sent['stream_options'] = {**options, 'include_usage': True}
+        upstream_body['stream_options'] = {**options, 'include_usage': True}
     return ChatRequest(
         model=model,
         stream=stream,
         wants_usage=bool(options.get('include_usage')),
-        max_tokens=max_tokens * choices,
+        max_completion_tokens=max_tokens * choices,
         prompt=prompt,
-        body=json.dumps(sent).encode(),
+        body=json.dumps(upstream_body).encode(),
     )
--- a/src/balsamreach/gateway/operators_lowering.py
+++ b/src/balsamreach/gateway/operators_lowering.py
@@ -1,4 +1,4 @@
-"""Edits that lower a budget, for which routers hand back what they hold."""
+"""Edits that lower a budget, for which routers return idle tokens."""
 
 from balsamreach.budget.faults import BudgetFault
 from balsamreach.budget.recalling import Outstanding
@@ -7,23 +7,24 @@
 from balsamreach.table.editor import Outcome
 from balsamreach.table.edits import Edit
 
-_MOST_HOSTS = 5
+_MAX_LISTED_HOSTS = 5
 
 
 async def apply_edit(context: OperatorContext, edit: Edit) -> Outcome:
-    """Apply an edit; if it lowers a budget too far, call tokens back first.
+    """Apply an edit; recall tokens and retry if the budget would be too low.
 
     Parameters
     ----------
     context : OperatorContext
-        Editor and budgets.
+        Provides the editor and the budgets.
     edit : Edit
         The change.
 
     Returns
     -------
     Accepted or TableFault
-        BELOW_TAKEN tells what is out, where, and what to do.
+        The reason of BELOW_TAKEN says how many tokens are still held, by
+        which hosts, and what to do.
     """
     outcome = await context.editor.apply(edit)
     if outcome != faults.BELOW_TAKEN:
@@ -39,22 +40,22 @@
 
 
 def _explain(team: str, out: Outstanding) -> str:
-    said = [
+    sentences = [
         f'{team} can be lowered to {out.taken} now: {out.spent} are spent',
     ]
-    hosts = [f'{one.held} at {one.host}' for one in out.holdings]
+    hosts = [f'{holding.held} at {holding.host}' for holding in out.holdings]
     if hosts:
-        shown = ', '.join(hosts[:_MOST_HOSTS])
-        more = len(hosts) - _MOST_HOSTS
+        listed = ', '.join(hosts[:_MAX_LISTED_HOSTS])
+        more = len(hosts) - _MAX_LISTED_HOSTS
         rest = f' and {more} more' if more > 0 else ''
-        said.append(
-            f'held for requests in progress: {shown}{rest}; '
+        sentences.append(
+            f'held for requests in progress: {listed}{rest}; '
             'ask again when these have ended',
         )
     if out.elsewhere:
-        said.append(
+        sentences.append(
             f'{out.elsewhere} at routers that are gone or did not answer; '
             'see `balsamreach audit`, and `balsamreach budget release` for '
             'those that are gone',
         )
-    return '; '.join(said)
+    return '; '.join(sentences)
--- a/src/balsamreach/gateway/operators_peers.py
+++ b/src/balsamreach/gateway/operators_peers.py
@@ -1,4 +1,4 @@
-"""Operators' view of the routers that this one knows."""
+"""Handler that lists the routers known to this one."""
 
 from typing import Any
 
@@ -8,22 +8,23 @@
 
 
 class PeersHandler(OperatorHandler):
-    """``GET /peers``: routers known, and those with a connection."""
+    """``GET /peers``: known routers, and whether each is connected."""
 
     def initialize(self, context: OperatorContext, net: PeerNet) -> None:
-        """Take the net besides what every operators' handler gets."""
+        """Store the context and the peer network."""
         super().initialize(context)
         self.net = net
 
     def get(self) -> None:
-        """List the routers."""
+        """Send the list of routers."""
         net = self.net
-        linked = {member.incarnation for member in net.neighbours()}
+        connected = {member.incarnation for member in net.neighbours()}
         self.finish(
             {
-                'me': _shown(net.me),
+                'me': _describe(net.me),
                 'members': [
-                    _shown(member) | {'linked': member.incarnation in linked}
+                    _describe(member)
+                    | {'linked': member.incarnation in connected}
                     for member in sorted(net.members(), key=_by_address)
                     if member.incarnation != net.me.incarnation
                 ],
@@ -32,7 +33,7 @@
 
 
 def peers_handlers(context: OperatorContext, net: PeerNet) -> list[Any]:
-    """Return the handlers of this module for an application."""
+    """Return the routes to add to the operators' listener."""
     return [('/peers', PeersHandler, {'context': context, 'net': net})]
 
 
@@ -40,7 +41,7 @@
     return member.address
 
 
-def _shown(member: Member) -> dict[str, object]:
+def _describe(member: Member) -> dict[str, object]:
     return {
         'incarnation': member.incarnation,
         'host': member.host,
--- a/src/balsamreach/gateway/probes.py
+++ b/src/balsamreach/gateway/probes.py
@@ -1,7 +1,7 @@
-"""Answers probes without the web framework.
+"""Readiness and metrics endpoints without the web framework.
 
-A router that passes requests through uses the framework for nothing else;
-importing it takes a tenth of the processor time of a start.
+A router that passes requests through has no other use for the framework,
+whose import takes a tenth of the processor time of a start.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 from balsamreach.telemetry.metrics import CONTENT_TYPE, Metrics
 
-_METRICS = '/metrics'
+_METRICS_PATH = '/metrics'
 _JSON = 'application/json'
 _READY = 'ready'
 _METHODS = frozenset(('GET', 'HEAD'))
@@ -24,14 +24,14 @@
 
 @attrs.frozen
 class Probes:
-    """Serves readiness and metrics; called with each request.
+    """Request callback that serves readiness and metrics.
 
     Parameters
     ----------
     ready_path : str
-        Path under which readiness is asked for.
+        Path of the readiness endpoint.
     state : callable
-        Tells the router's state.
+        Returns the router's state.
     metrics : Metrics
         The router's metrics.
     """
@@ -45,14 +45,14 @@
         if request.method not in _METHODS:
             _answer(request, HTTPStatus.METHOD_NOT_ALLOWED, _JSON, b'{}')
         elif request.path == self.ready_path:
-            self._tell_state(request)
-        elif request.path == _METRICS:
+            self._answer_ready(request)
+        elif request.path == _METRICS_PATH:
             body = self.metrics.render().encode()
             _answer(request, HTTPStatus.OK, CONTENT_TYPE, body)
         else:
             _answer(request, HTTPStatus.NOT_FOUND, _JSON, b'{}')
 
-    def _tell_state(self, request: HTTPServerRequest) -> None:
+    def _answer_ready(self, request: HTTPServerRequest) -> None:
         state = self.state()
         status = HTTPStatus.OK
         if state != _READY:
@@ -71,6 +71,6 @@
     headers['Content-Type'] = content_type
     headers['Content-Length'] = str(len(body))
     line = ResponseStartLine('HTTP/1.1', status.value, status.phrase)
-    shown = b'' if request.method == 'HEAD' else body
-    request.connection.write_headers(line, headers, shown)
+    payload = b'' if request.method == 'HEAD' else body
+    request.connection.write_headers(line, headers, payload)
     request.connection.finish()
--- a/tests/test_gateway_probes.py
+++ b/tests/test_gateway_probes.py
@@ -1,4 +1,4 @@
-"""Tests of probes that are answered without the web framework."""
+"""Tests of the readiness and metrics endpoints without the framework."""
 
 from parameterized import parameterized
 from tornado.testing import AsyncHTTPTestCase
@@ -8,7 +8,7 @@
 
 
 class ProbesTest(AsyncHTTPTestCase):
-    """The balancer and operators get short answers."""
+    """Responses to the balancer and to operators."""
 
     def get_app(self):
         self.state = 'starting'
@@ -35,5 +35,5 @@
         self.assertIn(b'some_total 1', answer.body)
 
     @parameterized.expand([('/else', 'GET', 404), ('/ready', 'DELETE', 405)])
-    def test_anything_else(self, path, method, status):
+    def test_other_requests(self, path, method, status):
         self.assertEqual(self.fetch(path, method=method).code, status)
