--- a/src/balsamreach/daemon/__init__.py
+++ b/src/balsamreach/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The router daemon: its parts put together, started and stopped."""
+"""Router daemon: construction of its components, startup and shutdown."""
--- a/src/balsamreach/daemon/clients.py
+++ b/src/balsamreach/daemon/clients.py
@@ -1,4 +1,4 @@
-"""Makes the senders that speak to the platform's services."""
+"""Creates the HTTP clients of the platform's services."""
 
 from balsamreach.clock import Clock
 from balsamreach.config.settings import Settings
@@ -11,7 +11,7 @@
 
 
 def platform_client(cfg: Settings, base_url: str) -> PlatformClient:
-    """Return a sender for one of the platform's services."""
+    """Return an HTTP client for one of the platform's services."""
     return PlatformClient(
         base_url,
         cfg.platform.connect_timeout,
@@ -29,6 +29,6 @@
     metrics: Metrics,
     clock: Clock,
 ) -> TableService:
-    """Return the table service, its calls measured and traced."""
+    """Return a table service client that records metrics and traces."""
     service = HttpTableService(platform_client(cfg, cfg.platform.table))
     return TracedTableService(service, metrics, clock)
--- a/src/balsamreach/daemon/closing.py
+++ b/src/balsamreach/daemon/closing.py
@@ -1,13 +1,13 @@
-"""Closes a shared port at one of its daemons and cuts nobody off."""
+"""Makes listening sockets on a shared port refuse new connections."""
 
 import ctypes
 import socket
 import struct
 from collections.abc import Iterable
 
-#: ``SO_ATTACH_FILTER`` of Linux, which Python does not name.
+#: ``SO_ATTACH_FILTER`` on Linux; the ``socket`` module does not define it.
 _ATTACH_FILTER = 26
-#: The TCP flags are the 14th octet of the header.
+#: Offset of the TCP flags: they are the 14th byte of the header.
 _FLAGS = 13
 _SYN = 0x2
 _ACK = 0x10
@@ -17,7 +17,7 @@
 _RETURN = 0x6
 _WHOLE = 0xFFFFFFFF
 
-#: Classic BPF: drop a segment that opens a connection, pass all others.
+#: Classic BPF program that drops SYN segments and passes all others.
 _PROGRAM = (
     (_LOAD_OCTET, 0, 0, _FLAGS),
     (_AND, 0, 0, _SYN | _ACK),
@@ -28,19 +28,20 @@
 
 
 def drop_openings(sockets: Iterable[socket.socket]) -> None:
-    """Let listening sockets drop what would open a connection.
+    """Make listening sockets drop SYN segments.
 
-    The kernel sends a new connection to one of the daemons that share a
-    port. Of those sent to a socket that closes, the ones not accepted yet
-    and those whose handshake is under way are reset: callers would see a
-    broken connection although the other daemons run. From now on an opening
-    segment goes unanswered, the caller's machine sends it again after a
-    second, and by then it is another daemon's. Handshakes under way end.
+    The kernel assigns each new connection to one of the daemons that share a
+    port. When a daemon closes its socket, connections that it has not
+    accepted and unfinished handshakes are reset, so callers would see a
+    broken connection although other daemons run. With the filter, a SYN gets
+    no answer; the caller's machine sends it again after a second, when the
+    socket is closed and the kernel assigns it to another daemon. Handshakes
+    in progress complete.
 
     Parameters
     ----------
     sockets : iterable of socket
-        Listening sockets, to be closed half a second later.
+        Listening sockets, which the caller closes half a second later.
     """
     packed = b''.join(struct.pack('HBBI', *step) for step in _PROGRAM)
     steps = ctypes.create_string_buffer(packed, len(packed))
--- a/src/balsamreach/daemon/listeners.py
+++ b/src/balsamreach/daemon/listeners.py
@@ -15,28 +15,28 @@
 from balsamreach.daemon.closing import drop_openings
 from balsamreach.gateway.probes import Probes
 
-#: The server itself reads headers up to this many times the limit, so that
-#: one that is a little too large can be answered.
+#: The server reads headers up to this many times the limit, so that a request
+#: whose header is slightly too large gets an error response.
 _HEADER_SLACK = 2
-#: The guard bounds bodies and answers what is too large; the server's own
-#: limit would close the connection without an answer.
+#: The guard limits the size of bodies and sends an error response; the
+#: server's own limit would close the connection without a response.
 _NO_LIMIT = 1 << 62
 
 
 @attrs.define
 class OpenListener:
-    """A listener that takes connections.
+    """A listener that accepts connections.
 
     Parameters
     ----------
     address : str
-        ``ip:port`` it is bound to.
+        ``ip:port`` that the listener is bound to.
     section : Listener
-        Its section of the settings.
+        Section of the settings that describes the listener.
     server : HTTPServer
-        The server behind it.
+        Server that handles its connections.
     sockets : tuple of socket
-        Its listening sockets.
+        Listening sockets.
     """
 
     address: str
@@ -45,28 +45,30 @@
     sockets: tuple[socket.socket, ...] = ()
 
     def turn_away(self) -> bool:
-        """Leave new connections to others on the port, if there may be any.
+        """Drop new connections if other daemons may share the port.
 
         Returns
         -------
         bool
-            Whether the listener has to be kept open for a little longer.
+            Whether the port is shared. If so, the listener must stay open
+            until the handshakes in progress have completed.
         """
         if self.section.shared:
             drop_openings(self.sockets)
         return self.section.shared
 
     def stop(self) -> None:
-        """Take no more connections; those that are open go on."""
+        """Stop accepting connections; open connections continue."""
         self.server.stop()
 
     def reload_tls(self) -> ConfigFault | None:
-        """Load the PEM files again, for connections from now on.
+        """Reload the PEM files, for new connections only.
 
         Returns
         -------
         ConfigFault or None
-            The fault of files that can't be used; the old ones stay then.
+            Why the files can't be used; the previous certificate stays in
+            use then.
         """
         context = server_context(self.section)
         if isinstance(context, ConfigFault):
@@ -80,28 +82,28 @@
     section: Listener,
     app: HTTPServerConnectionDelegate | Probes,
 ) -> OpenListener:
-    """Bind and serve one listener.
+    """Bind a listener and serve an application on it.
 
     Parameters
     ----------
     cfg : Settings
         The router's settings.
     section : Listener
-        The listener's section of them, its files checked before.
+        Section of the listener, whose files have been checked.
     app : HTTPServerConnectionDelegate or Probes
-        What it serves.
+        Application to serve.
 
     Returns
     -------
     OpenListener
-        The listener with the port it got.
+        The listener; its address contains the port that was bound.
 
     Raises
     ------
     OSError
-        If the port was taken since the settings were checked.
+        If the port has been taken since the settings were checked.
     ssl.SSLError
-        If a PEM file was spoilt since the settings were checked.
+        If a PEM file has become invalid since the settings were checked.
     """
     context = server_context(section)
     if isinstance(context, ConfigFault):
--- a/src/balsamreach/daemon/net.py
+++ b/src/balsamreach/daemon/net.py
@@ -1,4 +1,4 @@
-"""Puts a router's net of peers together from its settings."""
+"""Creates a router's peer network from its settings."""
 
 import random
 
@@ -20,27 +20,28 @@
     metrics: Metrics,
     hosts: HostList,
 ) -> TcpPeerNet:
-    """Make the net of a router; nothing is opened yet.
+    """Create the peer network of a router, without opening sockets.
 
     Parameters
     ----------
     cfg : Settings
         The router's settings.
     incarnation : str
-        Identity of this start.
+        Identity of this run of the router.
     clock : Clock
-        Source of time.
+        Source of the current time.
     rng : random.Random
-        Source of randomness.
+        Random number generator.
     metrics : Metrics
-        Where peers are counted.
+        Registry of the metrics.
     hosts : HostList
-        Where routers are listed.
+        List of hosts, used to discover other routers.
 
     Returns
     -------
     TcpPeerNet
-        The net; its address has no port before it starts.
+        The peer network. If the configured port is 0, its address has no
+        usable port until it is started.
     """
     address = cfg.peers.address or cfg.host.address
     me = Member(
--- a/src/balsamreach/daemon/parts.py
+++ b/src/balsamreach/daemon/parts.py
@@ -1,4 +1,4 @@
-"""Puts the parts of one router together from its settings."""
+"""Creates the components of a router from its settings."""
 
 import random
 import uuid
@@ -39,14 +39,14 @@
 
 @attrs.define(kw_only=True)
 class Parts:
-    """Everything one router consists of, except its listeners.
+    """The components of a router, except its listeners.
 
     Parameters
     ----------
     cfg : Settings
         The router's settings.
     incarnation : str
-        Identity of this start of the router.
+        Identity of this run of the router.
     """
 
     cfg: Settings
@@ -66,7 +66,7 @@
 
 
 def make_parts(cfg: Settings) -> Parts:
-    """Make the parts of a router.
+    """Create the components of a router.
 
     Parameters
     ----------
@@ -76,8 +76,8 @@
     Returns
     -------
     Parts
-        Parts that share one clock, one source of randomness and one
-        incarnation; nothing is started or sent yet.
+        Components that share one clock, one random number generator and
+        one incarnation. None is started, and nothing has been sent.
     """
     net = make_net(
         cfg,
@@ -151,8 +151,8 @@
         cfg.budget,
         net.clock,
         net=net,
-        # With port 0 the next router on this host gets another port, and a
-        # later one on the same port need not be this one's successor.
+        # With port 0 each run on this host binds another port, and a later
+        # router that gets the same port may not be this one's successor.
         address=net.me.address if cfg.peers.port else '',
         rng=net.rng,
         metrics=net.metrics,
--- a/src/balsamreach/daemon/placing_parts.py
+++ b/src/balsamreach/daemon/placing_parts.py
@@ -1,4 +1,4 @@
-"""Puts together what places and repeats requests that are passed through."""
+"""Creates the components that place and retry relayed requests."""
 
 import random
 
@@ -24,20 +24,20 @@
     clock: Clock,
     rng: random.Random,
 ) -> Chooser:
-    """Return what chooses targets; it knows none yet.
+    """Return a chooser of targets; it knows no target yet.
 
     Parameters
     ----------
     zone : str
         Zone of this router.
     net : PeerNet
-        The other routers.
+        Peer network.
     view : CatalogueView
-        What is known of the services.
+        The configuration in force.
     clock : Clock
-        Time.
+        Source of the current time.
     rng : random.Random
-        Chooses among equals.
+        Chooses between equally good targets.
     """
     evacuations = Evacuations(clock)
     warming = Warming(
@@ -58,16 +58,16 @@
 
 
 def make_notices(places: Places, clock: Clock, metrics: Metrics) -> Notices:
-    """Return what takes in what targets say of themselves.
+    """Return a handler of the notices in targets' response headers.
 
     Parameters
     ----------
     places : Places
         All targets.
     clock : Clock
-        Time.
+        Source of the current time.
     metrics : Metrics
-        Counters.
+        Counts notices.
     """
     return Notices(places, clock, metrics)
 
@@ -77,16 +77,16 @@
     net: PeerNet,
     clock: Clock,
 ) -> Repeats:
-    """Return what bounds the repeats of all routers together.
+    """Return the retry budget, which bounds the retries of all routers.
 
     Parameters
     ----------
     cfg : RelaySettings
-        Share and slack of repeats, and their window.
+        Share and slack of retries, and the length of their window.
     net : PeerNet
-        The other routers.
+        Peer network; dead routers count too.
     clock : Clock
-        Time.
+        Source of the current time.
     """
     return Repeats(
         cfg.retry_share,
--- a/src/balsamreach/daemon/relay_parts.py
+++ b/src/balsamreach/daemon/relay_parts.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a router together that passes requests through."""
+"""Creates the components of a router that relays requests."""
 
 import random
 import uuid
@@ -35,7 +35,7 @@
 
 @attrs.define(kw_only=True)
 class RelayParts:
-    """Everything such a router consists of, except listeners and feeds."""
+    """The components of a relay router, except its listeners and feeds."""
 
     cfg: Settings
     clock: Clock
@@ -57,16 +57,16 @@
     codec: Codec,
     outside: Outside,
 ) -> RelayParts:
-    """Make the parts of a router; nothing is started or sent yet.
+    """Create the components of a router, without starting them.
 
     Parameters
     ----------
     cfg : Settings
         The router's settings.
     codec : Codec
-        Translates between the relay and the wire.
+        Translates between the relay's types and HTTP messages.
     outside : Outside
-        What the router has of the platform's services.
+        Clients of the platform's services.
     """
     core = _make_core(cfg, outside)
     exchange = RelayCurl(cfg.relay.connect_timeout)
@@ -106,7 +106,7 @@
 
 @attrs.define
 class _Core:
-    """What all parts share."""
+    """Dependencies that the components share."""
 
     cfg: Settings
     net: TcpPeerNet
@@ -117,11 +117,11 @@
     currency: Currency = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Confirm the configuration by the source that is set later."""
+        """Create the freshness check; its source is set later."""
         self.currency = Currency(self.view, self.clock)
 
     def make_holdings(self, outside: Outside) -> Holdings:
-        """Make what keeps the budgets."""
+        """Create the holder of prepaid tokens."""
         return Holdings(
             outside.table,
             self.view.prepaid,
@@ -138,7 +138,7 @@
         )
 
     def make_sharing(self, chooser: Chooser) -> LoadSharing:
-        """Make what tells peers of the load at engines."""
+        """Create and start the exchange of engine loads with peers."""
         sharing = LoadSharing(self.net, chooser.places, self.clock)
         chooser.on_sent = sharing.sent
         sharing.start()
@@ -151,7 +151,7 @@
         chooser: Chooser,
         holdings: Holdings,
     ) -> RunParts:
-        """Make what every request runs on."""
+        """Create the components that process every request."""
         cfg = self.cfg
         suspects = make_suspects(
             cfg.routing.crash_targets,
--- a/src/balsamreach/daemon/relay_router.py
+++ b/src/balsamreach/daemon/relay_router.py
@@ -1,4 +1,4 @@
-"""The life of a router that passes requests through: start, serve, leave."""
+"""Startup, serving and shutdown of a router that relays requests."""
 
 import asyncio
 import logging
@@ -25,15 +25,16 @@
 _READY = 'ready'
 _LEAVING = 'leaving'
 _CROWDED = 'crowded'
-#: Seconds for which a leaving router takes new connections, so that the
-#: balancer has looked twice and sends none when the listener closes.
+#: Seconds for which a leaving router still accepts connections. In this time
+#: the load balancer checks readiness twice, so it sends no connection to a
+#: listener that is closed.
 _LEAVE_DELAY_S = 2.5
-#: Part of the grace after which requests in progress are no longer waited
-#: for; the rest is for handing tokens back.
+#: Share of the grace period in which requests in progress may finish; the
+#: rest is for returning tokens.
 _DRAIN_SHARE = 0.85
 _TICK_S = 0.1
 _MS = 1000
-#: Refusals that a newer configuration may lift.
+#: Refusals that may not apply under a newer configuration.
 _UNKNOWN = (faults.NO_ROUTE, faults.NO_TEAM)
 
 Runner = Callable[[], Awaitable[None]]
@@ -41,18 +42,19 @@
 
 @attrs.define(eq=False)
 class RelayRouter:
-    """One router daemon.
+    """A router daemon that relays requests.
 
     Parameters
     ----------
     parts : RelayParts
-        What it consists of.
+        Components of the router.
     ready_path : str
-        Path under which the balancer asks whether it is ready.
+        Path of the load balancer's readiness check.
     feeds : tuple of callable
-        What follows the outside world, each run in a task of its own.
+        Coroutine functions that follow the platform's data, such as the
+        configuration; each is run in a task of its own.
     ticks : tuple of callable
-        Called every tenth of a second.
+        Functions that are called every tenth of a second.
     """
 
     parts: RelayParts
@@ -67,14 +69,15 @@
     _rotation: Rotation = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Begin in rotation."""
+        """Start in the rotation of the load balancer."""
         self._rotation = Rotation(self.parts.run.link, self.parts.clock)
 
     async def start(self) -> None:
         """Open the listeners and begin to follow configuration and targets."""
         self._listen()
         fault = await self.parts.net.start()
-        # Nothing but a TLS file can fail there, and those were read before.
+        # Only unreadable TLS files make this fail, and they have been read
+        # before.
         assert fault is None, fault
         holdings = self.parts.holdings
         runners = (
@@ -90,11 +93,11 @@
             _logger,
             logging.INFO,
             'router_started',
-            reason=f'callers on {self.callers.address}',
+            reason=f'listening for callers on {self.callers.address}',
         )
 
     async def leave(self) -> None:
-        """Finish the requests in progress, hand tokens back and stop."""
+        """Finish the requests in progress, return tokens and stop."""
         self.state = _LEAVING
         log_event(_logger, logging.INFO, 'router_leaving')
         began = self.parts.clock.now()
@@ -144,7 +147,7 @@
                 _logger,
                 logging.ERROR,
                 'requests_cut_off',
-                reason='the grace is over',
+                reason='grace period expired',
                 requests=len(self.server.running),
             )
 
@@ -163,8 +166,9 @@
         call = codec.read_request(request, parts.view.current)
         if call not in _UNKNOWN:
             return call
-        # A route or key that this router doesn't know may be in a version
-        # that it lacks. Told that there is none, a caller would not come back.
+        # A newer configuration may contain the unknown route or key. Callers
+        # do not retry after a final refusal, so confirm first that the
+        # configuration in force is the newest one.
         if not await parts.currency.confirm():
             return faults.NOT_READY.because('a newer configuration may exist')
         return codec.read_request(request, parts.view.current)
@@ -215,7 +219,7 @@
             _logger,
             logging.INFO,
             f'router_{self.state}',
-            reason=f'the link is {wait_ms} ms behind',
+            reason=f'link backlog is {wait_ms} ms',
         )
 
 
--- a/src/balsamreach/daemon/router.py
+++ b/src/balsamreach/daemon/router.py
@@ -1,4 +1,4 @@
-"""The router daemon's life: start, serve, leave."""
+"""Startup, serving and shutdown of the router daemon."""
 
 import asyncio
 import gc
@@ -38,21 +38,24 @@
 _logger = logging.getLogger(__name__)
 _LAST_FLUSHES = 20
 _FLUSH_PAUSE_S = 1
-#: Handshakes under way on a shared port end in this time; a caller's machine
-#: tries again after a second, so the port must be closed by then.
+#: Seconds in which handshakes in progress on a shared port complete. A
+#: caller's machine sends a dropped SYN again after a second; the port must be
+#: closed by then.
 _HANDSHAKES_S = 0.5
 
 
 @attrs.define(eq=False)
 class Router:
-    """One router daemon.
+    """A router daemon.
 
     Parameters
     ----------
     cfg : Settings
-        Its settings.
+        The router's settings.
+    state : str
+        ``STARTING``, ``READY`` or ``LEAVING``.
     ready : asyncio.Event
-        Set once the table is in force here.
+        Set when this router has the complete table.
     """
 
     cfg: Settings
@@ -67,7 +70,8 @@
     async def start(self) -> None:
         """Open the listeners and begin to follow the table."""
         self.parts = make_parts(self.cfg)
-        # The command has read the TLS files before; nothing else can fail.
+        # Only unreadable TLS files make this fail, and the command has read
+        # them before.
         fault = await self.parts.net.start()
         assert fault is None, fault
         callers, metrics = self.cfg.callers, self.parts.metrics
@@ -89,11 +93,11 @@
             _logger,
             logging.INFO,
             'router_started',
-            reason=f'callers on {self.callers.address}',
+            reason=f'listening for callers on {self.callers.address}',
         )
 
     def reload_tls(self) -> None:
-        """Load the PEM files of the listeners again."""
+        """Reload the PEM files of all listeners."""
         for listener in (self.callers, self.operators):
             _log_reload(listener.address, listener.reload_tls())
         net = self.parts.net
@@ -112,9 +116,9 @@
         log_event(_logger, logging.INFO, 'router_left')
 
     async def _stop_accepting(self) -> None:
-        # A balancer that has not looked at /readyz yet goes on sending. If
-        # the listener closed at once, those callers would see a refused
-        # connection; so it is kept open until the balancer must know.
+        # A load balancer that has not checked /readyz again still sends
+        # connections. If the listener closed at once, they would be refused,
+        # so it stays open until the balancer has noticed.
         await self.parts.clock.sleep(self.cfg.callers.leave_delay)
         is_shared = self.callers.turn_away()
         if is_shared:
@@ -122,9 +126,9 @@
         self.callers.stop()
         self.guard.leave()
         if is_shared:
-            # Whoever was let in last has yet to send its request, and this
-            # process, if it stood still meanwhile, to read it. Closed before,
-            # such a connection would be reset.
+            # The connections accepted last may not have sent a request yet,
+            # or this process may not have read it if it was paused. Closing
+            # them now would reset them.
             await self.parts.clock.sleep(_HANDSHAKES_S)
 
     async def _drain(self) -> None:
@@ -136,7 +140,7 @@
                 _logger,
                 logging.ERROR,
                 'requests_cut_off',
-                reason='leave_timeout passed',
+                reason='leave_timeout exceeded',
                 requests=len(self.parts.dispatcher.running),
             )
 
@@ -147,7 +151,8 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self.parts.upstream.close()
-        # The collector may be slow; a second signal must be taken meanwhile.
+        # Sending the last spans to a slow collector must not block the event
+        # loop, which handles a second signal.
         await asyncio.to_thread(self.parts.net.tracing.close)
 
     async def _leave_budgets(self) -> None:
@@ -166,17 +171,17 @@
             await table.follower.step()
             if self.state == STARTING and table.view.complete:
                 self.state = READY
-                # The table lives as long as the process. Each full run of
-                # the garbage collector would go through it, 14 ms at 36,000
-                # teams, while every open stream stands still.
+                # The table is never freed. Without freeze, each full garbage
+                # collection would traverse it and block all open streams: 14
+                # ms at 36,000 teams.
                 gc.collect()
                 gc.freeze()
                 self.ready.set()
             await table.follower.pause()
 
     def _take_rows(self, fresh: tuple[Row, ...]) -> None:
-        # Only what changed: at 10,000 targets a look through all of them for
-        # each edit would hold up every open stream for milliseconds.
+        # Only changed rows: at 10,000 targets, processing all of them after
+        # each edit would block all open streams for milliseconds.
         targets = self.parts.table.view.targets
         names = (
             row.key.removeprefix(TARGET_PREFIX)
--- a/src/balsamreach/daemon/run.py
+++ b/src/balsamreach/daemon/run.py
@@ -1,4 +1,4 @@
-"""Runs a long-lived role in the event loop until it is told to end."""
+"""Runs a long-lived role in the event loop until a signal stops it."""
 
 import asyncio
 import os
@@ -12,21 +12,21 @@
 
 
 def _ignore() -> None:
-    """Do nothing on SIGHUP where there is nothing to read again."""
+    """Ignore SIGHUP, when there is nothing to reload."""
 
 
 @attrs.frozen
 class Role:
-    """What a long-lived process does at the turns of its life.
+    """Lifecycle callbacks of a process's role, such as a router.
 
     Parameters
     ----------
     start : callable
         Starts the role.
     leave : callable
-        Ends it in order.
+        Shuts it down gracefully.
     reload : callable
-        Reads again what SIGHUP asks for.
+        Reloads files; called on SIGHUP.
     """
 
     start: Callable[[], Awaitable[None]]
@@ -36,37 +36,43 @@
 
 @attrs.define
 class Stop:
-    """The wish to end: the first signal asks, the second one ends at once."""
+    """Handles stop signals: the second one exits at once.
+
+    Parameters
+    ----------
+    event : asyncio.Event
+        Set by the first signal.
+    """
 
     event: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def watch(self) -> None:
-        """Take SIGTERM and SIGINT from now on."""
+        """Install the handlers of SIGTERM and SIGINT."""
         loop = asyncio.get_running_loop()
         for number in _SIGNALS:
             loop.add_signal_handler(number, self._take)
 
     def _take(self) -> None:
         if self.event.is_set():
-            # An operator who sends a second signal wants no more waiting
-            # for requests in progress, so nothing is cleaned up either.
+            # An operator sends a second signal to stop waiting for requests
+            # in progress, so nothing is cleaned up either.
             os._exit(_SECOND_SIGNAL)
         self.event.set()
 
 
 async def run_until_stopped(role: Role) -> None:
-    """Start a role, wait for a signal, and let the role leave.
+    """Start a role, wait for a stop signal, and shut the role down.
 
     Parameters
     ----------
     role : Role
-        What to start and end.
+        Lifecycle callbacks of the role.
     """
     stop = Stop()
     stop.watch()
     loop = asyncio.get_running_loop()
-    # Until the role has started there is nothing to read again; without a
-    # handler a SIGHUP at that time would end the process.
+    # There is nothing to reload before the role has started, but without a
+    # handler SIGHUP would terminate the process.
     loop.add_signal_handler(signal.SIGHUP, _ignore)
     await role.start()
     loop.add_signal_handler(signal.SIGHUP, role.reload)
--- a/src/balsamreach/daemon/table_parts.py
+++ b/src/balsamreach/daemon/table_parts.py
@@ -1,4 +1,4 @@
-"""Puts together what follows, edits and reports the table."""
+"""Creates the components that follow, edit and report on the table."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 @attrs.frozen(kw_only=True)
 class TableNeeds:
-    """What the table's parts are made of."""
+    """Dependencies of the table components."""
 
     cfg: Settings
     service: TableService
@@ -34,7 +34,7 @@
 
 @attrs.frozen(kw_only=True)
 class TableParts:
-    """The parts of one router that have to do with the table."""
+    """The components of a router that handle the table."""
 
     view: TableView
     follower: TableFollower
@@ -43,7 +43,7 @@
 
 
 def make_table_parts(needs: TableNeeds) -> TableParts:
-    """Make the parts; nothing is started or sent yet."""
+    """Create the table components, without starting them."""
     view = TableView()
     follower = TableFollower(
         cfg=needs.cfg,
--- a/src/balsamreach/daemon/target_watch.py
+++ b/src/balsamreach/daemon/target_watch.py
@@ -1,4 +1,4 @@
-"""Puts together what watches targets and what powers their hosts."""
+"""Creates the components that watch targets and power their hosts."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 @attrs.frozen(kw_only=True)
 class WatchNeeds:
-    """What watching and powering targets needs."""
+    """Dependencies of watching targets and of power management."""
 
     cfg: Settings
     targets: Targets
@@ -34,14 +34,14 @@
 
 @attrs.frozen
 class WatchRunner:
-    """The watchers, and power where it is enabled.
+    """Runs target watching and, if enabled, power management.
 
     Parameters
     ----------
     watch : TargetWatch
-        Load reports, marks, cache events and the host list.
+        Follows load reports, marks, cache events and the host list.
     power : PowerManager or None
-        None where power is not enabled.
+        Powers hosts on and off; None if power management is disabled.
     """
 
     watch: TargetWatch
@@ -56,7 +56,7 @@
 
 
 def open_watch(needs: WatchNeeds) -> WatchRunner:
-    """Return watchers that speak HTTP to targets."""
+    """Return watching and power management that query targets over HTTP."""
     cfg, clock, metrics = needs.cfg, needs.clock, needs.metrics
     rng = random.Random()
     client = HttpTargetClient(cfg, clock)
--- a/tests/test_daemon_closing.py
+++ b/tests/test_daemon_closing.py
@@ -1,4 +1,4 @@
-"""Tests of daemons that share the callers' port."""
+"""Tests of daemons that share one port for callers."""
 
 import asyncio
 import time
@@ -12,7 +12,7 @@
 
 
 class SharedPortTest(unittest.IsolatedAsyncioTestCase):
-    """Two daemons on one port, one of which leaves."""
+    """Two daemons share a port, and one of them shuts down."""
 
     async def asyncSetUp(self):
         self.deployment = Deployment(
@@ -36,7 +36,7 @@
         return received
 
     async def ask_while_one_leaves(self):
-        """Return the answers to callers as the first daemon leaves."""
+        """Shut the first daemon down; return the responses meanwhile."""
         first = self.deployment.routers.pop(0)
         asking = [asyncio.create_task(self.ask()) for _ in range(_CALLERS)]
         leaving = asyncio.create_task(first.leave())
@@ -48,13 +48,11 @@
         return answers
 
     async def test_leaving_daemon_resets_nobody(self):
-        """A restart of one daemon breaks connections of callers.
+        """Shutting down one daemon resets no connection.
 
-        Symptom: callers see reset connections whenever one of the daemons
-        on a port is restarted. Events: the kernel completes connections
-        for a daemon; it closes its socket before it has accepted them.
-        Cause: what a closing socket has not accepted is reset, also where
-        others listen on the port.
+        Guards against resets when one of the daemons on a port restarts: the
+        kernel resets connections that a closing socket has not accepted,
+        even if other daemons listen on the port.
         """
         answers = await self.ask_while_one_leaves()
         for answer in answers:
@@ -62,12 +60,12 @@
         self.assertTrue((await self.ask()).startswith(b'HTTP/1.1 200'))
 
     async def test_leaving_daemon_that_stood_still(self):
-        """A restart on a busy host breaks connections of callers.
+        """A pause of the daemon during its shutdown breaks no connection.
 
-        Symptom: the same, or connections closed without an answer, where
-        the host is busy. Events: the daemon stands still as it leaves;
-        connections are let in and their requests lie unread. Cause: such a
-        connection was taken for an idle one and closed.
+        Guards against connections that are reset or closed without a
+        response on a busy host: during the pause, requests arrive on accepted
+        connections and are not read. Such a connection was taken for idle
+        and closed.
         """
         loop = asyncio.get_running_loop()
         for delay in (0, 0.3):
@@ -76,11 +74,11 @@
         self.assertEqual({answer[:12] for answer in answers}, {b'HTTP/1.1 200'})
 
     async def test_check_of_the_port_takes_no_connection(self):
-        """A daemon's start breaks connections of those that run.
+        """Checking the port of a new daemon resets no connection.
 
-        Symptom: callers see reset connections whenever a daemon starts on
-        a shared port. Events: the start checks its ports by listening and
-        closing. Cause: the kernel sends that socket its part.
+        Guards against resets when a daemon starts on a shared port: if the
+        check listens and closes again, the kernel assigns some of the new
+        connections to that socket.
         """
         cfg = self.deployment.settings('router-c')
         asking = []
--- a/tests/test_daemon_listeners.py
+++ b/tests/test_daemon_listeners.py
@@ -1,4 +1,4 @@
-"""Tests of TLS on the listeners."""
+"""Tests of TLS on the router's listeners."""
 
 import asyncio
 import contextlib
@@ -14,14 +14,14 @@
 
 _GET = b'GET /healthz HTTP/1.1\r\nHost: router\r\n\r\n'
 _OK = b'"ok"}'
-#: Only the later of two routers finds the other, and none gives up a link
-#: since the process stood still. Two that dial each other at once get two
-#: links, and rightly part from one of them.
+#: With these settings only the later of two routers finds the other, and a
+#: pause of the process ends no link. Two routers that connect to each other at
+#: the same time get two links and close one of them, as intended.
 _ONE_LINK = ('platform.hosts=http://127.0.0.1:9', 'peers.gap_timeout=60s')
 
 
 class TlsTest(unittest.IsolatedAsyncioTestCase):
-    """A router that speaks TLS to callers and operators."""
+    """A router uses TLS for callers and operators."""
 
     async def asyncSetUp(self):
         directory = tempfile.TemporaryDirectory()
@@ -71,11 +71,11 @@
         writer.close()
 
     async def test_new_certificate_cuts_nobody_off(self):
-        """A certificate runs out although a new one lies on the host.
+        """A reload uses the new certificate and keeps open connections.
 
-        Symptom: callers see an expired certificate, or all connections
-        break when the router is restarted for it. Cause: files were read
-        only at the start.
+        Guards against reading the files only at startup: callers would see an
+        expired certificate although the files on the host are new, or all
+        connections would break in a restart.
         """
         before = await self.connect(self.files.client())
         old = self.files.client()
@@ -101,7 +101,7 @@
 
 
 class PeersTest(unittest.IsolatedAsyncioTestCase):
-    """Routers whose links to each other are mutual TLS."""
+    """Links between routers use mutual TLS."""
 
     async def asyncSetUp(self):
         directory = tempfile.TemporaryDirectory()
@@ -118,11 +118,11 @@
         await self.deployment.start()
 
     async def test_new_certificate_cuts_no_link(self):
-        """The routers' certificates are renewed while they run.
+        """A reload uses the routers' new certificates and keeps links.
 
-        Symptom: routers that were started later stay alone. Sequence: the
-        files change, SIGHUP, another router starts. Cause: SIGHUP covered
-        the HTTP listeners only. A restart instead would cut all links.
+        Guards against SIGHUP reloading only the HTTP listeners: a router
+        started after the files have changed could not connect to the others.
+        A restart instead would end all links.
         """
         first = self.deployment.routers[0]
         seed = first.parts.net.me.address
@@ -141,7 +141,7 @@
 
 
 class CheckTest(unittest.TestCase):
-    """Files that can't be used are named before anything listens."""
+    """The check before startup names unusable files."""
 
     def setUp(self):
         directory = tempfile.TemporaryDirectory()
--- a/tests/test_daemon_run.py
+++ b/tests/test_daemon_run.py
@@ -1,4 +1,4 @@
-"""Tests of leaving: a router process under signals."""
+"""Tests of signals that a router process receives."""
 
 import asyncio
 import contextlib
@@ -30,7 +30,7 @@
 
 
 class SignalTest(unittest.IsolatedAsyncioTestCase):
-    """A router process; its stand-ins run in the test."""
+    """Runs a router process; its stand-ins run in the test process."""
 
     overrides = ()
 
@@ -68,7 +68,7 @@
         self.fail(f'the router is not {state}')
 
     async def open_stream(self):
-        """Start a stream that its engine holds after the first events."""
+        """Start a stream that the engine pauses after the first events."""
         engine = self.deployment.engine.core
         engine.cfg.pace_ms = 200
         stream = asyncio.create_task(exchange(self.callers, _STREAM))
@@ -85,11 +85,10 @@
     """SIGTERM lets requests in progress finish."""
 
     async def test_open_stream_is_finished(self):
-        """A shutdown cuts an answer off.
+        """A stream that is open at SIGTERM is sent to its end.
 
-        Symptom: a caller's stream ends without its end mark. Events: a
-        stream is open, the host gets SIGTERM, the process ends at once.
-        Cause: the process did not wait for requests in progress.
+        Guards against a process that exits without waiting for requests in
+        progress: the stream would end without its end marker.
         """
         stream = await self.open_stream()
         self.process.send_signal(signal.SIGTERM)
@@ -102,11 +101,11 @@
         self.assertEqual(await self.exit_code(), 0)
 
     async def test_idle_connection_is_closed(self):
-        """Idle connections close while a stream is still going on.
+        """Idle connections are closed while a stream is still open.
 
-        Symptom: callers send their next request into a router that leaves.
-        Events: a connection is idle, SIGTERM comes, a long stream holds the
-        process up. Cause: only new connections were refused.
+        Guards against refusing only new connections: while a long stream
+        delays the exit, callers would send their next request on an idle
+        connection to a router that is shutting down.
         """
         stream = await self.open_stream()
         host, port = self.callers.rsplit(':', 1)
@@ -137,7 +136,7 @@
 
 
 class BoundedLeaveTest(SignalTest):
-    """The wait for requests in progress has an end."""
+    """The wait for requests in progress is limited."""
 
     overrides = ('callers.leave_timeout=50ms',)
 
@@ -149,16 +148,16 @@
 
 
 class DelayedLeaveTest(SignalTest):
-    """The listener stays open until the balancer knows."""
+    """The listener stays open until the load balancer has noticed."""
 
     overrides = ('callers.leave_delay=1h',)
 
     async def test_leaving_is_told_before_the_listener_closes(self):
-        """Callers meet a closed port while their balancer still sends.
+        """After SIGTERM, /readyz says so while the listener is open.
 
-        Symptom: connections refused during each restart. Events: SIGTERM,
-        the listener closes, the balancer asks /readyz only a second later.
-        Cause: the listener closed before it could be known.
+        Guards against refused connections during a restart: if the listener
+        closes at SIGTERM, the load balancer keeps sending connections until
+        it checks /readyz, up to a second later.
         """
         self.process.send_signal(signal.SIGTERM)
         await self.wait_for('leaving')
