--- a/src/balsamreach/daemon/relay_parts.py
+++ b/src/balsamreach/daemon/relay_parts.py
@@ -121,7 +121,7 @@
         self.currency = Currency(self.view, self.clock)
 
     def make_holdings(self, outside: Outside) -> Holdings:
-        """Create the holder of prepaid tokens."""
+        """Create what admits requests against held tokens."""
         return Holdings(
             outside.table,
             self.view.prepaid,
--- a/src/balsamreach/daemon/relay_router.py
+++ b/src/balsamreach/daemon/relay_router.py
@@ -25,9 +25,9 @@
 _READY = 'ready'
 _LEAVING = 'leaving'
 _CROWDED = 'crowded'
-#: Seconds for which a leaving router still accepts connections. In this time
-#: the load balancer checks readiness twice, so it sends no connection to a
-#: listener that is closed.
+#: Seconds for which a leaving router still accepts connections, so that the
+#: load balancer has checked readiness twice and sends no more connections when
+#: the listener closes.
 _LEAVE_DELAY_S = 2.5
 #: Share of the grace period in which requests in progress may finish; the
 #: rest is for returning tokens.
@@ -166,9 +166,8 @@
         call = codec.read_request(request, parts.view.current)
         if call not in _UNKNOWN:
             return call
-        # A newer configuration may contain the unknown route or key. Callers
-        # do not retry after a final refusal, so confirm first that the
-        # configuration in force is the newest one.
+        # A newer configuration may contain the unknown route or key. This is
+        # confirmed first, because callers don't retry after a final refusal.
         if not await parts.currency.confirm():
             return faults.NOT_READY.because('a newer configuration may exist')
         return codec.read_request(request, parts.view.current)
@@ -219,7 +218,7 @@
             _logger,
             logging.INFO,
             f'router_{self.state}',
-            reason=f'link backlog is {wait_ms} ms',
+            reason=f'the link is {wait_ms} ms behind',
         )
 
 
--- a/tests/test_daemon_listeners.py
+++ b/tests/test_daemon_listeners.py
@@ -14,9 +14,9 @@
 
 _GET = b'GET /healthz HTTP/1.1\r\nHost: router\r\n\r\n'
 _OK = b'"ok"}'
-#: With these settings only the later of two routers finds the other, and a
-#: pause of the process ends no link. Two routers that connect to each other at
-#: the same time get two links and close one of them, as intended.
+#: With these settings only the later of two routers finds the other, because
+#: two that connect to each other at the same time get two links and close one
+#: of them, as intended. A pause of the process ends no link.
 _ONE_LINK = ('platform.hosts=http://127.0.0.1:9', 'peers.gap_timeout=60s')
 
 
--- a/tools/check_imports.py
+++ b/tools/check_imports.py
@@ -1,4 +1,4 @@
-"""Check which modules may import what, without importing any of them."""
+"""Check the import rules of the package, without importing its modules."""
 
 import ast
 import sys
@@ -6,7 +6,8 @@
 from pathlib import Path
 
 PACKAGE = 'balsamreach'
-#: Packages that only decide: clock, randomness and platform reach them.
+#: Packages that hold decision logic only. Their clock, random numbers and
+#: platform clients are passed in.
 DECISIONS = (
     'budget',
     'catalogue',
@@ -18,9 +19,9 @@
     'table',
     'targets',
 )
-#: What a decision package may not reach, not even through another module.
+#: Modules that a decision package may not import, directly or indirectly.
 TRANSPORTS = frozenset(('tornado', 'capnp', 'pycapnp', 'pycurl'))
-#: What no module may import: a process of the product starts no other one.
+#: What no module may use, since the product starts no other processes.
 STARTERS = (
     'concurrent.futures.ProcessPoolExecutor',
     'concurrent.futures.process',
@@ -37,7 +38,7 @@
 
 
 def main(root: Path) -> int:
-    """Print every breach under a source directory; 1 if there is one."""
+    """Print all violations in a source directory; return 1 if there are any."""
     trees = {
         _module_name(path, root): ast.parse(path.read_text(encoding='utf-8'))
         for path in sorted(root.rglob('*.py'))
@@ -59,7 +60,7 @@
 
 
 def _imports(tree: ast.AST, module: str) -> Iterator[str]:
-    """Yield every dotted name that a module imports, at any depth."""
+    """Yield all dotted names that a module imports, also inside functions."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -85,7 +86,7 @@
 
 
 def _dotted_names(tree: ast.AST) -> Iterator[str]:
-    """Yield what is used by dotted names, such as ``os.fork``."""
+    """Yield all dotted names that a module uses, such as ``os.fork``."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Attribute):
             yield ast.unparse(node)
@@ -105,7 +106,7 @@
 
 
 def _trace(start: str, trees: dict[str, ast.Module]) -> Iterator[str]:
-    """Follow a module's imports through the package to the transports."""
+    """Yield the import chains from a module to transport modules."""
     waiting = [(start,)]
     seen = {start}
     while waiting:
@@ -122,7 +123,7 @@
 
 
 def _loaded(name: str, trees: dict[str, ast.Module]) -> Iterator[str]:
-    """Yield the package's modules that importing a name runs."""
+    """Yield the modules of the package that are loaded by importing a name."""
     parts = name.split('.')
     for length in range(1, len(parts) + 1):
         module = '.'.join(parts[:length])
--- a/tools/check_names.py
+++ b/tools/check_names.py
@@ -1,4 +1,4 @@
-"""Check that only the adapter knows the names of the users' platform."""
+"""Check that names of the users' platform occur only in its adapter."""
 
 import ast
 import re
@@ -6,11 +6,12 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-#: Packages that may know them: the adapter, and the stand-ins for what it
-#: speaks to.
+#: Packages that may contain the names: the adapter, and the stand-ins for the
+#: services that it calls.
 KNOWING = ('platform', 'standins')
-#: Headers, paths, fields and variables of the platform. Words that are
-#: common elsewhere as well, such as ``zone`` or ``priority``, can't be told.
+#: Headers, paths, fields and variables of the platform. Words that are common
+#: elsewhere, such as ``zone`` or ``priority``, can't be distinguished and are
+#: left out.
 NAMES = re.compile(
     r'(?<!X-)(?<!x-)Attempt-Id|Response-Stamp|Prompt-Prefix|Token-Counts|Not-Executed'
     r'|Expect-Instance|Deadline-Ms|Tenant-Name|Request-Priority|Weight-Versions'
@@ -26,7 +27,7 @@
 
 
 def main(root: Path) -> int:
-    """Print every name that stands outside the adapter; 1 if there is one."""
+    """Print all names outside the adapter; return 1 if there are any."""
     paths = sorted(root.rglob('*.py'))
     breaches = [breach for path in paths for breach in _breaches(path, root)]
     for breach in breaches:
@@ -45,7 +46,7 @@
 
 
 def _texts(path: Path) -> Iterator[tuple[int, str]]:
-    """Yield the strings and names of a module with their lines."""
+    """Yield the line and text of each string and identifier of a module."""
     for node in ast.walk(ast.parse(path.read_text(encoding='utf-8'))):
         if isinstance(node, ast.Constant) and isinstance(node.value, str):
             yield node.lineno, node.value
--- a/tools/make_bundle.py
+++ b/tools/make_bundle.py
@@ -1,7 +1,7 @@
-"""Writes the bundle that deploy/start.py starts a router from.
+"""Writes the bundle of compiled modules that deploy/start.py loads.
 
-Run in the root of a checkout. Modules are imported as the path of Python's
-modules says, so that it is the installed ones that are bundled.
+Run it in the root of a checkout. Modules are found on Python's module search
+path, so that the installed ones are bundled.
 """
 
 import marshal
@@ -15,19 +15,19 @@
 
 from attr import _make
 
-#: Imported so that the bundle has all that a router needs.
+#: Modules whose import loads everything that a router needs.
 ROUTER = ('balsamreach.ui.main', 'balsamreach.ui.relay')
 
 
 def main(path: str, *names: str) -> None:
-    """Import modules, and write all that were imported for them.
+    """Import modules and write all loaded modules to a bundle.
 
     Parameters
     ----------
     path : str
         File to write.
     *names : str
-        Modules; a router's if none is named.
+        Modules to import; those of a router if none is given.
     """
     noting = CompileAndNote()
     _make.compile = noting
@@ -44,13 +44,16 @@
 
 
 class CompileAndNote:
-    """Stands in for ``compile`` and keeps what it returned."""
+    """Replacement for ``compile`` that records the code it returns.
+
+    It captures the methods that attrs generates.
+    """
 
     def __init__(self) -> None:
         self.compiled: dict[tuple[str, str], bytes] = {}
 
     def __call__(self, source: str, filename: str, mode: str) -> Any:
-        """Return the code of a source."""
+        """Compile a source, and record its code."""
         code = compile(source, filename, mode)
         self.compiled[source, filename] = marshal.dumps(code)
         return code
@@ -76,7 +79,7 @@
 
 
 def _shorten(path: str) -> str:
-    # The checkout may lie elsewhere where the bundle is used.
+    # The bundle may be used in a checkout at another path.
     here = Path.cwd()
     there = Path(path).resolve()
     return str(there.relative_to(here) if there.is_relative_to(here) else there)
--- a/tools/measure_gossip.py
+++ b/tools/measure_gossip.py
@@ -1,6 +1,6 @@
-"""Measure what keeping the list of routers costs a daemon, by fleet size.
+"""Measure the traffic of a router's membership list, by fleet size.
 
-Runs the real lists, gossip and choice of neighbours of a whole fleet in one
+Runs the membership lists, gossip and neighbour choice of a whole fleet in one
 process; only the connections are replaced by calls. Prints one JSON line.
 """
 
@@ -39,16 +39,16 @@
 
 @attrs.define
 class SetClock(Clock):
-    """A clock that the measurement sets."""
+    """A clock that the simulation sets."""
 
     seconds: float = 0
 
     def now(self) -> float:
-        """Return the time set."""
+        """Return the simulated time."""
         return self.seconds
 
     def wall(self) -> float:
-        """Return the same."""
+        """Return the simulated time."""
         return self.seconds
 
     async def sleep(self, seconds: float) -> None:
@@ -57,7 +57,7 @@
 
 @attrs.define(eq=False)
 class Fleet:
-    """All routers, and what they sent."""
+    """All routers of the simulation, and counters of their messages."""
 
     clock: SetClock = attrs.field(factory=SetClock)
     rng: random.Random = attrs.field(factory=lambda: random.Random(1))
@@ -67,7 +67,7 @@
     started: int = 0
 
     def join(self) -> 'CalledNet':
-        """Add a router that knows only itself."""
+        """Add a router that knows no other router, and return it."""
         self.started += 1
         zones = max(1, _FULL_SIZE // _ROUTERS_PER_ZONE)
         member = Member(
@@ -84,7 +84,7 @@
         return net
 
     def connect(self) -> None:
-        """Let everyone choose its neighbours anew."""
+        """Choose the neighbours of all routers again."""
         rings = Rings((net.me for net in self.nets.values()), _MAX_PEERS)
         for net in self.nets.values():
             net.linked = {}
@@ -94,7 +94,7 @@
                 self.nets[other.incarnation].linked[net.me.incarnation] = net.me
 
     def count(self, message: Message, ask: int = 0) -> None:
-        """Count a message by the size of its frame."""
+        """Count a message and the bytes of its frame."""
         packed = encode(Envelope(message, ask))
         assert isinstance(packed, bytes), packed
         kind = type(message).__name__
@@ -104,7 +104,7 @@
 
 @attrs.define(eq=False)
 class CalledNet(PeerNet):
-    """A router whose messages arrive by calls."""
+    """Peer network of one router that delivers messages by calls."""
 
     fleet: Fleet
     membership: Membership
@@ -114,19 +114,19 @@
     takers: dict[type[Message], Taker] = attrs.field(factory=dict)
 
     def members(self) -> tuple[Member, ...]:
-        """Return the routers known."""
+        """Return the routers known to be alive."""
         return self.membership.alive()
 
     def neighbours(self) -> tuple[Member, ...]:
-        """Return the chosen ones."""
+        """Return the linked routers."""
         return tuple(self.linked.values())
 
     def home(self, key: str) -> Member:
-        """Return a key's home."""
+        """Return the home of a key in this zone."""
         return home_of(key, self.members(), self.me.zone) or self.me
 
     def on(self, kind: type[Message], taker: Taker) -> None:
-        """Name a taker."""
+        """Register a message handler."""
         self.takers[kind] = taker
 
     async def ask(
@@ -135,7 +135,7 @@
         message: Message,
         gaps: int = 1,
     ) -> Message | PeerFault:
-        """Call the taker there."""
+        """Call the handler of another router and return its answer."""
         net = self.fleet.nets.get(incarnation)
         if net is None:
             return NO_ANSWER
@@ -146,7 +146,7 @@
         return answer
 
     def tell(self, incarnation: str, message: Message) -> bool:
-        """Queue a message there."""
+        """Queue a message at another router."""
         net = self.fleet.nets.get(incarnation)
         if net is None:
             return False
@@ -155,13 +155,13 @@
         return True
 
     def spread(self, message: Message, besides: str = '') -> None:
-        """Tell all neighbours."""
+        """Send a message to all neighbours."""
         for member in self.neighbours():
             if member.incarnation != besides:
                 self.tell(member.incarnation, message)
 
     async def turn(self) -> None:
-        """Take what came, send news, and now and then compare."""
+        """Handle received messages, send updates, sometimes compare lists."""
         inbox = self.inbox
         self.inbox = []
         for member, message in inbox:
@@ -173,7 +173,7 @@
 
 
 async def churn(fleet: Fleet, rng: random.Random) -> None:
-    """Restart a router, or let one fail and another take its place."""
+    """Restart a router, or let it fail and replace it."""
     victim = fleet.nets.pop(rng.choice(tuple(fleet.nets)))
     graceful = rng.random() < _RESTARTS / (_RESTARTS + _FAILURES)
     neighbours = tuple(victim.linked)
@@ -196,7 +196,7 @@
 
 
 def load(fleet: Fleet, size: int) -> None:
-    """Start with a fleet whose routers know each other."""
+    """Fill the fleet with routers that know each other."""
     for _ in range(size):
         fleet.join()
     members = tuple(net.me for net in fleet.nets.values())
@@ -207,7 +207,7 @@
 
 
 async def run(size: int, seconds: int) -> dict[str, object]:
-    """Run a fleet for so many seconds of its own time."""
+    """Simulate a fleet for some seconds of simulated time."""
     fleet = Fleet()
     load(fleet, size)
     rng = random.Random(2)
@@ -233,7 +233,7 @@
     seconds: int,
     events: int,
 ) -> dict[str, object]:
-    """Return bytes a second that one daemon sends, by kind."""
+    """Return the bytes per second that one router sends, by kind."""
     links = sum(len(net.linked) for net in fleet.nets.values()) / size
     beats = links / _TURN
     beat_octets = beats * heartbeat_size()
@@ -257,14 +257,14 @@
 
 
 def heartbeat_size() -> int:
-    """Return the bytes of a heartbeat's frame."""
+    """Return the size of a heartbeat's frame in bytes."""
     packed = encode(Envelope(Heartbeat(123456)))
     assert isinstance(packed, bytes), packed
     return len(packed) + HEAD
 
 
 def count_equal(fleet: Fleet) -> int:
-    """Return how many routers know exactly those that live."""
+    """Return how many routers know exactly the running ones."""
     truth = set(fleet.nets)
     return sum(
         {member.incarnation for member in net.members()} == truth
@@ -273,7 +273,7 @@
 
 
 def main() -> None:
-    """Print the report of one size."""
+    """Print the report of one fleet size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('routers', type=int)
     parser.add_argument('--seconds', type=int, default=300)
--- a/tools/measure_idle_peers.py
+++ b/tools/measure_idle_peers.py
@@ -1,7 +1,8 @@
 """Measure the CPU that a router spends on its idle peers.
 
-Starts routers' nets in one process until each has as many links as it may
-have, and divides the CPU of some seconds among them. Prints one JSON line.
+Starts the peer networks of several routers in one process, waits until they
+are linked, and divides the CPU time of some seconds among them. Prints one
+JSON line.
 """
 
 import argparse
@@ -22,7 +23,7 @@
 
 
 async def start(number: int, seeds: str) -> TcpPeerNet:
-    """Start one router's net."""
+    """Start the peer network of one router."""
     overrides = ('host.zone=zone-a', 'peers.port=0', f'peers.seeds={seeds}')
     cfg = read_settings(None, overrides)
     assert isinstance(cfg, Settings), cfg
@@ -38,7 +39,7 @@
 
 
 async def run(routers: int, seconds: float) -> dict[str, float]:
-    """Return the share of a core that one router takes."""
+    """Return a report with the share of a core that each router uses."""
     nets = [await start(0, '')]
     for number in range(1, routers):
         nets.append(await start(number, nets[0].me.address))
--- a/tools/measure_links.py
+++ b/tools/measure_links.py
@@ -1,7 +1,7 @@
-"""Measure CPU per message and memory per member and link of the peers layer.
+"""Measure CPU per message and memory per member and link of ``peers``.
 
-Two routers in one process talk over loopback, so the CPU is that of both
-ends together. Prints one JSON line.
+Both ends of a link run in one process, so the CPU time is that of both ends
+together. Prints one JSON line.
 """
 
 import asyncio
@@ -38,25 +38,25 @@
 
 
 class Counting:
-    """Takes messages and counts them."""
+    """Message handlers that count messages."""
 
     def __init__(self):
         self.count = 0
         self.batch = asyncio.Event()
 
     async def answer(self, _: Member, message: Message) -> Message:
-        """Answer an ask."""
+        """Answer a request."""
         return InFlight('engine-0', 1)
 
     async def take(self, _: Member, message: Message) -> None:
-        """Count a told message."""
+        """Count a one-way message."""
         self.count += 1
         if self.count % _BATCH == 0:
             self.batch.set()
 
 
 def make_member(number: int, rng: random.Random) -> Member:
-    """Return a member with texts of its own."""
+    """Return a member that shares no strings with others."""
     return Member(
         incarnation=f'{rng.getrandbits(128):032x}',
         host=f'router-{number}',
@@ -67,7 +67,7 @@
 
 
 def measure_members() -> float:
-    """Return bytes per member of a list."""
+    """Return the bytes that a member takes in a membership list."""
     rng = random.Random(1)
     tracemalloc.start()
     membership = Membership(make_member(0, rng), SystemClock())
@@ -80,7 +80,7 @@
 
 
 def make_links(cfg: Settings, counting: Counting) -> tuple[Link, Link]:
-    """Return both ends of a link over loopback."""
+    """Return both ends of a link over a socket pair."""
     takers = Takers()
     takers.on(InFlightAsk, counting.answer)
     takers.on(RunNote, counting.take)
@@ -99,7 +99,7 @@
 
 
 async def measure_link_memory(cfg: Settings) -> float:
-    """Return bytes per end of a running link."""
+    """Return the bytes that each end of a running link takes."""
     counting = Counting()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
@@ -116,7 +116,7 @@
 
 
 async def measure_messages(cfg: Settings) -> tuple[float, float]:
-    """Return CPU seconds per told message and per ask with its answer."""
+    """Return CPU seconds per one-way message and per request and answer."""
     counting = Counting()
     near, far = make_links(cfg, counting)
     tasks = [asyncio.create_task(link.run()) for link in (near, far)]
@@ -137,7 +137,7 @@
 
 
 async def run() -> dict[str, float]:
-    """Return all figures."""
+    """Run all measurements and return the report."""
     cfg = read_settings(None, ('host.zone=zone-a',))
     assert isinstance(cfg, Settings), cfg
     tell, ask = await measure_messages(cfg)
--- a/tools/measure_tracing.py
+++ b/tools/measure_tracing.py
@@ -1,4 +1,4 @@
-"""Measure the CPU that the spans of one request take, by share traced."""
+"""Measure the CPU time of one request's spans, by share of traces kept."""
 
 import io
 import sys
@@ -17,7 +17,7 @@
 
 
 def measure(share: str) -> float:
-    """Return microseconds of CPU for the spans of one request."""
+    """Return the CPU time of the spans of one request in microseconds."""
     overrides = ('host.zone=zone-a', f'telemetry.trace_share={share}')
     cfg = read_settings(None, overrides)
     assert not isinstance(cfg, ConfigFault), cfg.reason
@@ -39,7 +39,7 @@
 
 
 def main() -> None:
-    """Print the least of some rounds for each share."""
+    """Print the minimum of several rounds for each share."""
     for share in _SHARES:
         least = min(measure(share) for _ in range(_ROUNDS))
         sys.stdout.write(f'{share}: {least:.0f} us a request\n')
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,4 +1,4 @@
-"""Run test modules in parallel worker processes and sum up one verdict."""
+"""Run test modules in parallel processes and report one result."""
 
 import argparse
 import json
@@ -14,16 +14,17 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / 'KNOWN-RED.txt'
-#: More than this many known failures is a state to mend, not to list.
+#: Maximum number of listed failures; more must be fixed, not listed.
 MOST_KNOWN = 3
 MOST_WORKERS = 4
-#: A module that takes longer hangs; its worker is ended and it failed.
+#: Time limit of a module in seconds. A module that takes longer counts as hung:
+#: its process is killed and the module has failed.
 MODULE_SECONDS = 300
 
 
 @attrs.define
 class Verdict:
-    """Ids of the tests of one module or of the whole run by outcome."""
+    """Test ids by outcome, of one module or of the whole run."""
 
     passed: list[str] = attrs.field(factory=list)
     failed: list[str] = attrs.field(factory=list)
@@ -31,27 +32,27 @@
     output: str = ''
 
     def add(self, other: 'Verdict') -> None:
-        """Add the outcomes of another module to these."""
+        """Add the outcomes of another module."""
         self.passed.extend(other.passed)
         self.failed.extend(other.failed)
         self.skipped.extend(other.skipped)
 
 
 class Recorder(unittest.TextTestResult):
-    """Test result that also remembers what passed."""
+    """Test result that also records the tests that passed."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
         self.passed = []
 
     def addSuccess(self, test):  # ruff: ignore[invalid-function-name] -- the base class's name
-        """Remember a test that passed."""
+        """Record a test that passed."""
         super().addSuccess(test)
         self.passed.append(test.id())
 
 
 def main() -> int:
-    """Run what the command line names; 0 if nothing unexpected failed."""
+    """Run the given modules; return 0 if all failures are known ones."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('directory', help='directory with test_*.py files')
     parser.add_argument('only', nargs='*', help='modules, for example test_a')
@@ -74,7 +75,7 @@
 
 
 def _run_module(module: str, report: Path) -> int:
-    """Run one module in this process and write its verdict to a file."""
+    """Run one module in this process and write its outcomes to a file."""
     sys.path.insert(0, str(ROOT))
     suite = unittest.defaultTestLoader.loadTestsFromName(module)
     runner = unittest.TextTestRunner(
@@ -89,8 +90,8 @@
 
 def _sum_up(outcome: Recorder) -> dict[str, list[str]]:
     red = [*outcome.failures, *outcome.errors, *outcome.expectedFailures]
-    # A test marked as an expected failure counts as failed: KNOWN-RED.txt is
-    # the one list of faults that may land.
+    # An expected failure counts as failed, because KNOWN-RED.txt is the only
+    # list of failures that may be committed.
     tests = [test for test, _ in red] + list(outcome.unexpectedSuccesses)
     failed = {_test_id(test) for test in tests}
     return {
@@ -101,7 +102,7 @@
 
 
 def _test_id(test: unittest.TestCase) -> str:
-    # A failure inside subTest() belongs to the test that holds it.
+    # A failure in subTest() counts for the test that contains it.
     return getattr(test, 'test_case', test).id()
 
 
@@ -121,7 +122,7 @@
 
 
 def _run_worker(module: str) -> Verdict:
-    """Run one module in a process of its own."""
+    """Run one module in a separate process."""
     with tempfile.TemporaryDirectory() as directory:
         report = Path(directory) / 'report.json'
         command = [sys.executable, __file__, 'tests', '--module', module]
@@ -139,7 +140,7 @@
             output = (exc.output or b'').decode(errors='replace')
             return Verdict(failed=[module], output=f'{output}\nhung, ended')
         output = done.stdout.decode(errors='replace')
-        # A worker that died on the way wrote no report; its module failed.
+        # A process that crashed wrote no report, so its module failed.
         if not report.exists():
             return Verdict(failed=[module], output=output)
         return Verdict(output=output, **json.loads(report.read_text()))
