--- a/tools/make_bundle.py
+++ b/tools/make_bundle.py
@@ -15,7 +15,7 @@
 
 from attr import _make
 
-#: Modules whose import loads everything that a router needs.
+#: Imported so that the bundle has every module that a router needs.
 ROUTER = ('balsamreach.ui.main', 'balsamreach.ui.relay')
 
 
