--- a/src/balsamreach/daemon/relay_parts.py
+++ b/src/balsamreach/daemon/relay_parts.py
@@ -6,7 +6,7 @@
 import attrs
 
 from balsamreach.budget.holdings import Holdings
-from balsamreach.catalogue.currency import Currency
+from balsamreach.catalogue.freshness import FreshnessCheck
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.clock import Clock, SystemClock
 from balsamreach.config.settings import Settings
@@ -14,21 +14,21 @@
 from balsamreach.daemon.placing_parts import (
     make_chooser,
     make_notices,
-    make_repeats,
+    make_retry_budget,
 )
 from balsamreach.gateway.relay_curl import RelayCurl
 from balsamreach.peers.net import TcpPeerNet
-from balsamreach.placement.places import Places
+from balsamreach.placement.relay_targets import RelayTargets
 from balsamreach.placement.sharing import LoadSharing
+from balsamreach.relay.attempt_results import AttemptClassifier
+from balsamreach.relay.attempts import RelayAttemptParts
 from balsamreach.relay.chooser import Chooser
 from balsamreach.relay.codec import Codec
 from balsamreach.relay.host_link import HostLink
-from balsamreach.relay.journal import RequestLog
-from balsamreach.relay.metered import MeteredSpending
-from balsamreach.relay.run import RunParts
-from balsamreach.relay.suspects import make_suspects
-from balsamreach.relay.tries import TryParts
-from balsamreach.relay.verdicts import Judge
+from balsamreach.relay.prepaid_spending import PrepaidSpending
+from balsamreach.relay.quarantine import make_quarantine
+from balsamreach.relay.request_log import RequestLog
+from balsamreach.relay.run import RelayRunParts
 from balsamreach.services.outside import Outside
 from balsamreach.telemetry.metrics import Metrics
 
@@ -43,13 +43,13 @@
     metrics: Metrics
     net: TcpPeerNet
     view: CatalogueView
-    currency: Currency
-    places: Places
+    freshness_check: FreshnessCheck
+    places: RelayTargets
     chooser: Chooser
     exchange: RelayCurl
     sharing: LoadSharing
     holdings: Holdings
-    run: RunParts
+    run: RelayRunParts
 
 
 def make_relay_parts(
@@ -85,7 +85,7 @@
         metrics=core.metrics,
         net=core.net,
         view=core.view,
-        currency=core.currency,
+        freshness_check=core.freshness_check,
         places=chooser.places,
         chooser=chooser,
         exchange=exchange,
@@ -114,11 +114,11 @@
     rng: random.Random
     metrics: Metrics
     view: CatalogueView = attrs.field(factory=CatalogueView)
-    currency: Currency = attrs.field(init=False)
+    freshness_check: FreshnessCheck = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Create the freshness check; its source is set later."""
-        self.currency = Currency(self.view, self.clock)
+        self.freshness_check = FreshnessCheck(self.view, self.clock)
 
     def make_holdings(self, outside: Outside) -> Holdings:
         """Create what admits requests against held tokens."""
@@ -140,7 +140,7 @@
     def make_sharing(self, chooser: Chooser) -> LoadSharing:
         """Create and start the exchange of engine loads with peers."""
         sharing = LoadSharing(self.net, chooser.places, self.clock)
-        chooser.on_sent = sharing.sent
+        chooser.on_sent = sharing.on_request_sent
         sharing.start()
         return sharing
 
@@ -150,33 +150,33 @@
         exchange: RelayCurl,
         chooser: Chooser,
         holdings: Holdings,
-    ) -> RunParts:
+    ) -> RelayRunParts:
         """Create the components that process every request."""
         cfg = self.cfg
-        suspects = make_suspects(
+        quarantine = make_quarantine(
             cfg.routing.crash_targets,
             self.clock,
             self.metrics,
             self.net,
         )
         link = HostLink(cfg.host.link, self.clock)
-        tries = TryParts(
+        attempt_parts = RelayAttemptParts(
             codec=codec,
             chooser=chooser,
             exchange=exchange,
-            repeats=make_repeats(cfg.relay, self.net, self.clock),
-            judge=Judge(chooser, suspects),
+            retry_budget=make_retry_budget(cfg.relay, self.net, self.clock),
+            classifier=AttemptClassifier(chooser, quarantine),
             notices=make_notices(chooser.places, self.clock, self.metrics),
             clock=self.clock,
             link=link,
             stream_gap=cfg.relay.stream_gap,
         )
-        return RunParts(
+        return RelayRunParts(
             codec=codec,
-            spending=MeteredSpending(holdings, self.view, self.currency),
-            suspects=suspects,
+            spending=PrepaidSpending(holdings, self.view, self.freshness_check),
+            quarantine=quarantine,
             link=link,
-            tries=tries,
+            attempt_parts=attempt_parts,
             clock=self.clock,
             log=RequestLog(self.clock, self.metrics),
         )
