--- a/src/balsamreach/daemon/listeners.py
+++ b/src/balsamreach/daemon/listeners.py
@@ -12,15 +12,15 @@
 from balsamreach.config.listeners import Listener
 from balsamreach.config.settings import Settings
 from balsamreach.config.tls import server_context
-from balsamreach.daemon.closing import drop_openings
+from balsamreach.daemon.syn_filter import drop_syn_segments
 from balsamreach.gateway.probes import Probes
 
 #: The server reads headers up to this many times the limit, so that a request
 #: whose header is slightly too large gets an error response.
-_HEADER_SLACK = 2
+_HEADER_READ_FACTOR = 2
 #: The guard limits the size of bodies and sends an error response; the
 #: server's own limit would close the connection without a response.
-_NO_LIMIT = 1 << 62
+_UNLIMITED_BYTES = 1 << 62
 
 
 @attrs.define
@@ -44,7 +44,7 @@
     server: HTTPServer
     sockets: tuple[socket.socket, ...] = ()
 
-    def turn_away(self) -> bool:
+    def drop_new_connections(self) -> bool:
         """Drop new connections if other daemons may share the port.
 
         Returns
@@ -54,7 +54,7 @@
             until the handshakes in progress have completed.
         """
         if self.section.shared:
-            drop_openings(self.sockets)
+            drop_syn_segments(self.sockets)
         return self.section.shared
 
     def stop(self) -> None:
@@ -113,8 +113,8 @@
     server = HTTPServer(
         app,
         ssl_options=context,
-        max_body_size=_NO_LIMIT,
-        max_header_size=cfg.callers.header_limit * _HEADER_SLACK,
+        max_body_size=_UNLIMITED_BYTES,
+        max_header_size=cfg.callers.header_limit * _HEADER_READ_FACTOR,
         idle_connection_timeout=cfg.callers.idle_timeout,
     )
     server.add_sockets(sockets)
--- a/src/balsamreach/daemon/parts.py
+++ b/src/balsamreach/daemon/parts.py
@@ -9,16 +9,16 @@
 from balsamreach.clock import Clock, SystemClock
 from balsamreach.config.settings import Settings
 from balsamreach.daemon.clients import platform_client, table_service
-from balsamreach.daemon.net import make_net
+from balsamreach.daemon.peer_net import make_peer_net
 from balsamreach.daemon.table_parts import (
     TableNeeds,
     TableParts,
     make_table_parts,
 )
 from balsamreach.daemon.target_watch import (
-    WatchNeeds,
+    WatchDependencies,
     WatchRunner,
-    open_watch,
+    make_watch_runner,
 )
 from balsamreach.dispatch.dispatcher import Dispatcher
 from balsamreach.dispatch.remote_runs import make_remote_run_parts
@@ -82,7 +82,7 @@
         Components that share one clock, one random number generator and
         one incarnation. None is started, and nothing has been sent.
     """
-    net = make_net(
+    net = make_peer_net(
         cfg,
         uuid.uuid4().hex,
         SystemClock(),
@@ -171,8 +171,8 @@
 ) -> WatchRunner:
     hosts = HttpHostList(platform_client(cfg, cfg.platform.hosts))
     weights = HttpWeightStore(platform_client(cfg, cfg.platform.weights))
-    return open_watch(
-        WatchNeeds(
+    return make_watch_runner(
+        WatchDependencies(
             cfg=cfg,
             targets=targets,
             routing=routing,
--- a/src/balsamreach/daemon/net.py
+++ b/src/balsamreach/daemon/peer_net.py
@@ -12,7 +12,7 @@
 from balsamreach.wire.membership import Member
 
 
-def make_net(
+def make_peer_net(
     cfg: Settings,
     incarnation: str,
     clock: Clock,
--- a/src/balsamreach/daemon/relay_parts.py
+++ b/src/balsamreach/daemon/relay_parts.py
@@ -10,7 +10,7 @@
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.clock import Clock, SystemClock
 from balsamreach.config.settings import Settings
-from balsamreach.daemon.net import make_net
+from balsamreach.daemon.peer_net import make_peer_net
 from balsamreach.daemon.placing_parts import (
     make_chooser,
     make_notices,
@@ -68,45 +68,45 @@
     outside : Outside
         Clients of the platform's services.
     """
-    core = _make_core(cfg, outside)
+    builder = _make_builder(cfg, outside)
     exchange = RelayCurl(cfg.relay.connect_timeout)
-    holdings = core.make_holdings(outside)
+    holdings = builder.make_holdings(outside)
     chooser = make_chooser(
         cfg.host.zone,
-        core.net,
-        core.view,
-        core.clock,
-        core.rng,
+        builder.net,
+        builder.view,
+        builder.clock,
+        builder.rng,
     )
     return RelayParts(
         cfg=cfg,
-        clock=core.clock,
-        rng=core.rng,
-        metrics=core.metrics,
-        net=core.net,
-        view=core.view,
-        freshness_check=core.freshness_check,
+        clock=builder.clock,
+        rng=builder.rng,
+        metrics=builder.metrics,
+        net=builder.net,
+        view=builder.view,
+        freshness_check=builder.freshness_check,
         places=chooser.places,
         chooser=chooser,
         exchange=exchange,
-        sharing=core.make_sharing(chooser),
+        sharing=builder.make_sharing(chooser),
         holdings=holdings,
-        run=core.make_run(codec, exchange, chooser, holdings),
+        run=builder.make_run(codec, exchange, chooser, holdings),
     )
 
 
-def _make_core(cfg: Settings, outside: Outside) -> '_Core':
+def _make_builder(cfg: Settings, outside: Outside) -> '_PartsBuilder':
     clock, rng, metrics = SystemClock(), random.Random(), Metrics()
-    name = uuid.uuid4().hex
-    net = make_net(cfg, name, clock, rng, metrics, outside.hosts)
-    core = _Core(cfg, net, clock, rng, metrics)
-    net.greeter.table_version = lambda: core.view.version
-    return core
+    incarnation = uuid.uuid4().hex
+    net = make_peer_net(cfg, incarnation, clock, rng, metrics, outside.hosts)
+    builder = _PartsBuilder(cfg, net, clock, rng, metrics)
+    net.greeter.table_version = lambda: builder.view.version
+    return builder
 
 
 @attrs.define
-class _Core:
-    """Dependencies that the components share."""
+class _PartsBuilder:
+    """Creates components from the dependencies that they share."""
 
     cfg: Settings
     net: TcpPeerNet
--- a/src/balsamreach/daemon/relay_router.py
+++ b/src/balsamreach/daemon/relay_router.py
@@ -24,7 +24,7 @@
 _STARTING = 'starting'
 _READY = 'ready'
 _LEAVING = 'leaving'
-_CROWDED = 'crowded'
+_OUT_OF_ROTATION = 'crowded'
 #: Seconds for which a leaving router still accepts connections, so that the
 #: load balancer has checked readiness twice and sends no more connections when
 #: the listener closes.
@@ -35,7 +35,7 @@
 _TICK_S = 0.1
 _MS = 1000
 #: Refusals that may not apply under a newer configuration.
-_UNKNOWN = (faults.NO_ROUTE, faults.UNKNOWN_KEY)
+_UNCONFIRMED_REFUSALS = (faults.NO_ROUTE, faults.UNKNOWN_KEY)
 
 Runner = Callable[[], Awaitable[None]]
 
@@ -101,17 +101,17 @@
         self.state = _LEAVING
         log_event(_logger, logging.INFO, 'router_leaving')
         began = self.parts.clock.now()
-        await self._turn_away()
-        until = began + self.parts.cfg.relay.grace * _DRAIN_SHARE
-        await self._drain(until)
-        await self.parts.holdings.leave(until)
+        await self._stop_accepting()
+        deadline = began + self.parts.cfg.relay.grace * _DRAIN_SHARE
+        await self._drain(deadline)
+        await self.parts.holdings.leave(deadline)
         await self._stop()
         log_event(_logger, logging.INFO, 'router_left')
 
     def _listen(self) -> None:
         cfg = self.parts.cfg
         self.server = RelayServer(
-            self._answer,
+            self._handle_request,
             self.parts.clock,
             self._body_limit,
         )
@@ -123,7 +123,7 @@
         )
         self.probes = open_listener(cfg, cfg.probes, probes)
 
-    async def _turn_away(self) -> None:
+    async def _stop_accepting(self) -> None:
         self.server.leaving = True
         await self.parts.net.leave()
         await self.parts.clock.sleep(_LEAVE_DELAY_S)
@@ -138,9 +138,9 @@
         self.probes.stop()
         self.parts.exchange.close()
 
-    async def _drain(self, until: float) -> None:
+    async def _drain(self, deadline: float) -> None:
         try:
-            async with asyncio.timeout(until - self.parts.clock.now()):
+            async with asyncio.timeout(deadline - self.parts.clock.now()):
                 await self.server.drain()
         except TimeoutError:
             log_event(
@@ -151,22 +151,24 @@
                 requests=len(self.server.running),
             )
 
-    async def _answer(
+    async def _handle_request(
         self, request: CallerRequest, caller_response: CallerResponse
     ) -> None:
-        call = await self._read(request)
+        call = await self._read_request(request)
         if isinstance(call, RelayFault):
             self._refuse(call, caller_response)
             return
         await RelayRun(self.parts.run, call, caller_response).run()
 
-    async def _read(self, request: CallerRequest) -> RelayCall | RelayFault:
+    async def _read_request(
+        self, request: CallerRequest
+    ) -> RelayCall | RelayFault:
         parts = self.parts
         if parts.view.current is None:
             return faults.NOT_READY.because('no configuration')
         codec = parts.run.codec
         call = codec.read_request(request, parts.view.current)
-        if call not in _UNKNOWN:
+        if call not in _UNCONFIRMED_REFUSALS:
             return call
         # A newer configuration may contain the unknown route or key. This is
         # confirmed first, because callers don't retry after a final refusal.
@@ -185,7 +187,7 @@
             outcome=fault.code,
             configuration=self.parts.view.version,
             heard=self.parts.view.newest_known,
-            confirmed_ms=_as_ms(self.parts.freshness_check.age()),
+            confirmed_ms=_to_ms(self.parts.freshness_check.age()),
         )
         run = self.parts.run
         answer = run.codec.refuse(run.retry_jitter.add_jitter(fault))
@@ -204,19 +206,19 @@
             await self.parts.clock.sleep(_TICK_S)
             for tick in self.ticks:
                 tick()
-            if self.state == _STARTING and _knows_enough(self.parts):
+            if self.state == _STARTING and _is_ready(self.parts):
                 self.state = _READY
                 log_event(_logger, logging.INFO, 'router_ready')
-            self._turn_in_or_out()
+            self._update_rotation()
 
-    def _turn_in_or_out(self) -> None:
-        if self.state not in {_READY, _CROWDED}:
+    def _update_rotation(self) -> None:
+        if self.state not in {_READY, _OUT_OF_ROTATION}:
             return
         is_out = self._rotation.is_out()
         if is_out == self.server.crowded:
             return
         self.server.crowded = is_out
-        self.state = _CROWDED if is_out else _READY
+        self.state = _OUT_OF_ROTATION if is_out else _READY
         wait_ms = round(self.parts.run.link.backlog_seconds() * _MS)
         log_event(
             _logger,
@@ -226,9 +228,9 @@
         )
 
 
-def _as_ms(seconds: float) -> int | None:
+def _to_ms(seconds: float) -> int | None:
     return None if math.isinf(seconds) else round(seconds * _MS)
 
 
-def _knows_enough(parts: RelayParts) -> bool:
+def _is_ready(parts: RelayParts) -> bool:
     return parts.view.current is not None and len(parts.places) > 0
--- a/src/balsamreach/daemon/router.py
+++ b/src/balsamreach/daemon/router.py
@@ -36,12 +36,12 @@
 LEAVING = 'leaving'
 
 _logger = logging.getLogger(__name__)
-_LAST_FLUSHES = 20
+_MAX_FLUSHES = 20
 _FLUSH_PAUSE_S = 1
 #: Seconds in which handshakes in progress on a shared port complete. A
 #: caller's machine sends a dropped SYN again after a second; the port must be
 #: closed by then.
-_HANDSHAKES_S = 0.5
+_HANDSHAKE_WAIT_S = 0.5
 
 
 @attrs.define(eq=False)
@@ -110,7 +110,7 @@
         await self.parts.net.leave()
         await self._stop_accepting()
         await self._drain()
-        await self._leave_budgets()
+        await self._close_budgets()
         await self.parts.net.stop()
         await self._close()
         log_event(_logger, logging.INFO, 'router_left')
@@ -120,16 +120,16 @@
         # connections. If the listener closed at once, they would be refused,
         # so it stays open until the balancer has noticed.
         await self.parts.clock.sleep(self.cfg.callers.leave_delay)
-        is_shared = self.callers.turn_away()
+        is_shared = self.callers.drop_new_connections()
         if is_shared:
-            await self.parts.clock.sleep(_HANDSHAKES_S)
+            await self.parts.clock.sleep(_HANDSHAKE_WAIT_S)
         self.callers.stop()
         self.guard.leave()
         if is_shared:
             # The connections accepted last may not have sent a request yet,
             # or this process may not have read it if it was paused. Closing
             # them now would reset them.
-            await self.parts.clock.sleep(_HANDSHAKES_S)
+            await self.parts.clock.sleep(_HANDSHAKE_WAIT_S)
 
     async def _drain(self) -> None:
         try:
@@ -155,8 +155,8 @@
         # loop, which handles a second signal.
         await asyncio.to_thread(self.parts.net.tracing.close)
 
-    async def _leave_budgets(self) -> None:
-        for _ in range(_LAST_FLUSHES):
+    async def _close_budgets(self) -> None:
+        for _ in range(_MAX_FLUSHES):
             if await self.parts.budgets.flush() is None:
                 break
             await self.parts.clock.sleep(_FLUSH_PAUSE_S)
@@ -164,7 +164,7 @@
 
     async def _follow_table(self) -> None:
         table = self.parts.table
-        table.view.watchers.append(self._take_rows)
+        table.view.watchers.append(self._update_targets)
         table.status.start()
         table.follower.start()
         while True:
@@ -179,13 +179,13 @@
                 self.ready.set()
             await table.follower.pause()
 
-    def _take_rows(self, fresh: tuple[Row, ...]) -> None:
+    def _update_targets(self, changed_rows: tuple[Row, ...]) -> None:
         # Only changed rows: at 10,000 targets, processing all of them after
         # each edit would block all open streams for milliseconds.
         targets = self.parts.table.view.targets
         names = (
             row.key.removeprefix(TARGET_PREFIX)
-            for row in fresh
+            for row in changed_rows
             if row.key.startswith(TARGET_PREFIX)
         )
         self.parts.targets.put({name: targets.get(name) for name in names})
@@ -204,7 +204,7 @@
                 tracing=parts.net.tracing,
             ),
         )
-        self._add_health(app)
+        self._add_health_handlers(app)
         return app
 
     def _operators_app(self) -> Application:
@@ -226,10 +226,10 @@
             quarantine_handlers(context, parts.routing.quarantine),
         )
         app.add_handlers('.*', peers_handlers(context, parts.net))
-        self._add_health(app)
+        self._add_health_handlers(app)
         return app
 
-    def _add_health(self, app: Application) -> None:
+    def _add_health_handlers(self, app: Application) -> None:
         app.add_handlers(
             '.*',
             [
--- a/src/balsamreach/daemon/run.py
+++ b/src/balsamreach/daemon/run.py
@@ -8,10 +8,10 @@
 import attrs
 
 _SIGNALS = (signal.SIGTERM, signal.SIGINT)
-_SECOND_SIGNAL = 1
+_SECOND_SIGNAL_EXIT_CODE = 1
 
 
-def _ignore() -> None:
+def _ignore_sighup() -> None:
     """Ignore SIGHUP, when there is nothing to reload."""
 
 
@@ -31,11 +31,11 @@
 
     start: Callable[[], Awaitable[None]]
     leave: Callable[[], Awaitable[None]]
-    reload: Callable[[], None] = _ignore
+    reload: Callable[[], None] = _ignore_sighup
 
 
 @attrs.define
-class Stop:
+class StopSignals:
     """Handles stop signals: the second one exits at once.
 
     Parameters
@@ -46,17 +46,17 @@
 
     event: asyncio.Event = attrs.field(factory=asyncio.Event)
 
-    def watch(self) -> None:
+    def install_handlers(self) -> None:
         """Install the handlers of SIGTERM and SIGINT."""
         loop = asyncio.get_running_loop()
-        for number in _SIGNALS:
-            loop.add_signal_handler(number, self._take)
+        for signum in _SIGNALS:
+            loop.add_signal_handler(signum, self._on_signal)
 
-    def _take(self) -> None:
+    def _on_signal(self) -> None:
         if self.event.is_set():
             # An operator sends a second signal to stop waiting for requests
             # in progress, so nothing is cleaned up either.
-            os._exit(_SECOND_SIGNAL)
+            os._exit(_SECOND_SIGNAL_EXIT_CODE)
         self.event.set()
 
 
@@ -68,12 +68,12 @@
     role : Role
         Lifecycle callbacks of the role.
     """
-    stop = Stop()
-    stop.watch()
+    stop = StopSignals()
+    stop.install_handlers()
     loop = asyncio.get_running_loop()
     # There is nothing to reload before the role has started, but without a
     # handler SIGHUP would terminate the process.
-    loop.add_signal_handler(signal.SIGHUP, _ignore)
+    loop.add_signal_handler(signal.SIGHUP, _ignore_sighup)
     await role.start()
     loop.add_signal_handler(signal.SIGHUP, role.reload)
     await stop.event.wait()
--- a/src/balsamreach/daemon/closing.py
+++ b/src/balsamreach/daemon/syn_filter.py
@@ -6,28 +6,28 @@
 from collections.abc import Iterable
 
 #: ``SO_ATTACH_FILTER`` on Linux; the ``socket`` module does not define it.
-_ATTACH_FILTER = 26
+_SO_ATTACH_FILTER = 26
 #: Offset of the TCP flags: they are the 14th byte of the header.
-_FLAGS = 13
+_FLAGS_OFFSET = 13
 _SYN = 0x2
 _ACK = 0x10
-_LOAD_OCTET = 0x30
+_LOAD_BYTE = 0x30
 _AND = 0x54
 _JUMP_IF_EQUAL = 0x15
 _RETURN = 0x6
-_WHOLE = 0xFFFFFFFF
+_WHOLE_SEGMENT = 0xFFFFFFFF
 
 #: Classic BPF program that drops SYN segments and passes all others.
-_PROGRAM = (
-    (_LOAD_OCTET, 0, 0, _FLAGS),
+_BPF_PROGRAM = (
+    (_LOAD_BYTE, 0, 0, _FLAGS_OFFSET),
     (_AND, 0, 0, _SYN | _ACK),
     (_JUMP_IF_EQUAL, 0, 1, _SYN),
     (_RETURN, 0, 0, 0),
-    (_RETURN, 0, 0, _WHOLE),
+    (_RETURN, 0, 0, _WHOLE_SEGMENT),
 )
 
 
-def drop_openings(sockets: Iterable[socket.socket]) -> None:
+def drop_syn_segments(sockets: Iterable[socket.socket]) -> None:
     """Make listening sockets drop SYN segments.
 
     The kernel assigns each new connection to one of the daemons that share a
@@ -43,8 +43,12 @@
     sockets : iterable of socket
         Listening sockets, which the caller closes half a second later.
     """
-    packed = b''.join(struct.pack('HBBI', *step) for step in _PROGRAM)
-    steps = ctypes.create_string_buffer(packed, len(packed))
-    program = struct.pack('HP', len(_PROGRAM), ctypes.addressof(steps))
+    packed = b''.join(
+        struct.pack('HBBI', *instruction) for instruction in _BPF_PROGRAM
+    )
+    instructions = ctypes.create_string_buffer(packed, len(packed))
+    program = struct.pack(
+        'HP', len(_BPF_PROGRAM), ctypes.addressof(instructions)
+    )
     for sock in sockets:
-        sock.setsockopt(socket.SOL_SOCKET, _ATTACH_FILTER, program)
+        sock.setsockopt(socket.SOL_SOCKET, _SO_ATTACH_FILTER, program)
--- a/src/balsamreach/daemon/table_parts.py
+++ b/src/balsamreach/daemon/table_parts.py
@@ -42,29 +42,29 @@
     status: TableStatus
 
 
-def make_table_parts(needs: TableNeeds) -> TableParts:
+def make_table_parts(deps: TableNeeds) -> TableParts:
     """Create the table components, without starting them."""
     view = TableView()
     follower = TableFollower(
-        cfg=needs.cfg,
-        reader=TableReader(needs.service, view, needs.clock),
-        exchange=TableExchange(needs.net, view, needs.metrics),
-        snapshots=Snapshots(needs.objects, needs.clock, needs.metrics),
-        pruner=Pruner(needs.cfg, needs.service, needs.clock, needs.metrics),
-        clock=needs.clock,
-        rng=needs.rng,
-        metrics=needs.metrics,
+        cfg=deps.cfg,
+        reader=TableReader(deps.service, view, deps.clock),
+        exchange=TableExchange(deps.net, view, deps.metrics),
+        snapshots=Snapshots(deps.objects, deps.clock, deps.metrics),
+        pruner=Pruner(deps.cfg, deps.service, deps.clock, deps.metrics),
+        clock=deps.clock,
+        rng=deps.rng,
+        metrics=deps.metrics,
     )
     editor = Editor(
-        needs.service,
-        needs.clock,
-        needs.rng,
-        needs.metrics,
+        deps.service,
+        deps.clock,
+        deps.rng,
+        deps.metrics,
         follower.publish,
     )
     return TableParts(
         view=view,
         follower=follower,
         editor=editor,
-        status=TableStatus(follower, needs.clock),
+        status=TableStatus(follower, deps.clock),
     )
--- a/src/balsamreach/daemon/target_watch.py
+++ b/src/balsamreach/daemon/target_watch.py
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class WatchNeeds:
+class WatchDependencies:
     """Dependencies of watching targets and of power management."""
 
     cfg: Settings
@@ -55,24 +55,24 @@
         await asyncio.gather(*tasks)
 
 
-def open_watch(needs: WatchNeeds) -> WatchRunner:
+def make_watch_runner(deps: WatchDependencies) -> WatchRunner:
     """Return watching and power management that query targets over HTTP."""
-    cfg, clock, metrics = needs.cfg, needs.clock, needs.metrics
+    cfg, clock, metrics = deps.cfg, deps.clock, deps.metrics
     rng = random.Random()
     client = HttpTargetClient(cfg, clock)
     watch = make_watch(
         WatchParts(
             cfg=cfg,
-            targets=needs.targets,
+            targets=deps.targets,
             client=client,
-            net=needs.net,
-            hosts=needs.hosts,
+            net=deps.net,
+            hosts=deps.hosts,
             clock=clock,
             rng=rng,
             metrics=metrics,
         ),
     )
-    watch.cache.watchers.append(needs.routing.apply_cache_events)
+    watch.cache.watchers.append(deps.routing.apply_cache_events)
     if not cfg.power.enabled:
         return WatchRunner(watch, None)
     power = make_power(
@@ -80,13 +80,13 @@
             cfg=cfg,
             marks=watch.marks,
             client=client,
-            hosts=needs.hosts,
-            weights=needs.weights,
-            service=needs.service,
+            hosts=deps.hosts,
+            weights=deps.weights,
+            service=deps.service,
             clock=clock,
             rng=rng,
             metrics=metrics,
-            waiting=needs.routing.waiting_count,
+            waiting=deps.routing.waiting_count,
         ),
     )
     return WatchRunner(watch, power)
--- a/tests/test_daemon_listeners.py
+++ b/tests/test_daemon_listeners.py
@@ -12,12 +12,12 @@
 from tests.deployment import Deployment, until
 from tests.tls_files import Files
 
-_GET = b'GET /healthz HTTP/1.1\r\nHost: router\r\n\r\n'
+_HEALTH_REQUEST = b'GET /healthz HTTP/1.1\r\nHost: router\r\n\r\n'
 _OK = b'"ok"}'
 #: With these settings only the later of two routers finds the other, because
 #: two that connect to each other at the same time get two links and close one
 #: of them, as intended. A pause of the process ends no link.
-_ONE_LINK = ('platform.hosts=http://127.0.0.1:9', 'peers.gap_timeout=60s')
+_SINGLE_LINK = ('platform.hosts=http://127.0.0.1:9', 'peers.gap_timeout=60s')
 
 
 class TlsTest(unittest.IsolatedAsyncioTestCase):
@@ -43,7 +43,7 @@
 
     async def is_served(self, connection):
         reader, writer = connection
-        writer.write(_GET)
+        writer.write(_HEALTH_REQUEST)
         received = await reader.readuntil(_OK)
         return received.startswith(b'HTTP/1.1 200')
 
@@ -54,23 +54,23 @@
             self.assertTrue(await self.is_served(connection))
             connection[1].close()
 
-    async def test_old_version_is_refused(self):
+    async def test_old_tls_version_is_refused(self):
         context = self.files.client()
         context.minimum_version = ssl.TLSVersion.TLSv1
         context.maximum_version = ssl.TLSVersion.TLSv1_1
         with self.assertRaises((ssl.SSLError, OSError)):
             await self.connect(context)
 
-    async def test_plain_text_gets_no_answer(self):
+    async def test_plain_http_gets_no_response(self):
         reader, writer = await self.connect(None)
-        writer.write(_GET)
+        writer.write(_HEALTH_REQUEST)
         received = b''
         with contextlib.suppress(ConnectionResetError):
             received = await reader.read()
         self.assertNotIn(b'HTTP', received)
         writer.close()
 
-    async def test_new_certificate_cuts_nobody_off(self):
+    async def test_reload_keeps_open_connections(self):
         """A reload uses the new certificate and keeps open connections.
 
         Guards against reading the files only at startup: callers would see an
@@ -88,7 +88,7 @@
             self.assertTrue(await self.is_served(connection))
             connection[1].close()
 
-    async def test_spoilt_file_leaves_the_old_certificate(self):
+    async def test_invalid_file_keeps_the_old_certificate(self):
         context = self.files.client()
         self.files.certificate.write_text('spoilt')
         with self.assertLogs('balsamreach.daemon.router', 'ERROR') as logs:
@@ -100,7 +100,7 @@
         connection[1].close()
 
 
-class PeersTest(unittest.IsolatedAsyncioTestCase):
+class PeerTlsTest(unittest.IsolatedAsyncioTestCase):
     """Links between routers use mutual TLS."""
 
     async def asyncSetUp(self):
@@ -111,13 +111,13 @@
             (
                 *self.files.settings('peers'),
                 f'peers.tls_ca={self.files.ca}',
-                *_ONE_LINK,
+                *_SINGLE_LINK,
             ),
         )
         self.addAsyncCleanup(self.deployment.stop)
         await self.deployment.start()
 
-    async def test_new_certificate_cuts_no_link(self):
+    async def test_reload_keeps_links(self):
         """A reload uses the routers' new certificates and keeps links.
 
         Guards against SIGHUP reloading only the HTTP listeners: a router
@@ -135,12 +135,12 @@
         for router in (first, second):
             router.reload_tls()
         third = await self.deployment.add_router('third')
-        met = await until(lambda: len(third.parts.net.neighbours()) == 2)
-        self.assertTrue(met)
+        connected = await until(lambda: len(third.parts.net.neighbours()) == 2)
+        self.assertTrue(connected)
         self.assertIn(link, net.keeper.links.every())
 
 
-class CheckTest(unittest.TestCase):
+class CertificateCheckTest(unittest.TestCase):
     """The check before startup names unusable files."""
 
     def setUp(self):
@@ -165,7 +165,7 @@
             ('bad_key', f'tls_key={__file__}', 'or tls_key is not its key'),
         )
     )
-    def test_problem_names_its_key(self, _, override, problem):
+    def test_reason_names_the_setting(self, _, override, problem):
         given = self.files.settings('callers')
         reason = self.check(*given, f'callers.{override}')
         self.assertTrue(reason.startswith('[callers] tls_'), reason)
--- a/tests/test_daemon_run.py
+++ b/tests/test_daemon_run.py
@@ -16,17 +16,19 @@
 )
 from tests.support import command_line
 
-_SECONDS = 30
-_LOOKS = 3000
-_PAUSE = 0.01
-_SECOND_SIGNAL = 1
-_READY = request('GET /readyz', secret='')
-_ASK = {
+_EXIT_TIMEOUT_S = 30
+_MAX_POLLS = 3000
+_POLL_INTERVAL_S = 0.01
+_SECOND_SIGNAL_EXIT_CODE = 1
+_READY_REQUEST = request('GET /readyz', secret='')
+_CHAT_BODY = {
     'model': MODEL,
     'stream': True,
     'messages': [{'role': 'user', 'content': 'words=3'}],
 }
-_STREAM = request('POST /v1/chat/completions', json.dumps(_ASK).encode())
+_STREAM_REQUEST = request(
+    'POST /v1/chat/completions', json.dumps(_CHAT_BODY).encode()
+)
 
 
 class SignalTest(unittest.IsolatedAsyncioTestCase):
@@ -37,11 +39,11 @@
     async def asyncSetUp(self):
         self.deployment = Deployment(self.overrides)
         await self.deployment.start(routers=0)
-        texts = self.deployment.settings_text('router-0')
+        overrides = self.deployment.settings_text('router-0')
         self.process = await asyncio.create_subprocess_exec(
             *command_line(),
             'serve',
-            *(f'--set={text}' for text in texts),
+            *(f'--set={override}' for override in overrides),
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.DEVNULL,
         )
@@ -56,32 +58,32 @@
         await self.process.wait()
         await self.deployment.stop()
 
-    async def ready(self, address):
-        answer = parse_answer(await exchange(address, _READY))
+    async def ready_status(self, address):
+        answer = parse_answer(await exchange(address, _READY_REQUEST))
         return json.loads(answer.body)['status']
 
     async def wait_for(self, state):
-        for _ in range(_LOOKS):
-            if await self.ready(self.operators) == state:
+        for _ in range(_MAX_POLLS):
+            if await self.ready_status(self.operators) == state:
                 return
-            await asyncio.sleep(_PAUSE)
+            await asyncio.sleep(_POLL_INTERVAL_S)
         self.fail(f'the router is not {state}')
 
     async def open_stream(self):
         """Start a stream that the engine pauses after the first events."""
         engine = self.deployment.engine.core
         engine.cfg.pace_ms = 200
-        stream = asyncio.create_task(exchange(self.callers, _STREAM))
+        stream = asyncio.create_task(exchange(self.callers, _STREAM_REQUEST))
         self.assertTrue(await until(lambda: engine.runs))
         engine.set_silent(silent=True)
         return stream
 
     async def exit_code(self):
-        async with asyncio.timeout(_SECONDS):
+        async with asyncio.timeout(_EXIT_TIMEOUT_S):
             return await self.process.wait()
 
 
-class LeaveTest(SignalTest):
+class ShutdownTest(SignalTest):
     """SIGTERM lets requests in progress finish."""
 
     async def test_open_stream_is_finished(self):
@@ -113,7 +115,7 @@
         writer.write(b'GET /healthz HTTP/1.1\r\nHost: router\r\n\r\n')
         await reader.readuntil(b'"ok"}')
         self.process.send_signal(signal.SIGTERM)
-        async with asyncio.timeout(_SECONDS):
+        async with asyncio.timeout(_EXIT_TIMEOUT_S):
             self.assertEqual(await reader.read(), b'')
         self.assertFalse(stream.done())
         writer.close()
@@ -122,37 +124,37 @@
         await stream
         self.assertEqual(await self.exit_code(), 0)
 
-    async def test_second_signal_ends_at_once(self):
+    async def test_second_signal_exits_at_once(self):
         stream = await self.open_stream()
         self.process.send_signal(signal.SIGTERM)
         await self.wait_for('leaving')
         self.process.send_signal(signal.SIGTERM)
-        self.assertEqual(await self.exit_code(), _SECOND_SIGNAL)
+        self.assertEqual(await self.exit_code(), _SECOND_SIGNAL_EXIT_CODE)
         await asyncio.wait([stream])
 
     async def test_sighup_without_tls_changes_nothing(self):
         self.process.send_signal(signal.SIGHUP)
-        self.assertEqual(await self.ready(self.callers), 'ready')
+        self.assertEqual(await self.ready_status(self.callers), 'ready')
 
 
-class BoundedLeaveTest(SignalTest):
+class ShutdownLimitTest(SignalTest):
     """The wait for requests in progress is limited."""
 
     overrides = ('callers.leave_timeout=50ms',)
 
-    async def test_request_past_the_bound_is_cut(self):
+    async def test_request_past_the_limit_is_aborted(self):
         stream = await self.open_stream()
         self.process.send_signal(signal.SIGTERM)
         self.assertEqual(await self.exit_code(), 0)
         await asyncio.wait([stream])
 
 
-class DelayedLeaveTest(SignalTest):
+class ShutdownDelayTest(SignalTest):
     """The listener stays open until the load balancer has noticed."""
 
     overrides = ('callers.leave_delay=1h',)
 
-    async def test_leaving_is_told_before_the_listener_closes(self):
+    async def test_leaving_is_reported_before_the_listener_closes(self):
         """After SIGTERM, /readyz says so while the listener is open.
 
         Guards against refused connections during a restart: if the listener
@@ -161,7 +163,7 @@
         """
         self.process.send_signal(signal.SIGTERM)
         await self.wait_for('leaving')
-        self.assertEqual(await self.ready(self.callers), 'leaving')
+        self.assertEqual(await self.ready_status(self.callers), 'leaving')
 
 
 del SignalTest
--- a/tools/measure_idle_peers.py
+++ b/tools/measure_idle_peers.py
@@ -15,7 +15,7 @@
 from balsamreach.clock import SystemClock
 from balsamreach.config.reader import read_settings
 from balsamreach.config.settings import Settings
-from balsamreach.daemon.net import make_net
+from balsamreach.daemon.peer_net import make_peer_net
 from balsamreach.peers.net import TcpPeerNet
 from balsamreach.telemetry.metrics import Metrics
 
@@ -27,7 +27,7 @@
     overrides = ('host.zone=zone-a', 'peers.port=0', f'peers.seeds={seeds}')
     cfg = read_settings(None, overrides)
     assert isinstance(cfg, Settings), cfg
-    net = make_net(
+    net = make_peer_net(
         cfg,
         f'router-{number:03}',
         SystemClock(),
