--- a/tools/check_imports.py
+++ b/tools/check_imports.py
@@ -8,7 +8,7 @@
 PACKAGE = 'balsamreach'
 #: Packages that hold decision logic only. Their clock, random numbers and
 #: platform clients are passed in.
-DECISIONS = (
+DECISION_PACKAGES = (
     'budget',
     'catalogue',
     'placement',
@@ -22,7 +22,7 @@
 #: Modules that a decision package may not import, directly or indirectly.
 TRANSPORTS = frozenset(('tornado', 'capnp', 'pycapnp', 'pycurl'))
 #: What no module may use, since the product starts no other processes.
-STARTERS = (
+PROCESS_STARTERS = (
     'concurrent.futures.ProcessPoolExecutor',
     'concurrent.futures.process',
     'asyncio.create_subprocess_exec',
@@ -43,13 +43,13 @@
         _module_name(path, root): ast.parse(path.read_text(encoding='utf-8'))
         for path in sorted(root.rglob('*.py'))
     }
-    breaches = [*_find_starters(trees), *_find_transports(trees)]
-    for breach in breaches:
-        sys.stdout.write(f'{breach}\n')
+    violations = [*_find_starters(trees), *_find_transports(trees)]
+    for violation in violations:
+        sys.stdout.write(f'{violation}\n')
     modules = len(trees)
-    found = len(breaches)
-    sys.stdout.write(f'import rule: {modules} modules, {found} breaches\n')
-    return 1 if breaches or not trees else 0
+    count = len(violations)
+    sys.stdout.write(f'import rule: {modules} modules, {count} breaches\n')
+    return 1 if violations or not trees else 0
 
 
 def _module_name(path: Path, root: Path) -> str:
@@ -95,34 +95,40 @@
 def _starts_process(name: str) -> bool:
     if name.startswith('os.'):
         return name.removeprefix('os.').startswith(OS_STARTERS)
-    return any(f'{name}.'.startswith(f'{word}.') for word in STARTERS)
+    return any(f'{name}.'.startswith(f'{word}.') for word in PROCESS_STARTERS)
 
 
 def _find_transports(trees: dict[str, ast.Module]) -> Iterator[str]:
     for module in trees:
         package = module.partition('.')[2].partition('.')[0]
-        if package in DECISIONS:
-            yield from _trace(module, trees)
+        if package in DECISION_PACKAGES:
+            yield from _find_chains(module, trees)
 
 
-def _trace(start: str, trees: dict[str, ast.Module]) -> Iterator[str]:
+def _find_chains(start: str, trees: dict[str, ast.Module]) -> Iterator[str]:
     """Yield the import chains from a module to transport modules."""
-    waiting = [(start,)]
+    pending = [(start,)]
     seen = {start}
-    while waiting:
-        path = waiting.pop()
+    while pending:
+        path = pending.pop()
         module = path[-1]
         names = set(_imports(trees[module], module))
         for name in sorted(names):
             if name.partition('.')[0] in TRANSPORTS:
-                way = ' -> '.join([*path, name])
-                yield f'{way}: a decision package reaches a transport'
-            new = [mod for mod in _loaded(name, trees) if mod not in seen]
+                chain = ' -> '.join([*path, name])
+                yield f'{chain}: a decision package reaches a transport'
+            new = [
+                mod
+                for mod in _modules_loaded_by(name, trees)
+                if mod not in seen
+            ]
             seen.update(new)
-            waiting.extend((*path, mod) for mod in new)
+            pending.extend((*path, mod) for mod in new)
 
 
-def _loaded(name: str, trees: dict[str, ast.Module]) -> Iterator[str]:
+def _modules_loaded_by(
+    name: str, trees: dict[str, ast.Module]
+) -> Iterator[str]:
     """Yield the modules of the package that are loaded by importing a name."""
     parts = name.split('.')
     for length in range(1, len(parts) + 1):
--- a/tools/check_names.py
+++ b/tools/check_names.py
@@ -8,7 +8,7 @@
 
 #: Packages that may contain the names: the adapter, and the stand-ins for the
 #: services that it calls.
-KNOWING = ('platform', 'standins')
+EXEMPT_PACKAGES = ('platform', 'standins')
 #: Headers, paths, fields and variables of the platform. Words that are common
 #: elsewhere, such as ``zone`` or ``priority``, can't be distinguished and are
 #: left out.
@@ -29,23 +29,29 @@
 def main(root: Path) -> int:
     """Print all names outside the adapter; return 1 if there are any."""
     paths = sorted(root.rglob('*.py'))
-    breaches = [breach for path in paths for breach in _breaches(path, root)]
-    for breach in breaches:
-        sys.stdout.write(f'{breach}\n')
-    sys.stdout.write(f'name rule: {len(paths)} files, {len(breaches)} found\n')
-    return 1 if breaches or not paths else 0
+    violations = [
+        violation
+        for path in paths
+        for violation in _find_violations(path, root)
+    ]
+    for violation in violations:
+        sys.stdout.write(f'{violation}\n')
+    sys.stdout.write(
+        f'name rule: {len(paths)} files, {len(violations)} found\n'
+    )
+    return 1 if violations or not paths else 0
 
 
-def _breaches(path: Path, root: Path) -> Iterator[str]:
+def _find_violations(path: Path, root: Path) -> Iterator[str]:
     parts = path.relative_to(root).parts
-    if set(parts[1:2]) & set(KNOWING):
+    if set(parts[1:2]) & set(EXEMPT_PACKAGES):
         return
-    for number, text in _texts(path):
+    for number, text in _strings_and_identifiers(path):
         for name in NAMES.findall(text):
             yield f'{path.relative_to(root)}:{number}: {name}'
 
 
-def _texts(path: Path) -> Iterator[tuple[int, str]]:
+def _strings_and_identifiers(path: Path) -> Iterator[tuple[int, str]]:
     """Yield the line and text of each string and identifier of a module."""
     for node in ast.walk(ast.parse(path.read_text(encoding='utf-8'))):
         if isinstance(node, ast.Constant) and isinstance(node.value, str):
--- a/tools/make_bundle.py
+++ b/tools/make_bundle.py
@@ -16,7 +16,7 @@
 from attr import _make
 
 #: Imported so that the bundle has every module that a router needs.
-ROUTER = ('balsamreach.ui.main', 'balsamreach.ui.relay')
+ROUTER_MODULES = ('balsamreach.ui.main', 'balsamreach.ui.relay')
 
 
 def main(path: str, *names: str) -> None:
@@ -29,21 +29,21 @@
     *names : str
         Modules to import; those of a router if none is given.
     """
-    noting = CompileAndNote()
-    _make.compile = noting
-    for needed in names or ROUTER:
-        import_module(needed)
+    recorder = RecordingCompile()
+    _make.compile = recorder
+    for required in names or ROUTER_MODULES:
+        import_module(required)
     entries = {
         name: _entry(module)
         for name, module in tuple(sys.modules.items())
-        if name != '__main__' and _is_taken(module)
+        if name != '__main__' and _is_loaded_from_file(module)
     }
-    bundle = (sys.base_prefix, entries, noting.compiled)
+    bundle = (sys.base_prefix, entries, recorder.compiled)
     Path(path).write_bytes(MAGIC_NUMBER + marshal.dumps(bundle))
     sys.stdout.write(f'{path}: {len(entries)} modules\n')
 
 
-class CompileAndNote:
+class RecordingCompile:
     """Replacement for ``compile`` that records the code it returns.
 
     It captures the methods that attrs generates.
@@ -59,7 +59,7 @@
         return code
 
 
-def _is_taken(module: ModuleType) -> bool:
+def _is_loaded_from_file(module: ModuleType) -> bool:
     spec = getattr(module, '__spec__', None)
     loader = getattr(spec, 'loader', None)
     return isinstance(loader, SourceFileLoader | ExtensionFileLoader)
@@ -68,21 +68,27 @@
 def _entry(module: ModuleType) -> tuple[Any, ...]:
     spec = module.__spec__
     if isinstance(spec.loader, ExtensionFileLoader):
-        return (_shorten(spec.origin), None, None)
+        return (_relative_to_checkout(spec.origin), None, None)
     locations = spec.submodule_search_locations
     code = spec.loader.get_code(spec.name)
     return (
-        _shorten(spec.origin),
-        None if locations is None else [_shorten(one) for one in locations],
+        _relative_to_checkout(spec.origin),
+        None
+        if locations is None
+        else [_relative_to_checkout(location) for location in locations],
         marshal.dumps(code),
     )
 
 
-def _shorten(path: str) -> str:
+def _relative_to_checkout(path: str) -> str:
     # The bundle may be used in a checkout at another path.
-    here = Path.cwd()
-    there = Path(path).resolve()
-    return str(there.relative_to(here) if there.is_relative_to(here) else there)
+    root = Path.cwd()
+    resolved = Path(path).resolve()
+    return str(
+        resolved.relative_to(root)
+        if resolved.is_relative_to(root)
+        else resolved
+    )
 
 
 if __name__ == '__main__':
--- a/tools/measure_gossip.py
+++ b/tools/measure_gossip.py
@@ -27,18 +27,18 @@
 from balsamreach.wire.framing import HEAD
 from balsamreach.wire.membership import Heartbeat, Member
 
-_DAY = 86400
-_RESTARTS = 4100
-_FAILURES = 58
-_FULL_SIZE = 910
+_DAY_S = 86400
+_RESTARTS_PER_DAY = 4100
+_FAILURES_PER_DAY = 58
+_FULL_FLEET = 910
 _ROUTERS_PER_ZONE = 34
 _MAX_PEERS = 16
-_TURN = 0.5
-_TCP_IP_HEADERS = 52
+_STEP_S = 0.5
+_TCP_IP_HEADER_BYTES = 52
 
 
 @attrs.define
-class SetClock(Clock):
+class SimulatedClock(Clock):
     """A clock that the simulation sets."""
 
     seconds: float = 0
@@ -59,17 +59,17 @@
 class Fleet:
     """All routers of the simulation, and counters of their messages."""
 
-    clock: SetClock = attrs.field(factory=SetClock)
+    clock: SimulatedClock = attrs.field(factory=SimulatedClock)
     rng: random.Random = attrs.field(factory=lambda: random.Random(1))
-    nets: dict[str, 'CalledNet'] = attrs.field(factory=dict)
+    nets: dict[str, 'SimulatedNet'] = attrs.field(factory=dict)
     sent: Counter[str] = attrs.field(factory=Counter)
-    octets: Counter[str] = attrs.field(factory=Counter)
+    sent_bytes: Counter[str] = attrs.field(factory=Counter)
     started: int = 0
 
-    def join(self) -> 'CalledNet':
+    def add_router(self) -> 'SimulatedNet':
         """Add a router that knows no other router, and return it."""
         self.started += 1
-        zones = max(1, _FULL_SIZE // _ROUTERS_PER_ZONE)
+        zones = max(1, _FULL_FLEET // _ROUTERS_PER_ZONE)
         member = Member(
             incarnation=f'{self.rng.getrandbits(128):032x}',
             host=f'router-{self.started}',
@@ -77,13 +77,13 @@
             zone=f'zone-{self.started % zones:02}',
             started=self.clock.wall(),
         )
-        net = CalledNet(member, self, Membership(member, self.clock))
+        net = SimulatedNet(member, self, Membership(member, self.clock))
         net.gossip = Gossip(net.membership, net)
         net.gossip.start()
         self.nets[member.incarnation] = net
         return net
 
-    def connect(self) -> None:
+    def choose_neighbours(self) -> None:
         """Choose the neighbours of all routers again."""
         rings = Rings((net.me for net in self.nets.values()), _MAX_PEERS)
         for net in self.nets.values():
@@ -99,11 +99,11 @@
         assert isinstance(packed, bytes), packed
         kind = type(message).__name__
         self.sent[kind] += 1
-        self.octets[kind] += len(packed) + HEAD
+        self.sent_bytes[kind] += len(packed) + HEAD
 
 
 @attrs.define(eq=False)
-class CalledNet(PeerNet):
+class SimulatedNet(PeerNet):
     """Peer network of one router that delivers messages by calls."""
 
     fleet: Fleet
@@ -160,69 +160,77 @@
             if member.incarnation != besides:
                 self.tell(member.incarnation, message)
 
-    async def turn(self) -> None:
+    async def run_step(self) -> None:
         """Handle received messages, send updates, sometimes compare lists."""
         inbox = self.inbox
         self.inbox = []
         for member, message in inbox:
             await self.takers[type(message)](member, message)
         self.gossip.flush()
-        if self.linked and self.fleet.rng.random() < _TURN / COMPARE_EVERY:
+        if self.linked and self.fleet.rng.random() < _STEP_S / COMPARE_EVERY:
             other = self.fleet.rng.choice(tuple(self.linked))
             await self.gossip.compare(other)
 
 
 async def churn(fleet: Fleet, rng: random.Random) -> None:
     """Restart a router, or let it fail and replace it."""
-    victim = fleet.nets.pop(rng.choice(tuple(fleet.nets)))
-    graceful = rng.random() < _RESTARTS / (_RESTARTS + _FAILURES)
-    neighbours = tuple(victim.linked)
+    removed = fleet.nets.pop(rng.choice(tuple(fleet.nets)))
+    graceful = rng.random() < _RESTARTS_PER_DAY / (
+        _RESTARTS_PER_DAY + _FAILURES_PER_DAY
+    )
+    neighbours = tuple(removed.linked)
     if graceful:
-        gone = victim.membership.change_me(leaving=True, dead=True)
-        victim.gossip.tell(gone)
-        victim.gossip.flush()
+        left_member = removed.membership.change_me(leaving=True, dead=True)
+        removed.gossip.tell(left_member)
+        removed.gossip.flush()
     else:
         for name in neighbours:
             net = fleet.nets[name]
-            net.membership.bury(victim.me.incarnation)
-            dead = net.membership.find(victim.me.incarnation)
-            net.gossip.tell(dead or victim.me)
-    fleet.join()
-    fleet.connect()
+            net.membership.bury(removed.me.incarnation)
+            dead = net.membership.find(removed.me.incarnation)
+            net.gossip.tell(dead or removed.me)
+    fleet.add_router()
+    fleet.choose_neighbours()
     newest = tuple(fleet.nets.values())[-1]
     for other in tuple(newest.linked):
         fleet.nets[other].gossip.learn((newest.me,), newest.me.incarnation)
         await newest.gossip.compare(other)
 
 
-def load(fleet: Fleet, size: int) -> None:
+def add_routers(fleet: Fleet, size: int) -> None:
     """Fill the fleet with routers that know each other."""
     for _ in range(size):
-        fleet.join()
+        fleet.add_router()
     members = tuple(net.me for net in fleet.nets.values())
     for net in fleet.nets.values():
         for member in members:
             net.membership.merge(member)
-    fleet.connect()
+    fleet.choose_neighbours()
 
 
 async def run(size: int, seconds: int) -> dict[str, object]:
     """Simulate a fleet for some seconds of simulated time."""
     fleet = Fleet()
-    load(fleet, size)
+    add_routers(fleet, size)
     rng = random.Random(2)
-    per_turn = (_RESTARTS + _FAILURES) / _DAY * size / _FULL_SIZE * _TURN
-    events = 0
+    churn_probability = (
+        (_RESTARTS_PER_DAY + _FAILURES_PER_DAY)
+        / _DAY_S
+        * size
+        / _FULL_FLEET
+        * _STEP_S
+    )
+    churn_events = 0
     used = time.process_time()
-    for _ in range(round(seconds / _TURN)):
-        fleet.clock.seconds += _TURN
-        if rng.random() < per_turn:
-            events += 1
+    for _ in range(round(seconds / _STEP_S)):
+        fleet.clock.seconds += _STEP_S
+        if rng.random() < churn_probability:
+            churn_events += 1
             await churn(fleet, rng)
         for net in tuple(fleet.nets.values()):
-            await net.turn()
+            await net.run_step()
     used = time.process_time() - used
-    return report(fleet, size, seconds, events) | {
+    return report(fleet, size, seconds, churn_events) | {
         'simulation_cpu_seconds': round(used, 1),
     }
 
@@ -231,28 +239,30 @@
     fleet: Fleet,
     size: int,
     seconds: int,
-    events: int,
+    churn_events: int,
 ) -> dict[str, object]:
     """Return the bytes per second that one router sends, by kind."""
     links = sum(len(net.linked) for net in fleet.nets.values()) / size
-    beats = links / _TURN
-    beat_octets = beats * heartbeat_size()
-    gossip = sum(fleet.octets.values()) / size / seconds
+    heartbeats = links / _STEP_S
+    heartbeat_bytes = heartbeats * heartbeat_size()
+    gossip = sum(fleet.sent_bytes.values()) / size / seconds
     messages = sum(fleet.sent.values()) / size / seconds
-    headers = (beats + messages) * _TCP_IP_HEADERS
+    headers = (heartbeats + messages) * _TCP_IP_HEADER_BYTES
     return {
         'routers': size,
-        'churn_events': events,
+        'churn_events': churn_events,
         'links': round(links, 1),
-        'heartbeats_bytes_s': round(beat_octets),
+        'heartbeats_bytes_s': round(heartbeat_bytes),
         'gossip_bytes_s': round(gossip),
-        'sent_bytes_s': round(beat_octets + gossip),
-        'with_tcp_ip_headers_bytes_s': round(beat_octets + gossip + headers),
+        'sent_bytes_s': round(heartbeat_bytes + gossip),
+        'with_tcp_ip_headers_bytes_s': round(
+            heartbeat_bytes + gossip + headers
+        ),
         'kinds_bytes_s': {
-            kind: round(octets / size / seconds, 1)
-            for kind, octets in fleet.octets.items()
+            kind: round(sent_bytes / size / seconds, 1)
+            for kind, sent_bytes in fleet.sent_bytes.items()
         },
-        'lists_equal_to_truth': f'{count_equal(fleet)}/{size}',
+        'lists_equal_to_truth': f'{count_complete(fleet)}/{size}',
     }
 
 
@@ -263,11 +273,11 @@
     return len(packed) + HEAD
 
 
-def count_equal(fleet: Fleet) -> int:
+def count_complete(fleet: Fleet) -> int:
     """Return how many routers know exactly the running ones."""
-    truth = set(fleet.nets)
+    running = set(fleet.nets)
     return sum(
-        {member.incarnation for member in net.members()} == truth
+        {member.incarnation for member in net.members()} == running
         for net in fleet.nets.values()
     )
 
--- a/tools/measure_idle_peers.py
+++ b/tools/measure_idle_peers.py
@@ -19,7 +19,7 @@
 from balsamreach.peers.net import TcpPeerNet
 from balsamreach.telemetry.metrics import Metrics
 
-_MOST_WAITS = 30
+_MAX_WAITS = 30
 
 
 async def start(number: int, seeds: str) -> TcpPeerNet:
@@ -43,7 +43,7 @@
     nets = [await start(0, '')]
     for number in range(1, routers):
         nets.append(await start(number, nets[0].me.address))
-    for _ in range(_MOST_WAITS):
+    for _ in range(_MAX_WAITS):
         if all(len(net.neighbours()) == routers - 1 for net in nets):
             break
         await asyncio.sleep(1)
--- a/tools/measure_links.py
+++ b/tools/measure_links.py
@@ -30,19 +30,19 @@
 
 _MEMBERS = 910
 _LINKS = 100
-_TELLS = 20000
-_ASKS = 5000
+_ONE_WAY_MESSAGES = 20000
+_REQUESTS = 5000
 _BATCH = 500
-_MICRO = 1_000_000
+_MICROSECONDS = 1_000_000
 _NOTE = RunNote('team', 'key-1', 'f' * 64, 'a' * 32, '10.0.0.1:8080')
 
 
-class Counting:
+class CountingHandlers:
     """Message handlers that count messages."""
 
     def __init__(self):
         self.count = 0
-        self.batch = asyncio.Event()
+        self.batch_done = asyncio.Event()
 
     async def answer(self, _: Member, message: Message) -> Message:
         """Answer a request."""
@@ -52,7 +52,7 @@
         """Count a one-way message."""
         self.count += 1
         if self.count % _BATCH == 0:
-            self.batch.set()
+            self.batch_done.set()
 
 
 def make_member(number: int, rng: random.Random) -> Member:
@@ -79,11 +79,11 @@
     return (after - before) / _MEMBERS
 
 
-def make_links(cfg: Settings, counting: Counting) -> tuple[Link, Link]:
+def make_links(cfg: Settings, handlers: CountingHandlers) -> tuple[Link, Link]:
     """Return both ends of a link over a socket pair."""
     takers = Takers()
-    takers.on(InFlightAsk, counting.answer)
-    takers.on(RunNote, counting.take)
+    takers.on(InFlightAsk, handlers.answer)
+    takers.on(RunNote, handlers.take)
     context = LinkContext(
         cfg=cfg.peers,
         clock=SystemClock(),
@@ -100,10 +100,10 @@
 
 async def measure_link_memory(cfg: Settings) -> float:
     """Return the bytes that each end of a running link takes."""
-    counting = Counting()
+    handlers = CountingHandlers()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    pairs = [make_links(cfg, counting) for _ in range(_LINKS)]
+    pairs = [make_links(cfg, handlers) for _ in range(_LINKS)]
     tasks = [asyncio.create_task(link.run()) for pair in pairs for link in pair]
     await asyncio.sleep(cfg.peers.heartbeat)
     gc.collect()
@@ -117,23 +117,23 @@
 
 async def measure_messages(cfg: Settings) -> tuple[float, float]:
     """Return CPU seconds per one-way message and per request and answer."""
-    counting = Counting()
-    near, far = make_links(cfg, counting)
+    handlers = CountingHandlers()
+    near, far = make_links(cfg, handlers)
     tasks = [asyncio.create_task(link.run()) for link in (near, far)]
     started = time.process_time()
-    for _ in range(_TELLS // _BATCH):
+    for _ in range(_ONE_WAY_MESSAGES // _BATCH):
         for _ in range(_BATCH):
             near.tell(_NOTE)
-        await counting.batch.wait()
-        counting.batch.clear()
+        await handlers.batch_done.wait()
+        handlers.batch_done.clear()
     told = time.process_time()
-    for _ in range(_ASKS):
+    for _ in range(_REQUESTS):
         await near.ask(InFlightAsk('engine-0'))
     asked = time.process_time()
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
-    return (told - started) / _TELLS, (asked - told) / _ASKS
+    return (told - started) / _ONE_WAY_MESSAGES, (asked - told) / _REQUESTS
 
 
 async def run() -> dict[str, float]:
@@ -142,8 +142,8 @@
     assert isinstance(cfg, Settings), cfg
     tell, ask = await measure_messages(cfg)
     return {
-        'cpu_us_per_told_message_both_ends': round(tell * _MICRO, 1),
-        'cpu_us_per_ask_and_answer_both_ends': round(ask * _MICRO, 1),
+        'cpu_us_per_told_message_both_ends': round(tell * _MICROSECONDS, 1),
+        'cpu_us_per_ask_and_answer_both_ends': round(ask * _MICROSECONDS, 1),
         'bytes_per_member': round(measure_members()),
         'bytes_per_link_end': round(await measure_link_memory(cfg)),
     }
--- a/tools/measure_tracing.py
+++ b/tools/measure_tracing.py
@@ -24,12 +24,12 @@
     tracing = Tracing(cfg, io.StringIO())
     began = time.process_time()
     for _ in range(_REQUESTS):
-        _follow(tracing)
+        _trace_request(tracing)
     used = time.process_time() - began
     return used / _REQUESTS * _MICROSECONDS
 
 
-def _follow(tracing: Tracing) -> None:
+def _trace_request(tracing: Tracing) -> None:
     span = tracing.start_span('caller', {}, method='POST', kind='engine')
     with hops.following(hops.Trail(span, tracing)):
         for name in _HOPS:
@@ -41,8 +41,8 @@
 def main() -> None:
     """Print the minimum of several rounds for each share."""
     for share in _SHARES:
-        least = min(measure(share) for _ in range(_ROUNDS))
-        sys.stdout.write(f'{share}: {least:.0f} us a request\n')
+        minimum = min(measure(share) for _ in range(_ROUNDS))
+        sys.stdout.write(f'{share}: {minimum:.0f} us a request\n')
 
 
 if __name__ == '__main__':
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -15,15 +15,15 @@
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / 'KNOWN-RED.txt'
 #: Maximum number of listed failures; more must be fixed, not listed.
-MOST_KNOWN = 3
-MOST_WORKERS = 4
+MAX_KNOWN = 3
+MAX_WORKERS = 4
 #: Time limit of a module in seconds. A module that takes longer counts as hung:
 #: its process is killed and the module has failed.
-MODULE_SECONDS = 300
+MODULE_TIMEOUT_S = 300
 
 
 @attrs.define
-class Verdict:
+class TestOutcomes:
     """Test ids by outcome, of one module or of the whole run."""
 
     passed: list[str] = attrs.field(factory=list)
@@ -31,14 +31,14 @@
     skipped: list[str] = attrs.field(factory=list)
     output: str = ''
 
-    def add(self, other: 'Verdict') -> None:
+    def add(self, other: 'TestOutcomes') -> None:
         """Add the outcomes of another module."""
         self.passed.extend(other.passed)
         self.failed.extend(other.failed)
         self.skipped.extend(other.skipped)
 
 
-class Recorder(unittest.TextTestResult):
+class RecordingResult(unittest.TextTestResult):
     """Test result that also records the tests that passed."""
 
     def __init__(self, *args, **kwargs):
@@ -80,24 +80,24 @@
     suite = unittest.defaultTestLoader.loadTestsFromName(module)
     runner = unittest.TextTestRunner(
         stream=sys.stdout,
-        resultclass=Recorder,
+        resultclass=RecordingResult,
         verbosity=0,
     )
-    outcome = runner.run(suite)
-    report.write_text(json.dumps(_sum_up(outcome)), encoding='utf-8')
+    result = runner.run(suite)
+    report.write_text(json.dumps(_outcomes_by_kind(result)), encoding='utf-8')
     return 0
 
 
-def _sum_up(outcome: Recorder) -> dict[str, list[str]]:
-    red = [*outcome.failures, *outcome.errors, *outcome.expectedFailures]
+def _outcomes_by_kind(result: RecordingResult) -> dict[str, list[str]]:
+    failures = [*result.failures, *result.errors, *result.expectedFailures]
     # An expected failure counts as failed, because KNOWN-RED.txt is the only
     # list of failures that may be committed.
-    tests = [test for test, _ in red] + list(outcome.unexpectedSuccesses)
+    tests = [test for test, _ in failures] + list(result.unexpectedSuccesses)
     failed = {_test_id(test) for test in tests}
     return {
-        'passed': [name for name in outcome.passed if name not in failed],
+        'passed': [name for name in result.passed if name not in failed],
         'failed': sorted(failed),
-        'skipped': sorted({_test_id(test) for test, _ in outcome.skipped}),
+        'skipped': sorted({_test_id(test) for test, _ in result.skipped}),
     }
 
 
@@ -107,62 +107,64 @@
 
 
 def _run_all(modules: list[str]) -> int:
-    total = Verdict()
-    workers = min(MOST_WORKERS, os.cpu_count() or 1)
+    total = TestOutcomes()
+    workers = min(MAX_WORKERS, os.cpu_count() or 1)
     with ThreadPoolExecutor(workers) as pool:
-        for module, verdict in zip(
+        for module, outcomes in zip(
             modules, pool.map(_run_worker, modules), strict=True
         ):
-            total.add(verdict)
-            mark = 'FAILED' if verdict.failed else 'ok'
-            _say(f'{module}: {mark}')
-            if verdict.failed:
-                _say(verdict.output)
-    return _conclude(total, modules)
+            total.add(outcomes)
+            status = 'FAILED' if outcomes.failed else 'ok'
+            _print(f'{module}: {status}')
+            if outcomes.failed:
+                _print(outcomes.output)
+    return _report_outcomes(total, modules)
 
 
-def _run_worker(module: str) -> Verdict:
+def _run_worker(module: str) -> TestOutcomes:
     """Run one module in a separate process."""
     with tempfile.TemporaryDirectory() as directory:
         report = Path(directory) / 'report.json'
         command = [sys.executable, __file__, 'tests', '--module', module]
         try:
-            done = subprocess.run(
+            completed = subprocess.run(
                 [*command, '--report', str(report)],
                 cwd=ROOT,
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.PIPE,
                 stderr=subprocess.STDOUT,
-                timeout=MODULE_SECONDS,
+                timeout=MODULE_TIMEOUT_S,
                 check=False,
             )
         except subprocess.TimeoutExpired as exc:
             output = (exc.output or b'').decode(errors='replace')
-            return Verdict(failed=[module], output=f'{output}\nhung, ended')
-        output = done.stdout.decode(errors='replace')
+            return TestOutcomes(
+                failed=[module], output=f'{output}\nhung, ended'
+            )
+        output = completed.stdout.decode(errors='replace')
         # A process that crashed wrote no report, so its module failed.
         if not report.exists():
-            return Verdict(failed=[module], output=output)
-        return Verdict(output=output, **json.loads(report.read_text()))
+            return TestOutcomes(failed=[module], output=output)
+        return TestOutcomes(output=output, **json.loads(report.read_text()))
 
 
-def _conclude(total: Verdict, modules: list[str]) -> int:
+def _report_outcomes(total: TestOutcomes, modules: list[str]) -> int:
     known, problems = _read_known()
     for name, cause in known.items():
         if name in total.failed:
-            _say(f'known red: {name}: {cause}')
+            _print(f'known red: {name}: {cause}')
         elif name in total.passed:
             problems.append(f'{name} passes: take it off {KNOWN_RED.name}')
         elif name.startswith(tuple(f'{module}.' for module in modules)):
             problems.append(f'{name} in {KNOWN_RED.name} did not run')
-    unexpected = [red for red in total.failed if red not in known]
-    for red in unexpected:
-        _say(f'failed: {red}')
+    unexpected = [test for test in total.failed if test not in known]
+    for test_id in unexpected:
+        _print(f'failed: {test_id}')
     if not total.passed:
         problems.append('no test passed: nothing was shown')
     for problem in problems:
-        _say(f'error: {problem}')
-    _say(
+        _print(f'error: {problem}')
+    _print(
         f'{len(total.passed)} passed, {len(total.failed)} failed, '
         f'{len(total.skipped)} skipped',
     )
@@ -180,12 +182,12 @@
             known[name.strip()] = cause.strip()
         if line.strip() and not cause.strip():
             problems.append(f'{KNOWN_RED.name}: no cause and issue: {line}')
-    if len(known) > MOST_KNOWN:
-        problems.append(f'{KNOWN_RED.name} lists more than {MOST_KNOWN}')
+    if len(known) > MAX_KNOWN:
+        problems.append(f'{KNOWN_RED.name} lists more than {MAX_KNOWN}')
     return known, problems
 
 
-def _say(text: str) -> None:
+def _print(text: str) -> None:
     sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
 
