--- a/src/balsamreach/daemon/parts.py
+++ b/src/balsamreach/daemon/parts.py
@@ -1,4 +1,4 @@
-"""Puts the parts of one router together from its settings."""
+"""Creates the components of a router from its settings."""
 
 import random
 import uuid
@@ -9,16 +9,16 @@
 from balsamreach.clock import Clock, SystemClock
 from balsamreach.config.settings import Settings
 from balsamreach.daemon.clients import platform_client, table_service
-from balsamreach.daemon.net import make_net
+from balsamreach.daemon.peer_net import make_peer_net
 from balsamreach.daemon.table_parts import (
     TableNeeds,
     TableParts,
     make_table_parts,
 )
 from balsamreach.daemon.target_watch import (
-    WatchNeeds,
+    WatchDependencies,
     WatchRunner,
-    open_watch,
+    make_watch_runner,
 )
 from balsamreach.dispatch.dispatcher import Dispatcher
 from balsamreach.dispatch.remote_runs import make_remote_run_parts
@@ -42,14 +42,14 @@
 
 @attrs.define(kw_only=True)
 class Parts:
-    """Everything one router consists of, except its listeners.
+    """The components of a router, except its listeners.
 
     Parameters
     ----------
     cfg : Settings
         The router's settings.
     incarnation : str
-        Identity of this start of the router.
+        Identity of this run of the router.
     """
 
     cfg: Settings
@@ -69,7 +69,7 @@
 
 
 def make_parts(cfg: Settings) -> Parts:
-    """Make the parts of a router.
+    """Create the components of a router.
 
     Parameters
     ----------
@@ -79,10 +79,10 @@
     Returns
     -------
     Parts
-        Parts that share one clock, one source of randomness and one
-        incarnation; nothing is started or sent yet.
+        Components that share one clock, one random number generator and
+        one incarnation. None is started, and nothing has been sent.
     """
-    net = make_net(
+    net = make_peer_net(
         cfg,
         uuid.uuid4().hex,
         SystemClock(),
@@ -154,8 +154,8 @@
         cfg.budget,
         net.clock,
         net=net,
-        # With port 0 the next router on this host gets another port, and a
-        # later one on the same port need not be this one's successor.
+        # With port 0 each run on this host binds another port, and a later
+        # router that gets the same port may not be this one's successor.
         address=net.me.address if cfg.peers.port else '',
         rng=net.rng,
         metrics=net.metrics,
@@ -171,8 +171,8 @@
 ) -> WatchRunner:
     hosts = HttpHostList(platform_client(cfg, cfg.platform.hosts))
     weights = HttpWeightStore(platform_client(cfg, cfg.platform.weights))
-    return open_watch(
-        WatchNeeds(
+    return make_watch_runner(
+        WatchDependencies(
             cfg=cfg,
             targets=targets,
             routing=routing,
--- a/src/balsamreach/daemon/relay_parts.py
+++ b/src/balsamreach/daemon/relay_parts.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a router together that passes requests through."""
+"""Creates the components of a router that relays requests."""
 
 import random
 import uuid
@@ -10,7 +10,7 @@
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.clock import Clock, SystemClock
 from balsamreach.config.settings import Settings
-from balsamreach.daemon.net import make_net
+from balsamreach.daemon.peer_net import make_peer_net
 from balsamreach.daemon.placing_parts import (
     make_chooser,
     make_notices,
@@ -35,7 +35,7 @@
 
 @attrs.define(kw_only=True)
 class RelayParts:
-    """Everything such a router consists of, except listeners and feeds."""
+    """The components of a relay router, except its listeners and feeds."""
 
     cfg: Settings
     clock: Clock
@@ -57,56 +57,56 @@
     codec: Codec,
     outside: Outside,
 ) -> RelayParts:
-    """Make the parts of a router; nothing is started or sent yet.
+    """Create the components of a router, without starting them.
 
     Parameters
     ----------
     cfg : Settings
         The router's settings.
     codec : Codec
-        Translates between the relay and the wire.
+        Translates between the relay's types and HTTP messages.
     outside : Outside
-        What the router has of the platform's services.
+        Clients of the platform's services.
     """
-    core = _make_core(cfg, outside)
+    builder = _make_builder(cfg, outside)
     exchange = RelayCurl(cfg.relay.connect_timeout)
-    holdings = core.make_holdings(outside)
+    holdings = builder.make_holdings(outside)
     chooser = make_chooser(
         cfg.host.zone,
-        core.net,
-        core.view,
-        core.clock,
-        core.rng,
+        builder.net,
+        builder.view,
+        builder.clock,
+        builder.rng,
     )
     return RelayParts(
         cfg=cfg,
-        clock=core.clock,
-        rng=core.rng,
-        metrics=core.metrics,
-        net=core.net,
-        view=core.view,
-        freshness_check=core.freshness_check,
+        clock=builder.clock,
+        rng=builder.rng,
+        metrics=builder.metrics,
+        net=builder.net,
+        view=builder.view,
+        freshness_check=builder.freshness_check,
         places=chooser.places,
         chooser=chooser,
         exchange=exchange,
-        sharing=core.make_sharing(chooser),
+        sharing=builder.make_sharing(chooser),
         holdings=holdings,
-        run=core.make_run(codec, exchange, chooser, holdings),
+        run=builder.make_run(codec, exchange, chooser, holdings),
     )
 
 
-def _make_core(cfg: Settings, outside: Outside) -> '_Core':
+def _make_builder(cfg: Settings, outside: Outside) -> '_PartsBuilder':
     clock, rng, metrics = SystemClock(), random.Random(), Metrics()
-    name = uuid.uuid4().hex
-    net = make_net(cfg, name, clock, rng, metrics, outside.hosts)
-    core = _Core(cfg, net, clock, rng, metrics)
-    net.greeter.table_version = lambda: core.view.version
-    return core
+    incarnation = uuid.uuid4().hex
+    net = make_peer_net(cfg, incarnation, clock, rng, metrics, outside.hosts)
+    builder = _PartsBuilder(cfg, net, clock, rng, metrics)
+    net.greeter.table_version = lambda: builder.view.version
+    return builder
 
 
 @attrs.define
-class _Core:
-    """What all parts share."""
+class _PartsBuilder:
+    """Creates components from the dependencies that they share."""
 
     cfg: Settings
     net: TcpPeerNet
@@ -117,11 +117,11 @@
     freshness_check: FreshnessCheck = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Confirm the configuration by the source that is set later."""
+        """Create the freshness check; its source is set later."""
         self.freshness_check = FreshnessCheck(self.view, self.clock)
 
     def make_holdings(self, outside: Outside) -> Holdings:
-        """Make what keeps the budgets."""
+        """Create what admits requests against held tokens."""
         return Holdings(
             outside.table,
             self.view.prepaid,
@@ -138,7 +138,7 @@
         )
 
     def make_sharing(self, chooser: Chooser) -> LoadSharing:
-        """Make what tells peers of the load at engines."""
+        """Create and start the exchange of engine loads with peers."""
         sharing = LoadSharing(self.net, chooser.places, self.clock)
         chooser.on_sent = sharing.on_request_sent
         sharing.start()
@@ -151,7 +151,7 @@
         chooser: Chooser,
         holdings: Holdings,
     ) -> RelayRunParts:
-        """Make what every request runs on."""
+        """Create the components that process every request."""
         cfg = self.cfg
         quarantine = make_quarantine(
             cfg.routing.crash_targets,
--- a/src/balsamreach/daemon/relay_router.py
+++ b/src/balsamreach/daemon/relay_router.py
@@ -1,4 +1,4 @@
-"""The life of a router that passes requests through: start, serve, leave."""
+"""Startup, serving and shutdown of a router that relays requests."""
 
 import asyncio
 import logging
@@ -24,35 +24,37 @@
 _STARTING = 'starting'
 _READY = 'ready'
 _LEAVING = 'leaving'
-_CROWDED = 'crowded'
-#: Seconds for which a leaving router takes new connections, so that the
-#: balancer has looked twice and sends none when the listener closes.
+_OUT_OF_ROTATION = 'crowded'
+#: Seconds for which a leaving router still accepts connections, so that the
+#: load balancer has checked readiness twice and sends no more connections when
+#: the listener closes.
 _LEAVE_DELAY_S = 2.5
-#: Part of the grace after which requests in progress are no longer waited
-#: for; the rest is for handing tokens back.
+#: Share of the grace period in which requests in progress may finish; the
+#: rest is for returning tokens.
 _DRAIN_SHARE = 0.85
 _TICK_S = 0.1
 _MS = 1000
-#: Refusals that a newer configuration may lift.
-_UNKNOWN = (faults.NO_ROUTE, faults.UNKNOWN_KEY)
+#: Refusals that may not apply under a newer configuration.
+_UNCONFIRMED_REFUSALS = (faults.NO_ROUTE, faults.UNKNOWN_KEY)
 
 Runner = Callable[[], Awaitable[None]]
 
 
 @attrs.define(eq=False)
 class RelayRouter:
-    """One router daemon.
+    """A router daemon that relays requests.
 
     Parameters
     ----------
     parts : RelayParts
-        What it consists of.
+        Components of the router.
     ready_path : str
-        Path under which the balancer asks whether it is ready.
+        Path of the load balancer's readiness check.
     feeds : tuple of callable
-        What follows the outside world, each run in a task of its own.
+        Coroutine functions that follow the platform's data, such as the
+        configuration; each is run in a task of its own.
     ticks : tuple of callable
-        Called every tenth of a second.
+        Functions that are called every tenth of a second.
     """
 
     parts: RelayParts
@@ -67,14 +69,15 @@
     _rotation: Rotation = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Begin in rotation."""
+        """Start in the rotation of the load balancer."""
         self._rotation = Rotation(self.parts.run.link, self.parts.clock)
 
     async def start(self) -> None:
         """Open the listeners and begin to follow configuration and targets."""
         self._listen()
         fault = await self.parts.net.start()
-        # Nothing but a TLS file can fail there, and those were read before.
+        # Only unreadable TLS files make this fail, and they have been read
+        # before.
         assert fault is None, fault
         holdings = self.parts.holdings
         runners = (
@@ -90,25 +93,25 @@
             _logger,
             logging.INFO,
             'router_started',
-            reason=f'callers on {self.callers.address}',
+            reason=f'listening for callers on {self.callers.address}',
         )
 
     async def leave(self) -> None:
-        """Finish the requests in progress, hand tokens back and stop."""
+        """Finish the requests in progress, return tokens and stop."""
         self.state = _LEAVING
         log_event(_logger, logging.INFO, 'router_leaving')
         began = self.parts.clock.now()
-        await self._turn_away()
-        until = began + self.parts.cfg.relay.grace * _DRAIN_SHARE
-        await self._drain(until)
-        await self.parts.holdings.leave(until)
+        await self._stop_accepting()
+        deadline = began + self.parts.cfg.relay.grace * _DRAIN_SHARE
+        await self._drain(deadline)
+        await self.parts.holdings.leave(deadline)
         await self._stop()
         log_event(_logger, logging.INFO, 'router_left')
 
     def _listen(self) -> None:
         cfg = self.parts.cfg
         self.server = RelayServer(
-            self._answer,
+            self._handle_request,
             self.parts.clock,
             self._body_limit,
         )
@@ -120,7 +123,7 @@
         )
         self.probes = open_listener(cfg, cfg.probes, probes)
 
-    async def _turn_away(self) -> None:
+    async def _stop_accepting(self) -> None:
         self.server.leaving = True
         await self.parts.net.leave()
         await self.parts.clock.sleep(_LEAVE_DELAY_S)
@@ -135,38 +138,40 @@
         self.probes.stop()
         self.parts.exchange.close()
 
-    async def _drain(self, until: float) -> None:
+    async def _drain(self, deadline: float) -> None:
         try:
-            async with asyncio.timeout(until - self.parts.clock.now()):
+            async with asyncio.timeout(deadline - self.parts.clock.now()):
                 await self.server.drain()
         except TimeoutError:
             log_event(
                 _logger,
                 logging.ERROR,
                 'requests_cut_off',
-                reason='the grace is over',
+                reason='grace period expired',
                 requests=len(self.server.running),
             )
 
-    async def _answer(
+    async def _handle_request(
         self, request: CallerRequest, caller_response: CallerResponse
     ) -> None:
-        call = await self._read(request)
+        call = await self._read_request(request)
         if isinstance(call, RelayFault):
             self._refuse(call, caller_response)
             return
         await RelayRun(self.parts.run, call, caller_response).run()
 
-    async def _read(self, request: CallerRequest) -> RelayCall | RelayFault:
+    async def _read_request(
+        self, request: CallerRequest
+    ) -> RelayCall | RelayFault:
         parts = self.parts
         if parts.view.current is None:
             return faults.NOT_READY.because('no configuration')
         codec = parts.run.codec
         call = codec.read_request(request, parts.view.current)
-        if call not in _UNKNOWN:
+        if call not in _UNCONFIRMED_REFUSALS:
             return call
-        # A route or key that this router doesn't know may be in a version
-        # that it lacks. Told that there is none, a caller would not come back.
+        # A newer configuration may contain the unknown route or key. This is
+        # confirmed first, because callers don't retry after a final refusal.
         if not await parts.freshness_check.confirm():
             return faults.NOT_READY.because('a newer configuration may exist')
         return codec.read_request(request, parts.view.current)
@@ -182,7 +187,7 @@
             outcome=fault.code,
             configuration=self.parts.view.version,
             heard=self.parts.view.newest_known,
-            confirmed_ms=_as_ms(self.parts.freshness_check.age()),
+            confirmed_ms=_to_ms(self.parts.freshness_check.age()),
         )
         run = self.parts.run
         answer = run.codec.refuse(run.retry_jitter.add_jitter(fault))
@@ -201,19 +206,19 @@
             await self.parts.clock.sleep(_TICK_S)
             for tick in self.ticks:
                 tick()
-            if self.state == _STARTING and _knows_enough(self.parts):
+            if self.state == _STARTING and _is_ready(self.parts):
                 self.state = _READY
                 log_event(_logger, logging.INFO, 'router_ready')
-            self._turn_in_or_out()
+            self._update_rotation()
 
-    def _turn_in_or_out(self) -> None:
-        if self.state not in {_READY, _CROWDED}:
+    def _update_rotation(self) -> None:
+        if self.state not in {_READY, _OUT_OF_ROTATION}:
             return
         is_out = self._rotation.is_out()
         if is_out == self.server.crowded:
             return
         self.server.crowded = is_out
-        self.state = _CROWDED if is_out else _READY
+        self.state = _OUT_OF_ROTATION if is_out else _READY
         wait_ms = round(self.parts.run.link.backlog_seconds() * _MS)
         log_event(
             _logger,
@@ -223,9 +228,9 @@
         )
 
 
-def _as_ms(seconds: float) -> int | None:
+def _to_ms(seconds: float) -> int | None:
     return None if math.isinf(seconds) else round(seconds * _MS)
 
 
-def _knows_enough(parts: RelayParts) -> bool:
+def _is_ready(parts: RelayParts) -> bool:
     return parts.view.current is not None and len(parts.places) > 0
--- a/tools/measure_links.py
+++ b/tools/measure_links.py
@@ -1,7 +1,7 @@
-"""Measure CPU per message and memory per member and link of the peers layer.
+"""Measure CPU per message and memory per member and link of ``peers``.
 
-Two routers in one process talk over loopback, so the CPU is that of both
-ends together. Prints one JSON line.
+Both ends of a link run in one process, so the CPU time is that of both ends
+together. Prints one JSON line.
 """
 
 import asyncio
@@ -30,33 +30,33 @@
 
 _MEMBERS = 910
 _LINKS = 100
-_TELLS = 20000
-_ASKS = 5000
+_ONE_WAY_MESSAGES = 20000
+_REQUESTS = 5000
 _BATCH = 500
-_MICRO = 1_000_000
+_MICROSECONDS = 1_000_000
 _NOTE = RunNote('team', 'key-1', 'f' * 64, 'a' * 32, '10.0.0.1:8080')
 
 
-class Counting:
-    """Takes messages and counts them."""
+class CountingHandlers:
+    """Message handlers that count messages."""
 
     def __init__(self):
         self.count = 0
-        self.batch = asyncio.Event()
+        self.batch_done = asyncio.Event()
 
     async def answer(self, _: Member, message: Message) -> Message:
-        """Answer an ask."""
+        """Answer a request."""
         return InFlight('engine-0', 1)
 
     async def take(self, _: Member, message: Message) -> None:
-        """Count a told message."""
+        """Count a one-way message."""
         self.count += 1
         if self.count % _BATCH == 0:
-            self.batch.set()
+            self.batch_done.set()
 
 
 def make_member(number: int, rng: random.Random) -> Member:
-    """Return a member with texts of its own."""
+    """Return a member that shares no strings with others."""
     return Member(
         incarnation=f'{rng.getrandbits(128):032x}',
         host=f'router-{number}',
@@ -67,7 +67,7 @@
 
 
 def measure_members() -> float:
-    """Return bytes per member of a list."""
+    """Return the bytes that a member takes in a membership list."""
     rng = random.Random(1)
     tracemalloc.start()
     membership = Membership(make_member(0, rng), SystemClock())
@@ -79,11 +79,11 @@
     return (after - before) / _MEMBERS
 
 
-def make_links(cfg: Settings, counting: Counting) -> tuple[Link, Link]:
-    """Return both ends of a link over loopback."""
+def make_links(cfg: Settings, handlers: CountingHandlers) -> tuple[Link, Link]:
+    """Return both ends of a link over a socket pair."""
     takers = Takers()
-    takers.on(InFlightAsk, counting.answer)
-    takers.on(RunNote, counting.take)
+    takers.on(InFlightAsk, handlers.answer)
+    takers.on(RunNote, handlers.take)
     context = LinkContext(
         cfg=cfg.peers,
         clock=SystemClock(),
@@ -99,11 +99,11 @@
 
 
 async def measure_link_memory(cfg: Settings) -> float:
-    """Return bytes per end of a running link."""
-    counting = Counting()
+    """Return the bytes that each end of a running link takes."""
+    handlers = CountingHandlers()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    pairs = [make_links(cfg, counting) for _ in range(_LINKS)]
+    pairs = [make_links(cfg, handlers) for _ in range(_LINKS)]
     tasks = [asyncio.create_task(link.run()) for pair in pairs for link in pair]
     await asyncio.sleep(cfg.peers.heartbeat)
     gc.collect()
@@ -116,34 +116,34 @@
 
 
 async def measure_messages(cfg: Settings) -> tuple[float, float]:
-    """Return CPU seconds per told message and per ask with its answer."""
-    counting = Counting()
-    near, far = make_links(cfg, counting)
+    """Return CPU seconds per one-way message and per request and answer."""
+    handlers = CountingHandlers()
+    near, far = make_links(cfg, handlers)
     tasks = [asyncio.create_task(link.run()) for link in (near, far)]
     started = time.process_time()
-    for _ in range(_TELLS // _BATCH):
+    for _ in range(_ONE_WAY_MESSAGES // _BATCH):
         for _ in range(_BATCH):
             near.tell(_NOTE)
-        await counting.batch.wait()
-        counting.batch.clear()
+        await handlers.batch_done.wait()
+        handlers.batch_done.clear()
     told = time.process_time()
-    for _ in range(_ASKS):
+    for _ in range(_REQUESTS):
         await near.ask(InFlightAsk('engine-0'))
     asked = time.process_time()
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
-    return (told - started) / _TELLS, (asked - told) / _ASKS
+    return (told - started) / _ONE_WAY_MESSAGES, (asked - told) / _REQUESTS
 
 
 async def run() -> dict[str, float]:
-    """Return all figures."""
+    """Run all measurements and return the report."""
     cfg = read_settings(None, ('host.zone=zone-a',))
     assert isinstance(cfg, Settings), cfg
     tell, ask = await measure_messages(cfg)
     return {
-        'cpu_us_per_told_message_both_ends': round(tell * _MICRO, 1),
-        'cpu_us_per_ask_and_answer_both_ends': round(ask * _MICRO, 1),
+        'cpu_us_per_told_message_both_ends': round(tell * _MICROSECONDS, 1),
+        'cpu_us_per_ask_and_answer_both_ends': round(ask * _MICROSECONDS, 1),
         'bytes_per_member': round(measure_members()),
         'bytes_per_link_end': round(await measure_link_memory(cfg)),
     }
--- a/tools/measure_tracing.py
+++ b/tools/measure_tracing.py
@@ -1,4 +1,4 @@
-"""Measure the CPU that the spans of one request take, by share traced."""
+"""Measure the CPU time of one request's spans, by share of traces kept."""
 
 import io
 import sys
@@ -17,19 +17,19 @@
 
 
 def measure(share: str) -> float:
-    """Return microseconds of CPU for the spans of one request."""
+    """Return the CPU time of the spans of one request in microseconds."""
     overrides = ('host.zone=zone-a', f'telemetry.trace_share={share}')
     cfg = read_settings(None, overrides)
     assert not isinstance(cfg, ConfigFault), cfg.reason
     tracing = Tracing(cfg, io.StringIO())
     began = time.process_time()
     for _ in range(_REQUESTS):
-        _follow(tracing)
+        _trace_request(tracing)
     used = time.process_time() - began
     return used / _REQUESTS * _MICROSECONDS
 
 
-def _follow(tracing: Tracing) -> None:
+def _trace_request(tracing: Tracing) -> None:
     span = tracing.start_span('caller', {}, method='POST', kind='engine')
     with hops.following(hops.Trail(span, tracing)):
         for name in _HOPS:
@@ -39,10 +39,10 @@
 
 
 def main() -> None:
-    """Print the least of some rounds for each share."""
+    """Print the minimum of several rounds for each share."""
     for share in _SHARES:
-        least = min(measure(share) for _ in range(_ROUNDS))
-        sys.stdout.write(f'{share}: {least:.0f} us a request\n')
+        minimum = min(measure(share) for _ in range(_ROUNDS))
+        sys.stdout.write(f'{share}: {minimum:.0f} us a request\n')
 
 
 if __name__ == '__main__':
