--- a/src/balsamreach/gateway/call_headers.py
+++ b/src/balsamreach/gateway/call_headers.py
@@ -69,5 +69,5 @@
 
 def _bad_header(name: str, expected: str) -> Refusal:
     return Refusal(
-        HTTPStatus.BAD_REQUEST, 'invalid_header', f'{name}: must be {expected}'
+        HTTPStatus.BAD_REQUEST, 'invalid_header', f'{name}: write {expected}'
     )
--- a/src/balsamreach/gateway/chat_request.py
+++ b/src/balsamreach/gateway/chat_request.py
@@ -128,7 +128,7 @@
 ) -> str | Refusal:
     model = body.get('model')
     if not isinstance(model, str) or not model:
-        return invalid_request('model must be a string')
+        return invalid_request('model must be a text')
     if model == ANY_MODEL:
         weights = team.models or dict.fromkeys(models, 1.0)
         # The share of a model that no target serves any more goes to the
@@ -188,7 +188,7 @@
 ) -> int | Refusal:
     number = body[name]
     if isinstance(number, bool) or not isinstance(number, int):
-        return invalid_request(f'{name} must be an integer')
+        return invalid_request(f'{name} must be a whole number')
     if not 1 <= number <= maximum:
         return invalid_request(f'{name} must be from 1 to {maximum}')
     return number
--- a/src/balsamreach/gateway/curl_handles.py
+++ b/src/balsamreach/gateway/curl_handles.py
@@ -100,5 +100,5 @@
     if end.code == SILENCE_CODE:
         return SILENT.because('no data within the gap timeout')
     return BROKEN.because(
-        transfer.abort_reason or end.message or 'incomplete head'
+        transfer.abort_reason or end.message or 'no whole head'
     )
--- a/src/balsamreach/gateway/operators_edits.py
+++ b/src/balsamreach/gateway/operators_edits.py
@@ -78,10 +78,10 @@
 
 def _metadata_error(edit: dict[str, Any]) -> str:
     if not isinstance(edit.get('edit_id', ''), str):
-        return 'edit_id: must be a string'
+        return 'edit_id: must be a text'
     author = edit.get('author', '')
     if not isinstance(author, str) or len(author) > _AUTHOR_LIMIT:
-        return 'author: must be a string of at most 64 characters'
+        return 'author: must be a text of at most 64 characters'
     return '' if author.isprintable() else 'author: must be printable'
 
 
@@ -98,7 +98,7 @@
     if 'top_up' in edit:
         top_up = edit['top_up']
         is_valid = _is_int(top_up) and 0 < top_up <= _MAX_TOP_UP
-        return '' if is_valid else 'top_up: must be an integer from 1 to 2**53'
+        return '' if is_valid else 'top_up: must be a whole number from 1 to 2**53'
     if not _is_int(edit.get('version')) or edit['version'] < -1:
         return 'version: must be the version you read, or 0 for a new row'
     return ''
--- a/src/balsamreach/gateway/prompts.py
+++ b/src/balsamreach/gateway/prompts.py
@@ -110,7 +110,7 @@
             prompt.add(_encode(field))
     content = message.get('content')
     if not isinstance(content, (str, list, type(None))):
-        return invalid_request('content must be a string or a list of parts')
+        return invalid_request('content must be a text or a list of parts')
     for part in _parts(content):
         refusal = _add_part(prompt, part)
         if refusal is not None:
@@ -135,10 +135,10 @@
         prompt.media += 1
         return None
     if kind not in TEXT_TYPES:
-        return invalid_request(f'parts of type {kind!r} are not supported')
+        return invalid_request(f'parts of type {kind!r} are not taken')
     text = part.get(kind)
     if not isinstance(text, str):
-        return invalid_request(f'a part of type {kind!r} must contain a string')
+        return invalid_request(f'a part of type {kind!r} must contain a text')
     prompt.add(text.encode('utf-8', 'surrogatepass'))
     return None
 
