--- a/bench/rates_net.py
+++ b/bench/rates_net.py
@@ -10,7 +10,7 @@
 from balsamreach.peers.neighbours import Rings
 from balsamreach.wire.base import Message
 from balsamreach.wire.codec import Envelope, decode, encode
-from balsamreach.wire.framing import HEAD
+from balsamreach.wire.framing import LENGTH_BYTES
 from balsamreach.wire.membership import Member
 from tools.measure_gossip import SetClock
 
@@ -80,7 +80,7 @@
         if self.decodes:
             packed = encode(Envelope(message))
             assert isinstance(packed, bytes), packed
-            self.octets[source.incarnation] += len(packed) + HEAD
+            self.octets[source.incarnation] += len(packed) + LENGTH_BYTES
             envelope = decode(packed)
             assert isinstance(envelope, Envelope), envelope
             message = envelope.message
--- a/bench/slopes_cpu.py
+++ b/bench/slopes_cpu.py
@@ -16,7 +16,7 @@
 from balsamreach.wire.base import Message
 from balsamreach.wire.bills import BillCopies, BillCopy
 from balsamreach.wire.codec import Envelope, decode, encode
-from balsamreach.wire.framing import HEAD
+from balsamreach.wire.framing import LENGTH_BYTES
 from balsamreach.wire.loads import TargetLoad, TargetLoads
 from balsamreach.wire.membership import Heartbeat
 from balsamreach.wire.rates import RateDemands, RatePart
@@ -86,7 +86,7 @@
     figures = {}
     for name, message in _samples().items():
         packed = encode(Envelope(message))
-        figures[f'{name}_bytes'] = len(packed) + HEAD
+        figures[f'{name}_bytes'] = len(packed) + LENGTH_BYTES
         encoding = partial(encode, Envelope(message))
         figures[f'{name}_encode_us'] = cpu_us_each(encoding, count)
         decoding = partial(decode, packed)
--- a/bench/table.py
+++ b/bench/table.py
@@ -68,7 +68,7 @@
     silent = Editor(spread.platform.table, SystemClock())
     by_log = await spread.edits(silent, edits)
     for node in spread.nodes[1:]:
-        node.way.table_cut = True
+        node.access.table_cut = True
     by_peer = await spread.edits(silent, edits // 2, pause=_SLOW_S)
     await spread.stop()
     return {
--- a/bench/table_spread.py
+++ b/bench/table_spread.py
@@ -23,7 +23,7 @@
 from balsamreach.telemetry.metrics import Metrics
 from balsamreach.telemetry.traces import Tracing
 from balsamreach.wire.membership import Member
-from tests.table_fleet import OwnWay
+from tests.table_fleet import PlatformAccess
 
 ROUTERS = 30
 _ZONES = 10
@@ -37,7 +37,7 @@
 
     net: TcpPeerNet
     parts: TableParts
-    way: OwnWay
+    access: PlatformAccess
     metrics: Metrics
     seen: dict[str, float] = attrs.field(factory=dict)
     task: asyncio.Task | None = None
@@ -142,17 +142,17 @@
         discovery=Discovery(platform.hosts, tuple(seeds)),
         tracing=Tracing(cfg),
     )
-    way = OwnWay(platform)
+    access = PlatformAccess(platform)
     parts = make_table_parts(
         TableNeeds(
             cfg=cfg,
-            service=way,
-            objects=way,
+            service=access,
+            objects=access,
             net=net,
             clock=clock,
             rng=rng,
             metrics=metrics,
         ),
     )
-    net.greeter.table_version = parts.follower.announced
-    return Node(net, parts, way, metrics)
+    net.greeter.table_version = parts.follower.heartbeat_version
+    return Node(net, parts, access, metrics)
--- a/src/balsamreach/daemon/parts.py
+++ b/src/balsamreach/daemon/parts.py
@@ -139,7 +139,7 @@
             metrics=net.metrics,
         ),
     )
-    net.greeter.table_version = table.follower.announced
+    net.greeter.table_version = table.follower.heartbeat_version
     return table
 
 
--- a/src/balsamreach/gateway/operators_base.py
+++ b/src/balsamreach/gateway/operators_base.py
@@ -25,7 +25,7 @@
     faults.BELOW_TAKEN: 409,
     faults.ID_TAKEN: 409,
     faults.NO_ROW: 404,
-    faults.TABLE_AWAY: 503,
+    faults.TABLE_UNAVAILABLE: 503,
     faults.EDIT_UNKNOWN: 504,
 }
 _RETRY_AFTER_S = '1'
@@ -80,7 +80,7 @@
         """Answer with an error of the table layer."""
         status = STATUS_OF_FAULT[fault]
         self.set_status(status)
-        if fault == faults.TABLE_AWAY:
+        if fault == faults.TABLE_UNAVAILABLE:
             self.set_header('Retry-After', _RETRY_AFTER_S)
         self.finish(describe_fault(fault))
 
--- a/src/balsamreach/gateway/operators_budgets.py
+++ b/src/balsamreach/gateway/operators_budgets.py
@@ -17,7 +17,7 @@
         """Show what is prepaid, spent and held."""
         read = await self.context.service.read((account_key(team),))
         if isinstance(read, PlatformFault):
-            self.refuse_fault(faults.TABLE_AWAY.because(read.code))
+            self.refuse_fault(faults.TABLE_UNAVAILABLE.because(read.code))
             return
         if read[0].value is None:
             self.refuse_fault(faults.NO_ROW.because(f'no account of {team}'))
--- a/src/balsamreach/gateway/operators_lowering.py
+++ b/src/balsamreach/gateway/operators_lowering.py
@@ -35,7 +35,7 @@
     again = await context.editor.apply(edit)
     if again != faults.BELOW_TAKEN:
         return again
-    return again.because(_explain(team, out)).against(again.row)
+    return again.because(_explain(team, out)).with_row(again.row)
 
 
 def _explain(team: str, out: Outstanding) -> str:
--- a/src/balsamreach/gateway/operators_table.py
+++ b/src/balsamreach/gateway/operators_table.py
@@ -15,7 +15,7 @@
 from balsamreach.services.base import Scan
 from balsamreach.services.faults import PlatformFault
 from balsamreach.table import faults
-from balsamreach.table.editor import LARGEST_BATCH
+from balsamreach.table.editor import MAX_BATCH_EDITS
 from balsamreach.table.edits import Accepted
 from balsamreach.table.faults import TableFault
 from balsamreach.table.history import read_history
@@ -41,7 +41,7 @@
             ),
         )
         if isinstance(page, PlatformFault):
-            self.refuse_fault(faults.TABLE_AWAY.because(page.code))
+            self.refuse_fault(faults.TABLE_UNAVAILABLE.because(page.code))
             return
         rows = [shown(attrs.asdict(row)) for row in page.rows]
         self.finish({'rows': rows, 'more': page.more})
@@ -54,7 +54,7 @@
         """Show a row as committed."""
         read = await self.context.service.read((full_key(kind, name),))
         if isinstance(read, PlatformFault):
-            self.refuse_fault(faults.TABLE_AWAY.because(read.code))
+            self.refuse_fault(faults.TABLE_UNAVAILABLE.because(read.code))
         elif read[0].value is None:
             self.refuse_fault(faults.NO_ROW.because(f'no {kind} {name}'))
         else:
@@ -97,14 +97,14 @@
             self.refuse(
                 HTTPStatus.BAD_REQUEST,
                 'invalid_keys',
-                f'keys: must be a list of 1 to {LARGEST_BATCH} texts',
+                f'keys: must be a list of 1 to {MAX_BATCH_EDITS} texts',
             )
             return
         read = await self.context.service.read(
             tuple(TABLE_PREFIX + key for key in keys),
         )
         if isinstance(read, PlatformFault):
-            self.refuse_fault(faults.TABLE_AWAY.because(read.code))
+            self.refuse_fault(faults.TABLE_UNAVAILABLE.because(read.code))
             return
         self.finish({'rows': [shown(attrs.asdict(row)) for row in read]})
 
@@ -166,14 +166,14 @@
 
 
 def _is_key_list(keys: object) -> bool:
-    if not isinstance(keys, list) or not 0 < len(keys) <= LARGEST_BATCH:
+    if not isinstance(keys, list) or not 0 < len(keys) <= MAX_BATCH_EDITS:
         return False
     return all(isinstance(key, str) for key in keys)
 
 
 def _flaw_in_batch(sent: object) -> str:
-    if not isinstance(sent, list) or not 0 < len(sent) <= LARGEST_BATCH:
-        return f'edits: must be a list of 1 to {LARGEST_BATCH} edits'
+    if not isinstance(sent, list) or not 0 < len(sent) <= MAX_BATCH_EDITS:
+        return f'edits: must be a list of 1 to {MAX_BATCH_EDITS} edits'
     if not all(isinstance(edit, dict) and 'key' in edit for edit in sent):
         return 'edits: each must be a JSON object with a key'
     for name in ('key', 'edit_id'):
--- a/src/balsamreach/gateway/service_handler.py
+++ b/src/balsamreach/gateway/service_handler.py
@@ -38,7 +38,7 @@
             return team
         workers = [
             row
-            for row in self.context.view.workers_of(service)
+            for row in self.context.view.targets_of_service(service)
             if row.kind == PLAIN_SERVICE
         ]
         if not workers:
--- a/src/balsamreach/peers/connector.py
+++ b/src/balsamreach/peers/connector.py
@@ -20,13 +20,13 @@
 from balsamreach.peers.timeouts import run_with_timeout
 from balsamreach.peers.tls import TlsContexts
 from balsamreach.telemetry.logs import log_event
-from balsamreach.wire.codec import MOST_BYTES
+from balsamreach.wire.codec import MAX_MESSAGE_BYTES
 from balsamreach.wire.faults import WireFault
-from balsamreach.wire.framing import HEAD, read_frame
+from balsamreach.wire.framing import LENGTH_BYTES, read_frame
 from balsamreach.wire.membership import Hello
 
 _logger = logging.getLogger(__name__)
-_MAX_BUFFER = MOST_BYTES + HEAD
+_MAX_BUFFER = MAX_MESSAGE_BYTES + LENGTH_BYTES
 
 
 @attrs.define(eq=False)
@@ -101,7 +101,7 @@
         # and gives up. A link made from it would keep the peer alive here, and
         # requests to it would time out. A peer that got the answer sends a
         # heartbeat, so wait for that.
-        first_frame = await read_frame(stream, MOST_BYTES)
+        first_frame = await read_frame(stream, MAX_MESSAGE_BYTES)
         if isinstance(first_frame, WireFault):
             return Refusal(
                 'no_greeting', f'handshake not confirmed: {first_frame.reason}'
--- a/src/balsamreach/peers/link.py
+++ b/src/balsamreach/peers/link.py
@@ -25,7 +25,7 @@
 from balsamreach.telemetry import hops
 from balsamreach.telemetry.traces import Tracing
 from balsamreach.wire.base import Message
-from balsamreach.wire.codec import MOST_BYTES, Envelope, decode, encode
+from balsamreach.wire.codec import MAX_MESSAGE_BYTES, Envelope, decode, encode
 from balsamreach.wire.faults import CLOSED, UNKNOWN_KIND, WireFault
 from balsamreach.wire.framing import FrameReader, frame, write
 from balsamreach.wire.membership import Heartbeat, Member
@@ -217,7 +217,7 @@
         # whole, the message would end the link each time, be sent again on the
         # next one, and never arrive.
         frames = FrameReader(
-            self.stream, MOST_BYTES, progress=self._note_received
+            self.stream, MAX_MESSAGE_BYTES, progress=self._note_received
         )
         packed = self.first_frame or await frames.next()
         while not isinstance(packed, WireFault):
--- a/src/balsamreach/peers/listener.py
+++ b/src/balsamreach/peers/listener.py
@@ -8,8 +8,8 @@
 
 from balsamreach.config.settings import Settings
 from balsamreach.peers.link_manager import LinkManager
-from balsamreach.wire.codec import MOST_BYTES
-from balsamreach.wire.framing import HEAD
+from balsamreach.wire.codec import MAX_MESSAGE_BYTES
+from balsamreach.wire.framing import LENGTH_BYTES
 
 #: Maximum number of links; further connections are closed.
 MAX_LINKS = 1000
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, link_manager: LinkManager):
-        super().__init__(max_buffer_size=MOST_BYTES + HEAD)
+        super().__init__(max_buffer_size=MAX_MESSAGE_BYTES + LENGTH_BYTES)
         self._link_manager = link_manager
 
     def open(self, cfg: Settings) -> str:
--- a/src/balsamreach/platform/boot.py
+++ b/src/balsamreach/platform/platform_settings.py
@@ -67,7 +67,9 @@
 _STORE_ADDRESS = 'platform.address'
 
 
-def read_boot(path: str | None = None) -> tuple[str, ...] | ConfigFault:
+def read_platform_settings(
+    path: str | None = None,
+) -> tuple[str, ...] | ConfigFault:
     """Read the platform's settings file as overrides of our settings.
 
     Parameters
--- a/src/balsamreach/table/editor.py
+++ b/src/balsamreach/table/editor.py
@@ -24,13 +24,13 @@
 from balsamreach.table.faults import (
     BAD_ROW,
     EDIT_UNKNOWN,
-    TABLE_AWAY,
+    TABLE_UNAVAILABLE,
     TableFault,
 )
 from balsamreach.telemetry.metrics import Metrics
 
 #: Maximum number of edits in one call.
-LARGEST_BATCH = 100
+MAX_BATCH_EDITS = 100
 _COMMIT_ATTEMPTS = 16
 #: A batch that still conflicts after this many retries is split in halves.
 _RETRIES_BEFORE_SPLIT = 2
@@ -115,7 +115,7 @@
         Parameters
         ----------
         edits : tuple of Edit
-            At most ``LARGEST_BATCH`` edits with distinct ids and rows.
+            At most ``MAX_BATCH_EDITS`` edits with distinct ids and rows.
 
         Returns
         -------
@@ -149,7 +149,7 @@
                 return
             await self._back_off(attempt)
         batch.fail(
-            TABLE_AWAY.because('other edits keep changing the same rows')
+            TABLE_UNAVAILABLE.because('other edits keep changing the same rows')
         )
 
     async def _apply_halves(self, batch: _Batch) -> None:
@@ -167,7 +167,7 @@
         keys = tuple(key for edit in pending for key in edit.row_keys())
         read = await self.service.read(keys)
         if isinstance(read, PlatformFault):
-            batch.fail(TABLE_AWAY.because(f'table service: {read.code}'))
+            batch.fail(TABLE_UNAVAILABLE.because(f'table service: {read.code}'))
             return {}
         plans: dict[str, EditPlan] = {}
         for edit, *stored in zip(
@@ -246,4 +246,4 @@
         return BAD_ROW.because(
             'the table service rejects the edit as malformed'
         )
-    return TABLE_AWAY.because(f'table service: {fault.code}')
+    return TABLE_UNAVAILABLE.because(f'table service: {fault.code}')
--- a/src/balsamreach/table/edits.py
+++ b/src/balsamreach/table/edits.py
@@ -138,7 +138,7 @@
     if edit.version not in {ANY_VERSION, expected_version(row)}:
         return STALE_EDIT.because(
             f'{edit.key} is at version {expected_version(row)}',
-        ).against(row)
+        ).with_row(row)
     after = _merge(edit, row)
     if isinstance(after, TableFault):
         return after
@@ -217,14 +217,14 @@
     if current and edit.version == ANY_VERSION and not edit.top_up:
         return STALE_EDIT.because(
             'prepaid: name the version you saw, or use a top-up',
-        ).against(stored.row)
+        ).with_row(stored.row)
     # Routers may have spent the tokens they hold without having reported it
     # yet, so spending could exceed a budget below ``taken``.
     if team.prepaid < account.taken:
         return BELOW_TAKEN.because(
             f'{account.taken} tokens of {team.name} are spent or held by '
             'routers; lower it by an edit of its own, which recalls them',
-        ).against(stored.row)
+        ).with_row(stored.row)
     new_account = attrs.evolve(account, prepaid=team.prepaid)
     return (Write(stored.account.key, encode_record(new_account)),)
 
--- a/src/balsamreach/table/faults.py
+++ b/src/balsamreach/table/faults.py
@@ -20,7 +20,7 @@
 
     row: Row | None = attrs.field(default=None, eq=False)
 
-    def against(self, row: Row) -> Self:
+    def with_row(self, row: Row) -> Self:
         """Return the same fault with the current row."""
         return attrs.evolve(self, row=row)
 
@@ -34,7 +34,7 @@
 #: The row does not exist.
 NO_ROW = TableFault('no_row')
 #: The table service is unreachable or refuses requests.
-TABLE_AWAY = TableFault('table_away')
+TABLE_UNAVAILABLE = TableFault('table_away')
 #: No answer came, so the edit may or may not have been committed.
 EDIT_UNKNOWN = TableFault('edit_unknown')
 #: The edit id was used before for another edit.
--- a/src/balsamreach/table/follower.py
+++ b/src/balsamreach/table/follower.py
@@ -88,7 +88,7 @@
         )
         return self.confirmed_age is not None and self.confirmed_age <= max_age
 
-    def announced(self) -> int:
+    def heartbeat_version(self) -> int:
         """Return the version for heartbeats, 0 while it is incomplete."""
         return self.view.version if self.view.complete else 0
 
--- a/src/balsamreach/table/history.py
+++ b/src/balsamreach/table/history.py
@@ -5,7 +5,7 @@
 import attrs
 
 from balsamreach.services.base import Page, Scan, TableService
-from balsamreach.table.faults import TABLE_AWAY, TableFault
+from balsamreach.table.faults import TABLE_UNAVAILABLE, TableFault
 from balsamreach.table.rows import TABLE_PREFIX
 
 EDIT_PREFIX = 'edit/'
@@ -72,14 +72,14 @@
     Returns
     -------
     HistoryPage or TableFault
-        The page, or TABLE_AWAY.
+        The page, or TABLE_UNAVAILABLE.
     """
     prefix = _prefix(key)
     start = prefix + after if after else ''
     count = min(max(limit, 1), MAX_PAGE_ENTRIES)
     page = await service.scan(Scan(prefix, after=start, limit=count))
     if not isinstance(page, Page):
-        return TABLE_AWAY.because(f'table service: {page.code}')
+        return TABLE_UNAVAILABLE.because(f'table service: {page.code}')
     entries = tuple(
         {'version': row.version, **(row.value or {})} for row in page.rows
     )
--- a/src/balsamreach/table/pruning.py
+++ b/src/balsamreach/table/pruning.py
@@ -15,7 +15,7 @@
     Write,
 )
 from balsamreach.services.faults import PlatformFault
-from balsamreach.table.faults import TABLE_AWAY, TableFault
+from balsamreach.table.faults import TABLE_UNAVAILABLE, TableFault
 from balsamreach.table.history import EDIT_PREFIX, HISTORY_PREFIX
 from balsamreach.telemetry.metrics import Metrics
 
@@ -75,7 +75,7 @@
         Returns
         -------
         int or TableFault
-            Number of deleted records, or TABLE_AWAY.
+            Number of deleted records, or TABLE_UNAVAILABLE.
         """
         read = await self.service.read((PRUNING_KEY,))
         if isinstance(read, PlatformFault):
@@ -159,4 +159,4 @@
 
 
 def _table_away(fault: PlatformFault) -> TableFault:
-    return TABLE_AWAY.because(f'table service: {fault.code}')
+    return TABLE_UNAVAILABLE.because(f'table service: {fault.code}')
--- a/src/balsamreach/table/reader.py
+++ b/src/balsamreach/table/reader.py
@@ -8,7 +8,7 @@
 from balsamreach.clock import Clock
 from balsamreach.services.base import Page, Row, Scan, TableService
 from balsamreach.services.faults import PlatformFault
-from balsamreach.table.faults import TABLE_AWAY, TableFault
+from balsamreach.table.faults import TABLE_UNAVAILABLE, TableFault
 from balsamreach.table.rows import TABLE_PREFIX
 from balsamreach.table.view import TableView
 
@@ -55,8 +55,8 @@
         Returns
         -------
         tuple of Row or TableFault
-            The rows that were new, or TABLE_AWAY; rows read before the fault
-            stay applied.
+            The rows that were new, or TABLE_UNAVAILABLE; rows read before the
+            fault stay applied.
         """
         if self.view.version == 0 and self._log_position == 0:
             return await self._read_all()
@@ -136,5 +136,5 @@
     async def _scan(self, scan: Scan) -> Page | TableFault:
         page = await self.service.scan(scan)
         if isinstance(page, PlatformFault):
-            return TABLE_AWAY.because(page.reason or page.code)
+            return TABLE_UNAVAILABLE.because(page.reason or page.code)
         return page
--- a/src/balsamreach/table/snapshots.py
+++ b/src/balsamreach/table/snapshots.py
@@ -7,7 +7,7 @@
 from balsamreach.clock import Clock
 from balsamreach.services.base import ObjectStore
 from balsamreach.services.faults import PlatformFault
-from balsamreach.table.faults import BAD_SNAPSHOT, TABLE_AWAY, TableFault
+from balsamreach.table.faults import BAD_SNAPSHOT, TABLE_UNAVAILABLE, TableFault
 from balsamreach.table.snapshot_format import (
     SnapshotBuilder,
     read_header,
@@ -53,7 +53,7 @@
         """
         names = await self.objects.names(SNAPSHOT_PREFIX)
         if isinstance(names, PlatformFault):
-            return TABLE_AWAY.because(f'object store: {names.code}')
+            return TABLE_UNAVAILABLE.because(f'object store: {names.code}')
         for name in reversed(names):
             loaded = await self._load_one(name, view)
             if not isinstance(loaded, TableFault):
@@ -75,7 +75,7 @@
         """
         names = await self.objects.names(SNAPSHOT_PREFIX)
         if isinstance(names, PlatformFault):
-            return TABLE_AWAY.because(f'object store: {names.code}')
+            return TABLE_UNAVAILABLE.because(f'object store: {names.code}')
         changed = (
             view.versions.count_since(_parse_version(names[-1])) if names else 0
         )
@@ -84,7 +84,7 @@
         name = f'{SNAPSHOT_PREFIX}{view.version:020d}'
         fault = await self.objects.put(name, await self._build(view))
         if fault is not None:
-            return TABLE_AWAY.because(f'object store: {fault.code}')
+            return TABLE_UNAVAILABLE.because(f'object store: {fault.code}')
         self.metrics.count('balsamreach_table_snapshots_written_total')
         for old in names[: 1 - _MAX_SNAPSHOTS]:
             await self.objects.delete(old)
@@ -107,7 +107,7 @@
     async def _load_one(self, name: str, view: TableView) -> int | TableFault:
         body = await self.objects.get(name)
         if isinstance(body, PlatformFault):
-            return TABLE_AWAY.because(f'object store: {body.code}')
+            return TABLE_UNAVAILABLE.because(f'object store: {body.code}')
         header = read_header(body)
         if isinstance(header, TableFault):
             return header
--- a/src/balsamreach/table/view.py
+++ b/src/balsamreach/table/view.py
@@ -131,7 +131,7 @@
         """Yield the engines that serve a model."""
         yield from self._indexes.targets.by_model.get(model, {}).values()
 
-    def workers_of(self, service: str) -> Iterator[TargetRow]:
+    def targets_of_service(self, service: str) -> Iterator[TargetRow]:
         """Yield the targets of one service."""
         yield from self._indexes.targets.by_service.get(service, {}).values()
 
--- a/src/balsamreach/ui/relay.py
+++ b/src/balsamreach/ui/relay.py
@@ -7,7 +7,7 @@
 from balsamreach.config.faults import ConfigFault
 from balsamreach.config.reader import check_ports
 from balsamreach.daemon.run import Role, run_until_stopped
-from balsamreach.platform.boot import read_boot
+from balsamreach.platform.platform_settings import read_platform_settings
 from balsamreach.platform.router import make_router
 from balsamreach.telemetry.log_queue import queue_logging
 from balsamreach.ui.errors import settings_error
@@ -25,7 +25,7 @@
     The platform's settings file is named by the environment; see
     docs/operators/platform.md.
     """
-    given = read_boot()
+    given = read_platform_settings()
     if isinstance(given, ConfigFault):
         raise settings_error(given)
     cfg = load_settings(path, (*given, *overrides))
--- a/src/balsamreach/wire/codec.py
+++ b/src/balsamreach/wire/codec.py
@@ -19,13 +19,13 @@
 from balsamreach.wire.schema import load_schema
 
 #: Most bytes of one message, packed or not.
-MOST_BYTES = 1024 * 1024
+MAX_MESSAGE_BYTES = 1024 * 1024
 
 _WORD = 8
 # A reader counts a word again each time a pointer leads to it, and one word
 # for each empty element of a list; so bytes that claim huge or cyclic lists
 # end in an error, not in a full memory.
-_MOST_WORDS = 2 * MOST_BYTES // _WORD
+_MOST_WORDS = 2 * MAX_MESSAGE_BYTES // _WORD
 _MOST_NESTING = 8
 # The first packed byte tells which bytes of the first word aren't zero, and
 # the word's first four bytes hold the number of segments less one.
@@ -99,7 +99,7 @@
         packed = _pack_in_one_segment(envelope)
     except _ENCODE_ERRORS as exc:
         return MALFORMED.because(_first_line(exc))
-    if len(packed) > MOST_BYTES:
+    if len(packed) > MAX_MESSAGE_BYTES:
         size = len(packed)
         return TOO_LARGE.because(f'message of {size} bytes')
     return packed
@@ -118,7 +118,7 @@
     Envelope or WireFault
         The message, or MALFORMED, UNKNOWN_KIND or TOO_LARGE.
     """
-    if len(packed) > MOST_BYTES:
+    if len(packed) > MAX_MESSAGE_BYTES:
         size = len(packed)
         return TOO_LARGE.because(f'message of {size} bytes')
     if not packed or _has_segments(packed):
--- a/src/balsamreach/wire/framing.py
+++ b/src/balsamreach/wire/framing.py
@@ -8,14 +8,14 @@
 from balsamreach.wire.faults import CLOSED, TOO_LARGE, WireFault
 
 #: Bytes of the length before each frame.
-HEAD = 4
+LENGTH_BYTES = 4
 #: Most bytes that are taken from a connection at once.
 _MOST_READ = 64 * 1024
 
 
 def frame(packed: bytes) -> bytes:
     """Return the bytes with their length before them."""
-    return len(packed).to_bytes(HEAD) + packed
+    return len(packed).to_bytes(LENGTH_BYTES) + packed
 
 
 async def read_frame(stream: IOStream, limit: int) -> bytes | WireFault:
@@ -34,7 +34,7 @@
         What the frame holds; TOO_LARGE before any of it is read, after
         which the connection can only be closed, or CLOSED.
     """
-    head = await _read(stream, HEAD)
+    head = await _read(stream, LENGTH_BYTES)
     if isinstance(head, WireFault):
         return head
     size = int.from_bytes(head)
@@ -83,17 +83,17 @@
                 self.progress()
 
     def _cut(self) -> bytes | WireFault | None:
-        if len(self._arrived) < HEAD:
+        if len(self._arrived) < LENGTH_BYTES:
             return None
-        size = int.from_bytes(self._arrived[:HEAD])
+        size = int.from_bytes(self._arrived[:LENGTH_BYTES])
         if size > self.limit:
             return TOO_LARGE.because(
                 f'frame of {size} bytes, {self.limit} are taken',
             )
-        end = HEAD + size
+        end = LENGTH_BYTES + size
         if len(self._arrived) < end:
             return None
-        packed = bytes(self._arrived[HEAD:end])
+        packed = bytes(self._arrived[LENGTH_BYTES:end])
         del self._arrived[:end]
         return packed
 
--- a/tests/passing_table.py
+++ b/tests/forwarding_table.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define(eq=False)
-class PassingTable(TableService):
+class ForwardingTable(TableService):
     """Forwards every call; subclasses delay, refuse or lose some.
 
     Parameters
--- a/tests/operators_server.py
+++ b/tests/operators_server.py
@@ -14,7 +14,7 @@
 from balsamreach.config.reader import read_settings
 from balsamreach.gateway.operators import OperatorContext, make_operators_app
 from balsamreach.table.view import hash_key
-from tests.table_fleet import Station, TableFleet
+from tests.table_fleet import RouterNode, TableFleet
 
 KEY = 'operator-secret'
 
@@ -28,7 +28,7 @@
     loop: asyncio.AbstractEventLoop = attrs.field(
         factory=asyncio.new_event_loop,
     )
-    station: Station = attrs.field(init=False)
+    node: RouterNode = attrs.field(init=False)
     url: str = ''
     _thread: threading.Thread = attrs.field(init=False)
 
@@ -46,24 +46,24 @@
 
     def step(self) -> None:
         """Let the router read the table once."""
-        self._wait_for(self.station.step())
+        self._wait_for(self.node.step())
 
     def cut(self, *, cut: bool) -> None:
         """Cut the router off from the platform, or join it again."""
-        self.station.way.cut = cut
+        self.node.access.cut = cut
 
     def _wait_for(self, work: Coroutine[Any, Any, None]) -> None:
         asyncio.run_coroutine_threadsafe(work, self.loop).result()
 
     async def _open(self) -> None:
-        self.station = self.fleet.join('a')
-        await self.station.step()
-        parts = self.station.parts
+        self.node = self.fleet.join('a')
+        await self.node.step()
+        parts = self.node.parts
         overrides = ('host.zone=zone-a', f'operators.keys={hash_key(KEY)}')
         context = OperatorContext(
             cfg=read_settings(None, overrides),
             view=parts.view,
-            service=self.station.way,
+            service=self.node.access,
             editor=parts.editor,
             budgets=mock.Mock(ledgers={}),
             status=parts.status,
--- a/tests/power_world.py
+++ b/tests/power_world.py
@@ -18,7 +18,7 @@
 from balsamreach.telemetry.metrics import Metrics
 from tests.fake_net import FakeNet
 from tests.fake_targets import FakeHost, FakeTargets, VirtualClock, settle
-from tests.passing_table import PassingTable
+from tests.forwarding_table import ForwardingTable
 
 SERVICE = 'llm'
 ZONE = 'zone-a'
@@ -47,7 +47,7 @@
 
 
 @attrs.define(eq=False)
-class GatedTable(PassingTable):
+class GatedTable(ForwardingTable):
     """Table service as seen by one router, with gates around commits."""
 
     before: Gate = attrs.field(factory=Gate)
--- a/tests/table_fleet.py
+++ b/tests/table_fleet.py
@@ -50,7 +50,7 @@
 
 
 @attrs.define
-class OwnWay(TableService, ObjectStore):
+class PlatformAccess(TableService, ObjectStore):
     """One router's access to the platform, which tests can cut.
 
     ``after_scan`` is called once, after the next page of a scan.
@@ -120,12 +120,12 @@
 
 
 @attrs.define
-class Station:
+class RouterNode:
     """One router: its table components, network and access to the platform."""
 
     net: FakePeerNet
     parts: TableParts
-    way: OwnWay
+    access: PlatformAccess
     metrics: Metrics
 
     @property
@@ -152,24 +152,24 @@
     """Routers on one platform, each of which can be cut off from it."""
 
     clock: ManualClock = attrs.field(factory=ManualClock)
-    fabric: FakeNet = attrs.field(factory=FakeNet)
-    stations: list[Station] = attrs.field(factory=list)
+    network: FakeNet = attrs.field(factory=FakeNet)
+    nodes: list[RouterNode] = attrs.field(factory=list)
     platform: MemoryPlatform = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Start the platform."""
         self.platform = MemoryPlatform.start(self.clock)
 
-    def join(self, incarnation: str, zone: str = 'zone-a') -> Station:
+    def join(self, incarnation: str, zone: str = 'zone-a') -> RouterNode:
         """Add a router."""
-        net = self.fabric.join(incarnation, zone)
-        way = OwnWay(self.platform)
+        net = self.network.join(incarnation, zone)
+        access = PlatformAccess(self.platform)
         metrics = Metrics()
         parts = make_table_parts(
             TableNeeds(
                 cfg=read_settings(None, ('host.zone=zone-a',)),
-                service=way,
-                objects=way,
+                service=access,
+                objects=access,
                 net=net,
                 clock=self.clock,
                 rng=random.Random(incarnation),
@@ -178,27 +178,27 @@
         )
         parts.follower.start()
         parts.status.start()
-        station = Station(net, parts, way, metrics)
-        self.stations.append(station)
-        return station
+        node = RouterNode(net, parts, access, metrics)
+        self.nodes.append(node)
+        return node
 
-    async def start_routers(self, *incarnations: str) -> list[Station]:
+    async def start_routers(self, *incarnations: str) -> list[RouterNode]:
         """Add routers, let each poll once and return them."""
         joined = [self.join(name) for name in incarnations]
-        for station in joined:
-            await station.step()
+        for node in joined:
+            await node.step()
         return joined
 
     async def settle(self) -> None:
         """Deliver all messages and wait for all fetches."""
         for _ in range(_SETTLE_ROUNDS):
-            await self.fabric.settle()
-            for station in self.stations:
-                tasks = station.parts.follower.exchange.tasks
+            await self.network.settle()
+            for node in self.nodes:
+                tasks = node.parts.follower.exchange.tasks
                 await asyncio.gather(*tasks)
 
     async def send_heartbeats(self) -> None:
         """Let every router send a heartbeat with its version to the others."""
-        for station in self.stations:
-            station.net.spread(Heartbeat(station.view.version))
+        for node in self.nodes:
+            node.net.spread(Heartbeat(node.view.version))
         await self.settle()
--- a/tests/test_dispatch_histories.py
+++ b/tests/test_dispatch_histories.py
@@ -22,7 +22,7 @@
 from tests import fake_upstream
 from tests.fake_net import FakeNet
 from tests.fake_upstream import FakeUpstream, cut, pause
-from tests.passing_table import PassingTable
+from tests.forwarding_table import ForwardingTable
 from tests.small_router import (
     Caller,
     QuickClock,
@@ -93,7 +93,7 @@
 )
 
 
-class _YieldingTable(PassingTable):
+class _YieldingTable(ForwardingTable):
     """A table service that yields before and after each call."""
 
     async def commit(self, change):
--- a/tests/test_dispatch_several_routers.py
+++ b/tests/test_dispatch_several_routers.py
@@ -14,7 +14,7 @@
 from tests import fake_upstream
 from tests.fake_net import FakeNet
 from tests.fake_upstream import FakeUpstream
-from tests.passing_table import PassingTable
+from tests.forwarding_table import ForwardingTable
 from tests.small_router import (
     Caller,
     QuickClock,
@@ -95,7 +95,7 @@
 
 
 @attrs.frozen
-class _PausedTable(PassingTable):
+class _PausedTable(ForwardingTable):
     """Delays the result of making a claim until `wake` is set."""
 
     claimed: asyncio.Event = attrs.field(factory=asyncio.Event)
--- a/tests/test_gateway_operators.py
+++ b/tests/test_gateway_operators.py
@@ -39,9 +39,9 @@
 
     def get_app(self):
         self.fleet = TableFleet()
-        self.station = self.fleet.join('a')
+        self.node = self.fleet.join('a')
         keys = f'{hash_key(_OPERATOR)} {hash_key(_TEAM)}'
-        parts = self.station.parts
+        parts = self.node.parts
         return make_operators_app(
             OperatorContext(
                 cfg=read_settings(
@@ -49,7 +49,7 @@
                     ('host.zone=zone-a', f'operators.keys={keys}'),
                 ),
                 view=parts.view,
-                service=self.station.way,
+                service=self.node.access,
                 editor=parts.editor,
                 budgets=mock.Mock(ledgers={}),
                 status=parts.status,
@@ -58,7 +58,7 @@
 
     def setUp(self):
         super().setUp()
-        self.io_loop.run_sync(self.station.step)
+        self.io_loop.run_sync(self.node.step)
         made = _NEW['fields'] | {'key_hashes': [hash_key(_TEAM)]}
         self.made = self.send('PATCH', _ROW, _NEW | {'fields': made}).body
 
@@ -100,7 +100,7 @@
         answer = self.send(method, path, body, secret)
         self.assertEqual(answer.status, 401)
         self.assertEqual(answer.body['error']['code'], 'wrong_operator_key')
-        self.assertEqual(self.station.team().weight, 1)
+        self.assertEqual(self.node.team().weight, 1)
 
 
 class BadEditTest(OperatorsTest):
@@ -192,7 +192,7 @@
 
     def test_accepted_edit_is_in_force_at_once(self):
         self.send('PATCH', _ROW, _edit())
-        self.assertEqual(self.station.team().weight, 2)
+        self.assertEqual(self.node.team().weight, 2)
 
     def test_loser_of_a_race_gets_the_current_row(self):
         """Two operators save the same row.
@@ -207,7 +207,7 @@
         self.assertEqual(answer.status, 409)
         self.assertEqual(answer.body['row']['value']['weight'], 2)
         self.assertGreater(answer.body['row']['version'], seen)
-        counted = self.station.metrics.counted
+        counted = self.node.metrics.counted
         name = 'balsamreach_table_edits_total'
         self.assertEqual(counted(name, outcome='accepted'), 2)
         self.assertEqual(counted(name, outcome='stale_edit'), 1)
@@ -252,7 +252,7 @@
         self.assertEqual(codes, [None, 'stale_edit', 'bad_row', 'no_row'])
 
     def test_platform_away(self):
-        self.station.way.cut = True
+        self.node.access.cut = True
         answer = self.send('PATCH', _ROW, _edit())
         self.assertEqual(answer.status, 503)
         self.assertEqual(answer.body['error']['code'], 'table_away')
@@ -272,12 +272,12 @@
         others = {name: self.fleet.join(name) for name in 'bcd'}
         self.io_loop.run_sync(others['b'].step)
         self.io_loop.run_sync(others['d'].step)
-        self.fleet.fabric.cut('ad', 'b')
+        self.fleet.network.cut('ad', 'b')
         self.fleet.clock.seconds = 100
         self.send('PATCH', _ROW, _edit())
-        self.io_loop.run_sync(self.station.step)
-        self.fleet.fabric.heal()
-        self.fleet.fabric.cut('a', 'd')
+        self.io_loop.run_sync(self.node.step)
+        self.fleet.network.heal()
+        self.fleet.network.cut('a', 'd')
         status = self.send('GET', '/status').body
         routers = {
             router['incarnation']: router for router in status['routers']
--- a/tests/test_peers_link.py
+++ b/tests/test_peers_link.py
@@ -23,7 +23,7 @@
 from balsamreach.peers.takers import Takers
 from balsamreach.peers.tally import Tally
 from balsamreach.telemetry.metrics import Metrics
-from balsamreach.wire.codec import MOST_BYTES, Envelope, decode, encode
+from balsamreach.wire.codec import MAX_MESSAGE_BYTES, Envelope, decode, encode
 from balsamreach.wire.framing import frame, read_frame
 from balsamreach.wire.marks import InFlight, InFlightAsk, TargetMark
 from balsamreach.wire.membership import Heartbeat, Member
@@ -83,7 +83,7 @@
 
     async def next_message(self):
         while True:
-            envelope = decode(await read_frame(self.far, MOST_BYTES))
+            envelope = decode(await read_frame(self.far, MAX_MESSAGE_BYTES))
             if not isinstance(envelope.message, Heartbeat):
                 return envelope
 
@@ -218,7 +218,7 @@
         (
             ('garbage', frame(b'\xff' * 20)),
             ('nothing', frame(b'')),
-            ('oversized', (MOST_BYTES + 1).to_bytes(4)),
+            ('oversized', (MAX_MESSAGE_BYTES + 1).to_bytes(4)),
             ('another protocol', b'GET / HTTP/1.1\r\n\r\n'),
         ),
     )
--- a/tests/test_platform_boot.py
+++ b/tests/test_platform_boot.py
@@ -9,7 +9,10 @@
 
 from balsamreach.config.faults import BAD_SETTINGS, ConfigFault
 from balsamreach.config.reader import read_settings
-from balsamreach.platform.boot import PATH_VARIABLE, read_boot
+from balsamreach.platform.platform_settings import (
+    PATH_VARIABLE,
+    read_platform_settings,
+)
 
 _FILE = """
 node = "front-a-1"
@@ -40,7 +43,7 @@
 
     def read(self, text):
         self.path.write_text(text, encoding='utf-8')
-        return read_boot(str(self.path))
+        return read_platform_settings(str(self.path))
 
     def test_all_fields_are_converted(self):
         cfg = read_settings(None, self.read(_FILE))
@@ -76,9 +79,9 @@
         self.assertIn('not TOML', self.read('node = ').problems[0])
 
     def test_missing_file(self):
-        fault = read_boot(str(self.path))
+        fault = read_platform_settings(str(self.path))
         self.assertIn('name a readable file', fault.problems[0])
 
     def test_unset_variable(self):
         with mock.patch.dict('os.environ', clear=True):
-            self.assertIn(PATH_VARIABLE, read_boot().problems[0])
+            self.assertIn(PATH_VARIABLE, read_platform_settings().problems[0])
--- a/tests/test_table_convergence.py
+++ b/tests/test_table_convergence.py
@@ -9,7 +9,7 @@
 from balsamreach.services.base import Scan
 from balsamreach.table.edits import Edit
 from balsamreach.wire.tables import TableRows
-from tests.table_fleet import Station, TableFleet
+from tests.table_fleet import RouterNode, TableFleet
 
 _STEPS = 60
 _TEAMS = 6
@@ -50,36 +50,36 @@
 
     async def inject_fault(self) -> None:
         """Lose or duplicate some of the next messages."""
-        fabric = self.fleet.fabric
-        fault = self.rng.choice((fabric.lost, fabric.doubled))
+        network = self.fleet.network
+        fault = self.rng.choice((network.lost, network.doubled))
         fault[TableRows] = self.rng.randrange(4)
 
     async def cut(self) -> None:
         """Heal all cuts, then cut some links at random."""
-        self.fleet.fabric.heal()
+        self.fleet.network.heal()
         if self.chance(6):
             middle = self.rng.randrange(1, len(_NAMES))
-            self.fleet.fabric.cut(_NAMES[:middle], _NAMES[middle:])
-        for station in self.fleet.stations:
-            station.way.cut = self.chance(3)
+            self.fleet.network.cut(_NAMES[:middle], _NAMES[middle:])
+        for node in self.fleet.nodes:
+            node.access.cut = self.chance(3)
 
     async def deliver(self) -> None:
         """Deliver the messages, sometimes newest first, and heartbeats."""
         newest_first = self.chance(5)
-        await self.fleet.fabric.settle(newest_first=newest_first)
+        await self.fleet.network.settle(newest_first=newest_first)
         await self.fleet.send_heartbeats()
 
     def chance(self, tenths: int) -> bool:
         """Return True with a probability of so many tenths."""
         return self.rng.randrange(10) < tenths
 
-    def random_router(self) -> Station:
+    def random_router(self) -> RouterNode:
         """Return a random router."""
-        return self.rng.choice(self.fleet.stations)
+        return self.rng.choice(self.fleet.nodes)
 
 
-def _row_versions(station: Station) -> dict[str, int]:
-    versions = station.view.versions
+def _row_versions(node: RouterNode) -> dict[str, int]:
+    versions = node.view.versions
     keys = (f'table/team/t{number}' for number in range(_TEAMS))
     return {key: versions.of(key) for key in keys}
 
@@ -99,15 +99,15 @@
         await fleet.start_routers(*_NAMES)
         events = RandomEvents(fleet, random.Random(seed))
         for _ in range(_STEPS):
-            before = list(map(_row_versions, fleet.stations))
+            before = list(map(_row_versions, fleet.nodes))
             await events.apply_one()
-            after = list(map(_row_versions, fleet.stations))
+            after = list(map(_row_versions, fleet.nodes))
             self.assert_no_older_rows(before, after)
         await self.end_faults(fleet)
         page = await fleet.platform.table.scan(Scan('table/'))
         expected = {row.key: row.value['weight'] for row in page.rows}
-        for station in fleet.stations:
-            teams = station.view.teams.values()
+        for node in fleet.nodes:
+            teams = node.view.teams.values()
             weights = {team.key: team.weight for team in teams}
             self.assertEqual(weights, expected)
 
@@ -120,11 +120,11 @@
 
     async def end_faults(self, fleet):
         """End all faults; one router polls, the others get its rows."""
-        fleet.fabric.heal()
-        fleet.fabric.lost.clear()
-        fleet.fabric.doubled.clear()
-        for station in fleet.stations:
-            station.way.cut = False
-        await fleet.stations[0].step()
+        fleet.network.heal()
+        fleet.network.lost.clear()
+        fleet.network.doubled.clear()
+        for node in fleet.nodes:
+            node.access.cut = False
+        await fleet.nodes[0].step()
         for _ in range(3):
             await fleet.send_heartbeats()
--- a/tests/test_table_editor.py
+++ b/tests/test_table_editor.py
@@ -20,7 +20,7 @@
     ID_TAKEN,
     NO_ROW,
     STALE_EDIT,
-    TABLE_AWAY,
+    TABLE_UNAVAILABLE,
 )
 from balsamreach.table.history import read_history
 from tests.support import ManualClock
@@ -140,7 +140,7 @@
     async def test_service_down_before_any_commit(self):
         service = _FailingTable(self.table, commits=[UNAVAILABLE], reads=9)
         editor = Editor(service, self.clock, random.Random(1))
-        self.assertEqual(await editor.apply(edit('x', -1)), TABLE_AWAY)
+        self.assertEqual(await editor.apply(edit('x', -1)), TABLE_UNAVAILABLE)
 
     async def test_edit_id_of_another_edit(self):
         outcome = await self.editor.apply(edit('make', 0, prepaid=101))
@@ -216,7 +216,7 @@
         outcomes = await editor.apply_all(batch)
         accepted = [o for o in outcomes if isinstance(o, Accepted)]
         self.assertEqual(len(accepted), 8)
-        self.assertEqual(outcomes[8], TABLE_AWAY)
+        self.assertEqual(outcomes[8], TABLE_UNAVAILABLE)
 
 
 class HistoryTest(EditorTest):
--- a/tests/test_table_exchange.py
+++ b/tests/test_table_exchange.py
@@ -23,9 +23,9 @@
     async def asyncSetUp(self):
         self.fleet = TableFleet()
         await self.fleet.start_routers('a', 'b', 'c')
-        self.a = self.fleet.stations[0]
-        self.b = self.fleet.stations[1]
-        self.c = self.fleet.stations[2]
+        self.a = self.fleet.nodes[0]
+        self.b = self.fleet.nodes[1]
+        self.c = self.fleet.nodes[2]
         await self.edit('make', 0, prepaid=100)
         await self.a.step()
         await self.fleet.send_heartbeats()
@@ -38,7 +38,7 @@
         return outcome
 
     def weights(self):
-        return [station.team().weight for station in self.fleet.stations]
+        return [node.team().weight for node in self.fleet.nodes]
 
 
 class BroadcastTest(ExchangeTest):
@@ -52,11 +52,11 @@
         await self.edit('w', weight=2)
         await self.a.step()
         await self.fleet.send_heartbeats()
-        versions = {station.view.version for station in self.fleet.stations}
+        versions = {node.view.version for node in self.fleet.nodes}
         self.assertEqual(len(versions), 1)
-        sent = len(self.fleet.fabric.sent)
+        sent = len(self.fleet.network.sent)
         await self.fleet.send_heartbeats()
-        requests = self.fleet.fabric.sent[sent:]
+        requests = self.fleet.network.sent[sent:]
         self.assertFalse([m for m in requests if isinstance(m, TableAsk)])
 
     async def test_other_commits_do_not_advance_the_version(self):
@@ -77,10 +77,10 @@
             Edit(f'e{number}', 'a', f'table/team/t{number}', 0, {})
             for number in range(100)
         )
-        sent = len(self.fleet.fabric.sent)
+        sent = len(self.fleet.network.sent)
         await self.a.parts.editor.apply_all(edits)
         await self.a.step()
-        self.assertEqual(len(self.fleet.fabric.sent), sent)
+        self.assertEqual(len(self.fleet.network.sent), sent)
         await self.fleet.send_heartbeats()
         self.assertEqual(len(self.b.view.teams), 101)
         self.assertEqual(len(self.c.view.teams), 101)
@@ -95,7 +95,7 @@
         Broadcasts are not repeated, and both messages with the row are lost. A
         reader polls, and its heartbeat shows the others that they are behind.
         """
-        self.fleet.fabric.lost[TableRows] = 2
+        self.fleet.network.lost[TableRows] = 2
         await self.edit('w', weight=2)
         self.assertEqual(self.weights(), [2, 1, 1])
         await self.a.step()
@@ -103,7 +103,7 @@
         self.assertEqual(self.weights(), [2, 2, 2])
 
     async def test_duplicated_messages_change_nothing(self):
-        self.fleet.fabric.doubled[TableRows] = 3
+        self.fleet.network.doubled[TableRows] = 3
         await self.edit('w', weight=2)
         self.assertEqual(self.weights(), [2, 2, 2])
 
@@ -116,7 +116,7 @@
         editor = self.a.parts.editor
         await editor.apply(edit('w2', weight=2))
         await editor.apply(edit('w3', weight=3))
-        await self.fleet.fabric.settle(newest_first=True)
+        await self.fleet.network.settle(newest_first=True)
         self.assertEqual(self.weights(), [3, 3, 3])
 
     async def test_gap_is_fetched(self):
@@ -125,10 +125,10 @@
         The message for version N+1 is lost, so a message from N+1 to N+2
         arrives at a router at N.
         """
-        self.fleet.fabric.lost[TableRows] = 2
+        self.fleet.network.lost[TableRows] = 2
         await self.edit('lost', prepaid=101, version=self.team_version())
         await self.a.step()
-        self.fleet.fabric.lost[TableRows] = 0
+        self.fleet.network.lost[TableRows] = 0
         newest = self.a.view.version
         await self.b.net.take(
             self.a.net.me,
@@ -155,7 +155,7 @@
             TableRow(weight.key, weight.version, '{"weight": 7}'),
             TableRow('table/team/x', since + 2, '{}'),
         )
-        self.fleet.fabric.cut('a', 'c')
+        self.fleet.network.cut('a', 'c')
         await self.b.net.take(
             self.a.net.me,
             TableRows(since, since + 2, rows),
@@ -181,12 +181,12 @@
     """A router that was cut off for long."""
 
     async def test_deletions_reach_a_router_that_was_cut_off(self):
-        self.fleet.fabric.cut('a', 'bc')
+        self.fleet.network.cut('a', 'bc')
         await self.a.parts.editor.apply(
             Edit('d', 'anna', TEAM, self.a.view.versions.of(TEAM), None),
         )
         await self.a.step()
-        self.fleet.fabric.heal()
+        self.fleet.network.heal()
         await self.fleet.send_heartbeats()
         self.assertEqual(self.b.view.teams, {})
         self.assertEqual(self.c.view.teams, {})
@@ -210,18 +210,18 @@
         self.assertEqual(self.b.metrics.counted(name), copies + 1)
 
     async def test_one_request_at_a_time(self):
-        self.fleet.fabric.lost[TableRows] = 2
+        self.fleet.network.lost[TableRows] = 2
         await self.edit('w', weight=2)
         await self.a.step()
-        sent = len(self.fleet.fabric.sent)
-        self.fleet.fabric.held.add(TableAsk)
+        sent = len(self.fleet.network.sent)
+        self.fleet.network.held.add(TableAsk)
         for _ in range(3):
             self.a.net.tell('b', Heartbeat(self.a.view.version))
-            await self.fleet.fabric.settle()
+            await self.fleet.network.settle()
             await asyncio.sleep(0)
-        self.fleet.fabric.release()
+        self.fleet.network.release()
         await self.fleet.settle()
-        requests = self.fleet.fabric.sent[sent:]
+        requests = self.fleet.network.sent[sent:]
         self.assertEqual(sum(isinstance(m, TableAsk) for m in requests), 1)
         self.assertEqual(self.b.team().weight, 2)
 
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -17,12 +17,12 @@
     async def asyncSetUp(self):
         self.fleet = TableFleet()
         await self.fleet.start_routers('a', 'b')
-        self.a = self.fleet.stations[0]
-        self.b = self.fleet.stations[1]
+        self.a = self.fleet.nodes[0]
+        self.b = self.fleet.nodes[1]
         await self.a.parts.editor.apply(edit('make', 0, prepaid=100))
         self.fleet.clock.seconds += 61
-        for station in self.fleet.stations:
-            await station.step()
+        for node in self.fleet.nodes:
+            await node.step()
         await self.fleet.send_heartbeats()
 
 
@@ -46,19 +46,19 @@
         await self.a.step()
         await self.fleet.send_heartbeats()
         late = self.fleet.join('late')
-        late.way.cut = True
+        late.access.cut = True
         await late.step()
         self.assertTrue(late.view.complete)
         self.assertEqual(late.team().state, 'paused')
         self.assertIsNone(late.parts.follower.confirmed_age)
 
     async def test_catches_up_with_the_newest_neighbour(self):
-        self.fleet.fabric.cut('a', 'b')
+        self.fleet.network.cut('a', 'b')
         await self.a.parts.editor.apply(edit('w', weight=5))
         await self.a.step()
         self.assertEqual(self.b.team().weight, 1)
         late = self.fleet.join('late')
-        late.way.cut = True
+        late.access.cut = True
         await late.step()
         self.assertEqual(late.team().weight, 5)
 
@@ -70,18 +70,18 @@
         one it would revert operators' edits.
         """
         late = self.fleet.join('late')
-        late.way.cut = True
-        self.fleet.fabric.cut(('late',), 'ab')
+        late.access.cut = True
+        self.fleet.network.cut(('late',), 'ab')
         await late.step()
         self.assertFalse(late.view.complete)
-        late.way.cut = False
+        late.access.cut = False
         await late.step()
         self.assertTrue(late.view.complete)
 
     async def test_snapshot_alone_is_not_enough(self):
         late = self.fleet.join('late')
-        late.way.table_cut = True
-        self.fleet.fabric.cut(('late',), 'ab')
+        late.access.table_cut = True
+        self.fleet.network.cut(('late',), 'ab')
         await late.step()
         self.assertEqual(late.prepaid(), 100)
         self.assertFalse(late.view.complete)
@@ -90,8 +90,8 @@
         fleet = TableFleet()
         first = fleet.join('x')
         second = fleet.join('y')
-        first.way.cut = True
-        second.way.cut = True
+        first.access.cut = True
+        second.access.cut = True
         await first.step()
         await second.step()
         self.assertFalse(first.view.complete or second.view.complete)
@@ -102,12 +102,12 @@
         The table service is away. Each router loads the snapshot and then asks
         the other one, whose table is no newer.
         """
-        self.fleet.fabric.cut('ab', 'xy')
+        self.fleet.network.cut('ab', 'xy')
         first = self.fleet.join('x')
         second = self.fleet.join('y')
-        for station in (first, second, first):
-            station.way.table_cut = True
-            await station.step()
+        for node in (first, second, first):
+            node.access.table_cut = True
+            await node.step()
         self.assertEqual(first.prepaid(), 100)
         self.assertFalse(first.view.complete or second.view.complete)
 
@@ -136,8 +136,8 @@
                 tuple(edits[start : start + 100]),
             )
         late = self.fleet.join('late')
-        late.way.objects_cut = True
-        self.fleet.fabric.cut(('late',), 'ab')
+        late.access.objects_cut = True
+        self.fleet.network.cut(('late',), 'ab')
         weather = self.fleet.platform.weather
         weather.reads_per_s = 1
         for _ in range(3):
@@ -150,7 +150,7 @@
     """Edits while all, some or no routers reach the platform."""
 
     async def test_only_a_neighbour_reaches_the_platform(self):
-        self.b.way.cut = True
+        self.b.access.cut = True
         await self.a.parts.editor.apply(edit('w', weight=4))
         await self.b.step()
         await self.fleet.settle()
@@ -162,9 +162,9 @@
         The router that commits it dies before it broadcasts the row. The others
         learn of it only from the log.
         """
-        self.fleet.fabric.cut('a', 'b')
+        self.fleet.network.cut('a', 'b')
         await self.a.parts.editor.apply(edit('w', weight=4))
-        self.fleet.fabric.kill('a')
+        self.fleet.network.kill('a')
         self.assertEqual(self.b.team().weight, 1)
         await self.b.step()
         self.assertEqual(self.b.team().weight, 4)
@@ -176,7 +176,7 @@
         loop. When they are applied in parts, the version must advance only
         after the last part, or a crash in between would hide the rest.
         """
-        self.fleet.fabric.cut('a', 'b')
+        self.fleet.network.cut('a', 'b')
         edits = tuple(
             Edit(f'e{n}', 'a', f'table/team/t{n:04}', 0, {}) for n in range(500)
         )
@@ -203,7 +203,7 @@
 
     async def test_age_starts_at_the_request(self):
         """Guards against a late answer that counts as a new one."""
-        self.b.way.after_scan = self.delay_answer
+        self.b.access.after_scan = self.delay_answer
         await self.b.step()
         self.assertEqual(self.b.parts.follower.confirmed_age, 30)
 
@@ -226,11 +226,11 @@
     async def test_not_confirmed_by_peers_alone(self):
         """Guards against denials by a table that only peers have sent."""
         late = self.fleet.join('late')
-        late.way.cut = True
+        late.access.cut = True
         await late.step()
         self.assertTrue(late.view.complete)
         self.assertFalse(late.parts.follower.is_confirmed())
-        late.way.cut = False
+        late.access.cut = False
         await late.step()
         self.assertTrue(late.parts.follower.is_confirmed())
 
@@ -255,10 +255,10 @@
         for start in range(0, 1500, 100):
             await self.a.parts.editor.apply_all(edits[start : start + 100])
         late = self.fleet.join('late')
-        self.fleet.fabric.cut(('late',), 'ab')
-        late.way.objects_cut = True
+        self.fleet.network.cut(('late',), 'ab')
+        late.access.objects_cut = True
         change = Edit('c', 'a', 'table/team/t0000', -1, {'weight': 9})
-        late.way.after_scan = lambda: self.a.parts.editor.apply(change)
+        late.access.after_scan = lambda: self.a.parts.editor.apply(change)
         await late.step()
         await late.step()
         self.assertEqual(late.team('t0000').weight, 9)
@@ -283,10 +283,10 @@
         for number in range(6):
             self.fleet.join(f'r{number}')
         pauses = []
-        for station in self.fleet.stations:
-            await station.step()
+        for node in self.fleet.nodes:
+            await node.step()
             before = self.fleet.clock.seconds
-            await station.parts.follower.pause()
+            await node.parts.follower.pause()
             pauses.append(self.fleet.clock.seconds - before)
         interval = 0.5
         quick = [pause for pause in pauses if pause <= interval]
@@ -295,8 +295,8 @@
 
     async def test_start_in_an_outage_backs_off(self):
         late = self.fleet.join('late')
-        late.way.cut = True
-        self.fleet.fabric.cut(('late',), 'ab')
+        late.access.cut = True
+        self.fleet.network.cut(('late',), 'ab')
         pauses = []
         for _ in range(6):
             await late.step()
@@ -316,19 +316,19 @@
         for start in range(0, 600, 100):
             await self.a.parts.editor.apply_all(edits[start : start + 100])
         self.fleet.clock.seconds += 61
-        for station in self.fleet.stations:
-            await station.step()
+        for node in self.fleet.nodes:
+            await node.step()
         names = await self.fleet.platform.objects.names(SNAPSHOT_PREFIX)
         version = self.a.view.version
         self.assertEqual(names[-1], f'{SNAPSHOT_PREFIX}{version:020d}')
         written = sum(
             writer.metrics.counted('balsamreach_table_snapshots_written_total')
-            for writer in self.fleet.stations
+            for writer in self.fleet.nodes
         )
         self.assertEqual(written, len(names))
         self.fleet.clock.seconds += 61
         await self.a.parts.editor.apply(edit('w', weight=3))
-        for station in self.fleet.stations:
-            await station.step()
+        for node in self.fleet.nodes:
+            await node.step()
         again = await self.fleet.platform.objects.names(SNAPSHOT_PREFIX)
         self.assertEqual(again, names)
--- a/tests/test_table_pruning.py
+++ b/tests/test_table_pruning.py
@@ -6,7 +6,7 @@
 from balsamreach.services.base import Commit, Scan, Write
 from balsamreach.standins.memory import MemoryPlatform
 from balsamreach.table.editor import Editor
-from balsamreach.table.faults import TABLE_AWAY
+from balsamreach.table.faults import TABLE_UNAVAILABLE
 from balsamreach.table.history import EDIT_PREFIX, HISTORY_PREFIX
 from balsamreach.table.pruning import PAGE_INTERVAL_S, PRUNING_KEY, Pruner
 from balsamreach.telemetry.metrics import Metrics
@@ -90,7 +90,7 @@
 
     async def test_platform_down(self):
         self.platform.weather.down = True
-        self.assertEqual(await self.step(), TABLE_AWAY)
+        self.assertEqual(await self.step(), TABLE_UNAVAILABLE)
         self.platform.weather.down = False
         row = (await self.table.read((PRUNING_KEY,)))[0]
         self.assertEqual(row.value['after'], '')
--- a/tests/test_table_snapshots.py
+++ b/tests/test_table_snapshots.py
@@ -6,7 +6,7 @@
 from parameterized import parameterized
 
 from balsamreach.standins.memory import MemoryPlatform
-from balsamreach.table.faults import BAD_SNAPSHOT, TABLE_AWAY
+from balsamreach.table.faults import BAD_SNAPSHOT, TABLE_UNAVAILABLE
 from balsamreach.table.snapshots import SNAPSHOT_PREFIX, Snapshots
 from balsamreach.table.view import TableView
 from balsamreach.telemetry.metrics import Metrics
@@ -103,9 +103,9 @@
 
     async def test_object_store_down(self):
         self.platform.weather.down = True
-        self.assertEqual(await self.write(), TABLE_AWAY)
+        self.assertEqual(await self.write(), TABLE_UNAVAILABLE)
         outcome = await self.snapshots.load(TableView())
-        self.assertEqual(outcome, TABLE_AWAY)
+        self.assertEqual(outcome, TABLE_UNAVAILABLE)
 
     async def test_due_after_changes_and_limited_in_number(self):
         self.assertTrue(await self.write())
--- a/tests/test_table_view.py
+++ b/tests/test_table_view.py
@@ -120,8 +120,8 @@
         view.apply((_target(2, models={'n': 2}, service='x'),), 2)
         self.assertEqual(view.models(), ('n',))
         self.assertEqual(list(view.engines_for('m')), [])
-        self.assertEqual(len(list(view.workers_of('x'))), 1)
-        self.assertEqual(list(view.workers_of('llm')), [])
+        self.assertEqual(len(list(view.targets_of_service('x'))), 1)
+        self.assertEqual(list(view.targets_of_service('llm')), [])
         view.apply((_target(3, kind=PLAIN_SERVICE, models=['n']),), 3)
         self.assertEqual(list(view.engines_for('n')), [])
 
--- a/tests/test_wire_codec.py
+++ b/tests/test_wire_codec.py
@@ -16,7 +16,13 @@
 
 from balsamreach import wire
 from balsamreach.wire.answers import AnswerPart
-from balsamreach.wire.codec import MOST_BYTES, Envelope, decode, encode, kinds
+from balsamreach.wire.codec import (
+    MAX_MESSAGE_BYTES,
+    Envelope,
+    decode,
+    encode,
+    kinds,
+)
 from balsamreach.wire.faults import (
     MALFORMED,
     TOO_LARGE,
@@ -33,7 +39,7 @@
 #: More examples for a longer run, for example 200000.
 _EXAMPLES = int(os.environ.get('BALSAMREACH_FUZZ_EXAMPLES', '300'))
 _SEED = 20
-_MOST_ALLOCATED = 16 * MOST_BYTES
+_MOST_ALLOCATED = 16 * MAX_MESSAGE_BYTES
 
 _NAMES = st.text(max_size=20)
 _NUMBERS = st.integers(0, 2**16 - 1)
@@ -110,7 +116,7 @@
         self.assertEqual(encode(Envelope(message)), MALFORMED)
 
     def test_too_large_a_message_is_refused(self):
-        part = AnswerPart(known=True, body=b'\1' * MOST_BYTES)
+        part = AnswerPart(known=True, body=b'\1' * MAX_MESSAGE_BYTES)
         self.assertEqual(encode(Envelope(part)), TOO_LARGE)
 
 
@@ -165,8 +171,8 @@
         (
             ('empty', b'', MALFORMED),
             ('another protocol', b'GET / HTTP/1.1\r\n\r\n', MALFORMED),
-            ('too long', b'\0' * (MOST_BYTES + 1), TOO_LARGE),
-            ('zeros', b'\0\xff' * (MOST_BYTES // 2), MALFORMED),
+            ('too long', b'\0' * (MAX_MESSAGE_BYTES + 1), TOO_LARGE),
+            ('zeros', b'\0\xff' * (MAX_MESSAGE_BYTES // 2), MALFORMED),
         ),
     )
     def test_bytes_that_are_no_message(self, _name, octets, fault):
--- a/tools/measure_gossip.py
+++ b/tools/measure_gossip.py
@@ -24,7 +24,7 @@
 from balsamreach.peers.upkeep import COMPARE_EVERY
 from balsamreach.wire.base import Message
 from balsamreach.wire.codec import Envelope, encode
-from balsamreach.wire.framing import HEAD
+from balsamreach.wire.framing import LENGTH_BYTES
 from balsamreach.wire.membership import Heartbeat, Member
 
 _DAY = 86400
@@ -99,7 +99,7 @@
         assert isinstance(packed, bytes), packed
         kind = type(message).__name__
         self.sent[kind] += 1
-        self.octets[kind] += len(packed) + HEAD
+        self.octets[kind] += len(packed) + LENGTH_BYTES
 
 
 @attrs.define(eq=False)
@@ -260,7 +260,7 @@
     """Return the bytes of a heartbeat's frame."""
     packed = encode(Envelope(Heartbeat(123456)))
     assert isinstance(packed, bytes), packed
-    return len(packed) + HEAD
+    return len(packed) + LENGTH_BYTES
 
 
 def count_equal(fleet: Fleet) -> int:
