--- a/src/balsamreach/gateway/operators_edits.py
+++ b/src/balsamreach/gateway/operators_edits.py
@@ -98,7 +98,7 @@
     if 'top_up' in edit:
         top_up = edit['top_up']
         is_valid = _is_int(top_up) and 0 < top_up <= _MAX_TOP_UP
-        return '' if is_valid else 'top_up: must be a whole number from 1 to 2**53'
+        return '' if is_valid else 'top_up: write a whole number, 1 to 2**53'
     if not _is_int(edit.get('version')) or edit['version'] < -1:
         return 'version: must be the version you read, or 0 for a new row'
     return ''
--- a/src/balsamreach/gateway/service_handler.py
+++ b/src/balsamreach/gateway/service_handler.py
@@ -41,7 +41,7 @@
             return team
         targets = [
             row
-            for row in self.context.view.workers_of(service)
+            for row in self.context.view.targets_of_service(service)
             if row.kind == PLAIN_SERVICE
         ]
         if not targets:
--- a/src/balsamreach/ui/relay.py
+++ b/src/balsamreach/ui/relay.py
@@ -7,7 +7,7 @@
 from balsamreach.config.faults import ConfigFault
 from balsamreach.config.reader import check_ports
 from balsamreach.daemon.run import Role, run_until_stopped
-from balsamreach.platform.boot import read_boot
+from balsamreach.platform.platform_settings import read_platform_settings
 from balsamreach.platform.router import make_router
 from balsamreach.telemetry.log_queue import queue_logging
 from balsamreach.ui.errors import settings_error
@@ -25,7 +25,7 @@
     The environment names the platform's settings file; see
     docs/operators/platform.md.
     """
-    platform_overrides = read_boot()
+    platform_overrides = read_platform_settings()
     if isinstance(platform_overrides, ConfigFault):
         raise settings_error(platform_overrides)
     cfg = load_settings(path, (*platform_overrides, *overrides))
--- a/src/balsamreach/wire/codec.py
+++ b/src/balsamreach/wire/codec.py
@@ -19,13 +19,13 @@
 from balsamreach.wire.schema import load_schema
 
 #: Maximum size of one message in bytes, packed or not.
-MOST_BYTES = 1024 * 1024
+MAX_MESSAGE_BYTES = 1024 * 1024
 
 _WORD = 8
 # A reader counts a word each time a pointer refers to it, and one word for
 # each empty list element. Bytes that declare huge or cyclic lists therefore
 # raise an error instead of exhausting the memory.
-_MAX_WORDS = 2 * MOST_BYTES // _WORD
+_MAX_WORDS = 2 * MAX_MESSAGE_BYTES // _WORD
 _MAX_NESTING = 8
 # The bits of the first packed byte mark the non-zero bytes of the first word,
 # whose first four bytes hold the number of segments minus one.
@@ -100,7 +100,7 @@
         packed = _pack_in_one_segment(envelope)
     except _ENCODE_ERRORS as exc:
         return MALFORMED.because(_first_line(exc))
-    if len(packed) > MOST_BYTES:
+    if len(packed) > MAX_MESSAGE_BYTES:
         size = len(packed)
         return TOO_LARGE.because(f'message of {size} bytes')
     return packed
@@ -119,7 +119,7 @@
     Envelope or WireFault
         The message, or MALFORMED, UNKNOWN_KIND or TOO_LARGE.
     """
-    if len(packed) > MOST_BYTES:
+    if len(packed) > MAX_MESSAGE_BYTES:
         size = len(packed)
         return TOO_LARGE.because(f'message of {size} bytes')
     if not packed or _has_more_segments(packed):
--- a/src/balsamreach/wire/framing.py
+++ b/src/balsamreach/wire/framing.py
@@ -8,14 +8,14 @@
 from balsamreach.wire.faults import CLOSED, TOO_LARGE, WireFault
 
 #: Size in bytes of the length prefix of a frame.
-HEAD = 4
+LENGTH_BYTES = 4
 #: Maximum number of bytes read from a connection at once.
 _MAX_READ = 64 * 1024
 
 
 def frame(packed: bytes) -> bytes:
     """Return the bytes with their length prefix."""
-    return len(packed).to_bytes(HEAD) + packed
+    return len(packed).to_bytes(LENGTH_BYTES) + packed
 
 
 async def read_frame(stream: IOStream, limit: int) -> bytes | WireFault:
@@ -34,7 +34,7 @@
         The payload, TOO_LARGE or CLOSED. TOO_LARGE is returned before any
         of the payload is read; the caller then has to close the connection.
     """
-    head = await _read(stream, HEAD)
+    head = await _read(stream, LENGTH_BYTES)
     if isinstance(head, WireFault):
         return head
     size = int.from_bytes(head)
@@ -85,17 +85,17 @@
                 self.progress()
 
     def _pop_frame(self) -> bytes | WireFault | None:
-        if len(self._buffer) < HEAD:
+        if len(self._buffer) < LENGTH_BYTES:
             return None
-        size = int.from_bytes(self._buffer[:HEAD])
+        size = int.from_bytes(self._buffer[:LENGTH_BYTES])
         if size > self.limit:
             return TOO_LARGE.because(
                 f'frame of {size} bytes, at most {self.limit} are taken',
             )
-        end = HEAD + size
+        end = LENGTH_BYTES + size
         if len(self._buffer) < end:
             return None
-        packed = bytes(self._buffer[HEAD:end])
+        packed = bytes(self._buffer[LENGTH_BYTES:end])
         del self._buffer[:end]
         return packed
 
--- a/tests/test_gateway_operators.py
+++ b/tests/test_gateway_operators.py
@@ -39,9 +39,9 @@
 
     def get_app(self):
         self.fleet = TableFleet()
-        self.station = self.fleet.join('a')
+        self.node = self.fleet.join('a')
         keys = f'{hash_key(_OPERATOR_KEY)} {hash_key(_TEAM_KEY)}'
-        parts = self.station.parts
+        parts = self.node.parts
         return make_operators_app(
             OperatorContext(
                 cfg=read_settings(
@@ -49,7 +49,7 @@
                     ('host.zone=zone-a', f'operators.keys={keys}'),
                 ),
                 view=parts.view,
-                service=self.station.way,
+                service=self.node.access,
                 editor=parts.editor,
                 budgets=mock.Mock(ledgers={}),
                 status=parts.status,
@@ -58,7 +58,7 @@
 
     def setUp(self):
         super().setUp()
-        self.io_loop.run_sync(self.station.step)
+        self.io_loop.run_sync(self.node.step)
         created = _NEW_ROW['fields'] | {'key_hashes': [hash_key(_TEAM_KEY)]}
         self.created = self.send(
             'PATCH', _ROW_PATH, _NEW_ROW | {'fields': created}
@@ -102,7 +102,7 @@
         answer = self.send(method, path, body, secret)
         self.assertEqual(answer.status, 401)
         self.assertEqual(answer.body['error']['code'], 'wrong_operator_key')
-        self.assertEqual(self.station.team().weight, 1)
+        self.assertEqual(self.node.team().weight, 1)
 
 
 class InvalidRequestTest(OperatorsTestCase):
@@ -194,7 +194,7 @@
 
     def test_accepted_edit_is_in_force_at_once(self):
         self.send('PATCH', _ROW_PATH, _edit())
-        self.assertEqual(self.station.team().weight, 2)
+        self.assertEqual(self.node.team().weight, 2)
 
     def test_stale_edit_returns_current_row(self):
         """An edit of an outdated version must be refused, not applied.
@@ -209,7 +209,7 @@
         self.assertEqual(answer.status, 409)
         self.assertEqual(answer.body['row']['value']['weight'], 2)
         self.assertGreater(answer.body['row']['version'], version)
-        counted = self.station.metrics.counted
+        counted = self.node.metrics.counted
         name = 'balsamreach_table_edits_total'
         self.assertEqual(counted(name, outcome='accepted'), 2)
         self.assertEqual(counted(name, outcome='stale_edit'), 1)
@@ -254,7 +254,7 @@
         self.assertEqual(codes, [None, 'stale_edit', 'bad_row', 'no_row'])
 
     def test_platform_unavailable(self):
-        self.station.way.cut = True
+        self.node.access.cut = True
         answer = self.send('PATCH', _ROW_PATH, _edit())
         self.assertEqual(answer.status, 503)
         self.assertEqual(answer.body['error']['code'], 'table_away')
@@ -274,12 +274,12 @@
         others = {name: self.fleet.join(name) for name in 'bcd'}
         self.io_loop.run_sync(others['b'].step)
         self.io_loop.run_sync(others['d'].step)
-        self.fleet.fabric.cut('ad', 'b')
+        self.fleet.network.cut('ad', 'b')
         self.fleet.clock.seconds = 100
         self.send('PATCH', _ROW_PATH, _edit())
-        self.io_loop.run_sync(self.station.step)
-        self.fleet.fabric.heal()
-        self.fleet.fabric.cut('a', 'd')
+        self.io_loop.run_sync(self.node.step)
+        self.fleet.network.heal()
+        self.fleet.network.cut('a', 'd')
         status = self.send('GET', '/status').body
         routers = {
             router['incarnation']: router for router in status['routers']
--- a/tests/test_wire_codec.py
+++ b/tests/test_wire_codec.py
@@ -17,7 +17,7 @@
 from balsamreach import wire
 from balsamreach.wire.answers import AnswerPart
 from balsamreach.wire.codec import (
-    MOST_BYTES,
+    MAX_MESSAGE_BYTES,
     Envelope,
     decode,
     encode,
@@ -39,7 +39,7 @@
 #: Number of fuzz examples; set it higher for a longer run, e.g. 200000.
 _EXAMPLES = int(os.environ.get('BALSAMREACH_FUZZ_EXAMPLES', '300'))
 _SEED = 20
-_MAX_ALLOCATED = 16 * MOST_BYTES
+_MAX_ALLOCATED = 16 * MAX_MESSAGE_BYTES
 
 _TEXTS = st.text(max_size=20)
 _NUMBERS = st.integers(0, 2**16 - 1)
@@ -115,7 +115,7 @@
         self.assertEqual(encode(Envelope(message)), MALFORMED)
 
     def test_too_large_message_is_refused(self):
-        part = AnswerPart(known=True, body=b'\1' * MOST_BYTES)
+        part = AnswerPart(known=True, body=b'\1' * MAX_MESSAGE_BYTES)
         self.assertEqual(encode(Envelope(part)), TOO_LARGE)
 
 
@@ -172,8 +172,8 @@
         (
             ('empty', b'', MALFORMED),
             ('another protocol', b'GET / HTTP/1.1\r\n\r\n', MALFORMED),
-            ('too long', b'\0' * (MOST_BYTES + 1), TOO_LARGE),
-            ('zeros', b'\0\xff' * (MOST_BYTES // 2), MALFORMED),
+            ('too long', b'\0' * (MAX_MESSAGE_BYTES + 1), TOO_LARGE),
+            ('zeros', b'\0\xff' * (MAX_MESSAGE_BYTES // 2), MALFORMED),
         ),
     )
     def test_invalid_bytes(self, _name, octets, fault):
