--- a/src/balsamreach/daemon/listeners.py
+++ b/src/balsamreach/daemon/listeners.py
@@ -12,7 +12,7 @@
 from balsamreach.config.listeners import Listener
 from balsamreach.config.settings import Settings
 from balsamreach.config.tls import server_context
-from balsamreach.daemon.syn_filter import drop_syn_segments
+from balsamreach.daemon.closing import drop_syn_segments
 from balsamreach.gateway.probes import Probes
 
 #: The server reads headers up to this many times the limit, so that a request
