--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -1,4 +1,4 @@
-"""Routers and stand-ins inside the test's own event loop."""
+"""Routers and stand-ins that run in the event loop of the test."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -41,7 +41,7 @@
 
 
 async def until(check: Callable[[], bool]) -> bool:
-    """Wait until a check holds; False if it does not in a long while."""
+    """Wait until a check is true; False if it is not within about 10 s."""
     for _ in range(_LOOKS):
         if check():
             return True
@@ -51,12 +51,12 @@
 
 @attrs.define
 class Deployment:
-    """One platform, one engine, one plain service and some routers.
+    """One platform, one engine, one plain service and several routers.
 
     Parameters
     ----------
     overrides : tuple of str
-        Settings of every router beside those that make it work.
+        Additional settings of all routers, as ``section.key=text``.
     """
 
     overrides: tuple[str, ...] = ()
@@ -86,23 +86,23 @@
 
     @property
     def store(self) -> TableService:
-        """The platform's table service."""
+        """Table service of the platform."""
         return self.platform.core.table
 
     def counted(self, name: str, **labels: object) -> float:
-        """Return a counter of the first router."""
+        """Return the value of a counter of the first router."""
         parts = self.routers[0].parts
         return parts.metrics.counted(name, **labels)
 
     @property
     def callers(self) -> str:
-        """Address of the first router's callers' listener."""
+        """``ip:port`` on which the first router serves callers."""
         listener = self.routers[0].callers
         return listener.address
 
     @property
     def engine_runs(self) -> int:
-        """How many requests the engine has begun."""
+        """Number of requests that the engine has started."""
         engine = self.engine.core
         return len(engine.runs)
 
@@ -114,7 +114,7 @@
             await standin.stop()
 
     async def put_rows(self, rows: Iterable[TableRow]) -> None:
-        """Write rows of the table, whatever stands there."""
+        """Write rows that the table does not contain yet."""
         editor = Editor(self.store, SystemClock())
         for row in rows:
             edit = Edit(f'put-{row.name}', 'test', row.key, 0, encode(row))
@@ -122,7 +122,7 @@
             assert not isinstance(outcome, TableFault), outcome
 
     def settings(self, name: str):
-        """Return the settings of a router."""
+        """Return the parsed settings of a router."""
         cfg = read_settings(None, self.settings_text(name))
         assert not isinstance(cfg, ConfigFault), cfg.reason
         return cfg
@@ -149,7 +149,7 @@
         )
 
     def rows(self) -> tuple[TableRow, ...]:
-        """Return the rows that the table starts with."""
+        """Return the initial rows of the table."""
         return (
             TeamRow(
                 name=TEAM,
@@ -187,14 +187,14 @@
 
 @attrs.frozen
 class Answer:
-    """An HTTP answer as it came over the wire.
+    """An HTTP response as received.
 
     Parameters
     ----------
     head : str
         Status line and headers.
     body : bytes
-        Body, its transfer coding undone.
+        Body without its chunked transfer coding.
     """
 
     head: str
@@ -206,7 +206,7 @@
         return int(self.head.split(' ', 2)[1])
 
     def header(self, name: str) -> str | None:
-        """Return a header's text, None if it is not there."""
+        """Return the value of a header, None if it is missing."""
         for line in self.head.split('\r\n')[1:]:
             found, _colon, text = line.partition(':')
             if found.lower() == name.lower():
@@ -215,7 +215,7 @@
 
 
 async def exchange(address: str, sent: bytes) -> bytes:
-    """Send bytes on a new connection and return all that comes back."""
+    """Send bytes on a new connection and return all bytes received."""
     host, port = address.rsplit(':', 1)
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -232,7 +232,7 @@
     secret: str = SECRET,
     **headers: str,
 ) -> bytes:
-    """Return the bytes of a request after which the connection closes."""
+    """Return the bytes of a request with ``Connection: close``."""
     lines = [f'{line} HTTP/1.1', 'Host: router', 'Connection: close']
     if secret:
         lines.append(f'Authorization: Bearer {secret}')
@@ -246,7 +246,7 @@
 
 
 def parse_answer(received: bytes) -> Answer:
-    """Return the only answer in the bytes."""
+    """Parse the only response in the received bytes."""
     head, _gap, body = received.partition(b'\r\n\r\n')
     answer = Answer(head.decode(), body)
     if answer.header('Transfer-Encoding') == 'chunked':
--- a/tests/failure_case.py
+++ b/tests/failure_case.py
@@ -1,4 +1,4 @@
-"""Test case and requests that the golden sessions under failure share."""
+"""Base test case and requests of the golden sessions with failures."""
 
 import asyncio
 import json
@@ -22,35 +22,35 @@
 
 
 def certificate(key: str) -> bytes:
-    """Return the bytes of a call that may run at most once."""
+    """Return the bytes of a non-idempotent call to the plain service."""
     return request(CERTIFICATE, b'{"motor": "m-17"}', Idempotency_Key=key)
 
 
 class FailureCase(unittest.IsolatedAsyncioTestCase):
-    """Compares whole sessions under failure with their golden files."""
+    """Compares sessions with failures to their golden files."""
 
     maxDiff = None
 
     async def asyncSetUp(self) -> None:
-        """Run the routers without the event loop's debug mode.
+        """Disable the event loop's debug mode.
 
-        It keeps a stack for each callback, which makes whole routers slow
-        enough to miss their heartbeats on a busy machine.
+        The debug mode records a stack for each callback. On a busy machine
+        this slows routers down so much that they miss heartbeats.
         """
         asyncio.get_running_loop().set_debug(False)
 
     async def open(self, rig: Rig, *events: str) -> None:
-        """Start all but the routers and begin to write the session down."""
+        """Start the platform and the targets and begin the session."""
         self.rig = rig
         await rig.open()
         self.addAsyncCleanup(rig.stop)
         self.session = FailureSession(rig, frozenset(events))
 
     def address(self, number: int) -> str:
-        """Return a router's address for callers."""
+        """Return the address on which a router serves callers."""
         return self.rig.routers[number].callers.address
 
     def check(self, name: str, *logged: dict[str, object]) -> None:
-        """Compare the session with its golden file."""
+        """End the session and compare it to its golden file."""
         text = self.session.end(*logged)
         self.assertEqual(text, golden(f'failures/{name}', text))
--- a/tests/failure_rig.py
+++ b/tests/failure_rig.py
@@ -1,4 +1,4 @@
-"""Whole routers in availability zones, with links that can be cut."""
+"""Routers, a platform and targets with failures that tests trigger."""
 
 import asyncio
 import contextlib
@@ -43,15 +43,15 @@
 )
 from tests.support import command_line
 
-#: A pause of at least so many seconds lasts until the gate is opened.
+#: A sleep of at least this many seconds lasts until the gate is opened.
 HELD_S = 1000
-#: Pace of an engine that stops after its first word until then.
+#: Pace with which an engine stops after its first word until then, in ms.
 HELD_MS = HELD_S * 1000
 TEAM = 'winders'
 _SECONDS = 60
 _LOOKS = 2000
 _PAUSE = 0.02
-#: Every draw takes the same, so that sessions come out the same each time.
+#: All draws have the same size, so that sessions are reproducible.
 _SETTINGS = (
     'budget.least_draw=100',
     'budget.draw_ahead=0s',
@@ -67,13 +67,13 @@
 
 
 class Gate(SystemClock):
-    """The system's clock, but long pauses end when the gate is opened."""
+    """The system's clock, except that long sleeps end on an event."""
 
     def __init__(self) -> None:
         self.opened = asyncio.Event()
 
     async def sleep(self, seconds: float) -> None:
-        """Wait for the time, or for the gate."""
+        """Sleep, or wait for ``opened`` if asked for ``HELD_S`` or more."""
         if seconds >= HELD_S:
             await self.opened.wait()
         else:
@@ -82,14 +82,14 @@
 
 @attrs.define(eq=False)
 class HeldCommit:
-    """Holds the first commit to rows of a prefix up at the table service.
+    """Delays the first commit to rows with a prefix at the table service.
 
     Parameters
     ----------
     prefix : str
-        Start of a row's key.
+        Prefix of the row keys.
     applied : bool
-        Whether it takes effect before it is held, or after.
+        Whether the commit takes effect before the delay or after it.
     """
 
     prefix: str
@@ -100,7 +100,7 @@
 
     @contextlib.contextmanager
     def hold(self) -> Generator[None, None, None]:
-        """Hold it inside the block."""
+        """Patch the table service for the duration of the block."""
         with mock.patch.object(
             MemoryTableService,
             'commit',
@@ -109,7 +109,7 @@
             yield
 
     async def commit(self, table: MemoryTableService, change: Commit):
-        """Commit, held if it is the one."""
+        """Commit; if this is the selected commit, wait for ``go_on``."""
         keys = [write.key for write in change.writes]
         wanted = any(key.startswith(self.prefix) for key in keys)
         if not wanted or self.came.is_set():
@@ -125,14 +125,14 @@
 
 @attrs.define(eq=False)
 class RouterProcess:
-    """A router as a process of its own, to be killed or paused.
+    """A router in a separate process, which tests can kill or pause.
 
     Parameters
     ----------
     started : dict
-        Its addresses.
+        Addresses of its listeners, from its first line of output.
     log : Path
-        Where its log goes.
+        File of its log.
     """
 
     child: asyncio.subprocess.Process
@@ -141,44 +141,44 @@
 
     @property
     def address(self) -> str:
-        """Address for callers."""
+        """``ip:port`` on which it serves callers."""
         return self.started['callers']
 
     def signal(self, number: int) -> None:
-        """Send a signal, to whom it still reaches."""
+        """Send a signal unless the process has ended."""
         with contextlib.suppress(ProcessLookupError):
             self.child.send_signal(number)
 
     async def kill(self) -> None:
-        """End it as a crash would."""
+        """Kill the process by SIGKILL."""
         with contextlib.suppress(ProcessLookupError):
             self.child.kill()
         async with asyncio.timeout(_SECONDS):
             await self.child.wait()
 
     async def leave(self) -> int:
-        """Let it shut down and return its exit code."""
+        """Shut the process down by SIGTERM and return its exit code."""
         with contextlib.suppress(ProcessLookupError):
             self.child.terminate()
         async with asyncio.timeout(_SECONDS):
             return await self.child.wait()
 
     def events(self) -> list[dict[str, object]]:
-        """Return the events it has logged."""
+        """Return the events that it has logged."""
         lines = self.log.read_text(encoding='utf-8').splitlines()
         return [json.loads(line) for line in lines if line.startswith('{')]
 
 
 @attrs.define(eq=False)
 class Rig(Deployment):
-    """A platform, engines and routers whose failures a test brings about.
+    """A platform, engines and routers with failures that a test triggers.
 
     Parameters
     ----------
     engines : int
         Number of engines.
     prepaid : int
-        Budget of the one team.
+        Prepaid tokens of the only team.
     """
 
     engines: int = 1
@@ -210,13 +210,13 @@
         await self.put_rows(self.rows())
 
     async def start(self, routers: int = 1) -> None:
-        """Start routers and wait until they are ready and met."""
+        """Start routers and wait until all are ready and connected."""
         for number in range(routers):
             await self.add_router(f'router-{number}')
         await self.meet()
 
     async def stop(self) -> None:
-        """Heal everything, then stop it."""
+        """Undo all failures, then stop everything."""
         self.heal()
         self.gate.opened.set()
         self.weather.down = False
@@ -234,7 +234,7 @@
 
     @property
     def weather(self):
-        """What goes wrong with the platform."""
+        """Failures that the platform simulates."""
         return self.platform.core.weather
 
     def settings_text(self, name: str) -> tuple[str, ...]:
@@ -249,7 +249,7 @@
         )
 
     def rows(self) -> tuple[TeamRow | TargetRow, ...]:
-        """Return the rows that the table starts with."""
+        """Return the initial rows of the table."""
         team = TeamRow(
             name=TEAM,
             prepaid=self.prepaid,
@@ -269,21 +269,21 @@
         return (team, *engines, attrs.evolve(desk, service=SERVICE, price=5))
 
     async def replace_row(self, row: TargetRow) -> None:
-        """Write a row anew, as an operator would."""
+        """Overwrite a row by an operator's edit."""
         editor = Editor(self.store, SystemClock())
         edit = Edit(f'new-{row.name}', 'test', row.key, -1, encode(row))
         outcome = await editor.apply(edit)
         assert not isinstance(outcome, TableFault), outcome
 
     async def link(self, to: str) -> Link:
-        """Return a link to an address that can be cut."""
+        """Open a link to an address; the test can cut the link."""
         link = Link(to)
         await link.open()
         self.links.append(link)
         return link
 
     async def table_link(self, name: str) -> Link:
-        """Put a link between a router to come and the table service."""
+        """Link a router that is not started yet to the table service."""
         link = await self.link(self.platform.address)
         given = self.more.get(name, ())
         url = f'http://{link.address}'
@@ -291,7 +291,7 @@
         return link
 
     async def platform_link(self, name: str) -> Link:
-        """Put a link between a router to come and the whole platform."""
+        """Link a router that is not started yet to all platform services."""
         link = await self.table_link(name)
         url = f'http://{link.address}'
         kinds = ('objects', 'hosts', 'weights')
@@ -306,7 +306,7 @@
         return router
 
     async def begin_router(self, name: str) -> Router:
-        """Start one more router; the others reach it over a link."""
+        """Start one more router, which its peers reach over a link."""
         router = Router(self.settings(name))
         await router.start()
         self.routers.append(router)
@@ -317,7 +317,7 @@
         return router
 
     async def add_process(self, name: str) -> RouterProcess:
-        """Start a router as a process and wait until it is ready."""
+        """Start a router in a process and wait until it is ready."""
         texts = self.settings_text(name)
         log = Path(self._logs.name) / f'{name}-{len(self.children)}.log'
         with log.open('w', encoding='utf-8') as errors:
@@ -336,13 +336,13 @@
         return process
 
     async def meet(self) -> None:
-        """Wait until every router in this process sees all others."""
+        """Wait until each router in this process is connected to all others."""
         count = len(self.routers) + len(self.children) - 1
         for router in self.routers:
             await wait(partial(_sees, router.parts.net, count))
 
     def heal(self) -> None:
-        """Mend all links."""
+        """Restore all links."""
         for link in self.links:
             link.heal()
 
@@ -352,27 +352,27 @@
 
 
 async def wait(check) -> None:
-    """Wait until a check holds; a test fails if it never does."""
+    """Wait until a check is true; fail if it is not within about 40 s."""
     for _ in range(_LOOKS):
         if check():
             return
         await asyncio.sleep(_PAUSE)
-    raise AssertionError('it never came about')
+    raise AssertionError('timed out before the check was true')
 
 
 async def wait_ready(address: str, state: str = 'ready') -> None:
-    """Wait until a router calls itself ready, or whatever is awaited."""
+    """Wait until the router at an operators' address reports a state."""
     sent = request('GET /readyz', secret='')
     for _ in range(_LOOKS):
         answer = parse_answer(await exchange(address, sent))
         if json.loads(answer.body)['status'] == state:
             return
         await asyncio.sleep(_PAUSE)
-    raise AssertionError(f'the router is never {state}')
+    raise AssertionError(f'timed out before the router was {state}')
 
 
 def free_port() -> int:
-    """Return a port that is free now."""
+    """Return a TCP port that is currently free."""
     with socket.socket() as sock:
         sock.bind(('127.0.0.1', 0))
         return sock.getsockname()[1]
--- a/tests/failure_session.py
+++ b/tests/failure_session.py
@@ -1,4 +1,4 @@
-"""Golden sessions under failure: what is done, said, run and recorded."""
+"""Records a session with failures as text for a golden file."""
 
 import asyncio
 import contextlib
@@ -19,9 +19,9 @@
 _REPLY = re.compile(r'[0-9a-f]{8}-\d+( [0-9a-f]{8}-\d+){3,}')
 _MOMENT = re.compile(r'"at": [\d.]+')
 _ENGINE = re.compile(r'engine-\d+(@[\w-]+)?')
-# What a draw meets first while the table service is away depends on the
-# moment: a request of its own that fails or finds no end in time, or the
-# memory of one that failed just before. The code and ``ran`` stay.
+# Which fault a draw gets first while the table service is unreachable depends
+# on timing: its own request fails or times out, or a failure shortly before
+# is remembered. Only the message is replaced, not the code and ``ran``.
 _AWAY = re.compile(
     r'"message": "(table service: platform_(unknown|unavailable|unreachable)'
     r'|the draw takes too long)"',
@@ -30,7 +30,7 @@
 
 
 class _Events(logging.Handler):
-    """Collects the events of all routers in this process."""
+    """Collects log events of all routers in this process."""
 
     def __init__(self, names: frozenset[str]) -> None:
         super().__init__()
@@ -38,7 +38,7 @@
         self.lines: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep an event that is asked for."""
+        """Store the event if its name is selected."""
         fields = getattr(record, 'event_fields', None)
         if fields is not None and record.getMessage() in self.names:
             self.lines.append(_show(record.getMessage(), fields))
@@ -46,14 +46,14 @@
 
 @attrs.define(eq=False)
 class FailureSession:
-    """One session as it is written down.
+    """The text of one session.
 
     Parameters
     ----------
     rig : Rig
-        The routers and what they stand on.
+        The routers, the platform and the targets.
     events : frozenset of str
-        Events that are shown, sorted, each as often as it came.
+        Names of the log events to write; they are sorted, with repetitions.
     """
 
     rig: Rig
@@ -62,32 +62,32 @@
     _logged: _Events = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Listen to the log."""
+        """Attach the handler that collects events."""
         self._logged = _Events(self.events)
         logger = logging.getLogger('balsamreach')
         logger.addHandler(self._logged)
         logger.setLevel(logging.INFO)
 
     def tell(self, text: str) -> None:
-        """Write down what happens."""
+        """Write a line that describes what the test does next."""
         self.lines.extend((f'--- {text}', ''))
 
     def write(self, title: str, text: str) -> None:
-        """Write down a section."""
+        """Write a section."""
         plain = text.replace('\r\n', '\n').rstrip('\n')
         self.lines.extend((f'=== {title}', plain, ''))
 
     async def say(self, title: str, address: str, sent: bytes) -> Answer:
-        """Send a request and write down both ways."""
+        """Send a request and write it and its answer."""
         return self.took(title, sent, await receive(address, sent))
 
     def took(self, title: str, sent: bytes, received: bytes) -> Answer:
-        """Write down a request and what came back."""
+        """Write a request and the bytes received for it."""
         self.write(f'caller: {title}', _shorten(sent.decode()))
         return self.answered('answer', received)
 
     def answered(self, title: str, received: bytes) -> Answer:
-        """Write down an answer, or as much as came of it."""
+        """Write an answer, or the part received before the connection broke."""
         if not received:
             self.write(title, _BROKEN)
             return Answer('', b'')
@@ -105,7 +105,7 @@
         sent: bytes,
         status: int = 200,
     ) -> Answer:
-        """Send a request until it is answered so; write down the last."""
+        """Repeat a request until it gets a status; write the last answer."""
         for _ in range(_LOOKS):
             received = await receive(address, sent)
             if parse_answer(received).status == status:
@@ -114,7 +114,7 @@
         raise AssertionError(f'never answered {status}: {received!r}')
 
     async def wait_for_bills(self, count: int) -> None:
-        """Wait until so many bills are recorded."""
+        """Wait until at least ``count`` bills are recorded."""
         for _ in range(_LOOKS):
             if len(await self.bills()) >= count:
                 return
@@ -122,7 +122,7 @@
         raise AssertionError(f'bills: {await self.bills()}')
 
     async def wait_until_closed(self, besides: str) -> None:
-        """Wait until only one incarnation has an allotment that is open."""
+        """Wait until only the incarnation ``besides`` has open allotments."""
         for _ in range(_LOOKS):
             page = await self.rig.store.scan(Scan('allotment/'))
             held = [row.key for row in page.rows if not row.value['closed']]
@@ -132,14 +132,18 @@
         raise AssertionError(f'still open: {held}')
 
     async def bills(self) -> list[str]:
-        """Return the recorded bills."""
+        """Return the key and the tokens of each recorded bill."""
         page = await self.rig.store.scan(Scan('bill/'))
         return sorted(
             f'{row.key} {row.value["tokens"]}' for row in page.rows if row.value
         )
 
     async def books(self, title: str = 'books', *, exact: bool = True) -> None:
-        """Write down the bills and what they add up to."""
+        """Audit the budget and write the sums and the bills.
+
+        With ``exact`` false, held, stranded and free tokens are written as
+        one sum.
+        """
         report = await Auditor(self.rig.store).audit()
         sums = report.teams[TEAM]
         breaches = [str(breach) for breach in report.breaches]
@@ -152,8 +156,8 @@
             f'free {account.free}'
         )
         if not exact:
-            # How far a router had drawn ahead, and how much of that a killed
-            # one may have lent, depends on the moment; the sum must not.
+            # How much a router has drawn ahead, and how much of it a killed
+            # router may have lent, depends on timing; the sum does not.
             where = f'held, stranded and free {held + account.free}'
         text = (
             f'prepaid {account.prepaid}, recorded {sums.recorded}, {where}',
@@ -164,10 +168,10 @@
         self.write(title, '\n'.join(text))
 
     def runs(self, *keys: str) -> None:
-        """Write down how many requests targets have begun.
+        """Write how many requests the targets have started.
 
-        Engines are not told the caller's key, so all of theirs are counted;
-        the plain service is asked by key.
+        Engines do not receive the caller's key, so all their requests are
+        counted; those of the plain service are counted by key.
         """
         desk = self.rig.service.core
         lines = [
@@ -178,7 +182,13 @@
         self.write('runs so far', '\n'.join(lines))
 
     def counters(self, *starts: str) -> None:
-        """Write down counters, summed over the routers of this process."""
+        """Write counters, summed over the routers in this process.
+
+        Parameters
+        ----------
+        *starts : str
+            Prefixes of the names of the counters.
+        """
         sums: dict[str, float] = {}
         for router in self.rig.routers:
             for line in router.parts.metrics.render().split('\n'):
@@ -194,7 +204,7 @@
         Parameters
         ----------
         *logged : dict
-            Events that processes logged.
+            Events that routers in other processes logged.
         """
         lines = self._logged.lines.copy()
         lines.extend(
@@ -211,7 +221,7 @@
 
 
 async def receive(address: str, sent: bytes) -> bytes:
-    """Send bytes and return what comes back until the connection ends."""
+    """Send bytes and return the bytes received until the connection ends."""
     host, port = address.rsplit(':', 1)
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(sent)
@@ -235,7 +245,7 @@
 
 
 def _shorten(head: str) -> str:
-    # These lines say nothing of the session.
+    # These headers are irrelevant to the session.
     kept = [
         line
         for line in head.split('\r\n')
@@ -245,7 +255,10 @@
 
 
 def _collapse(found: re.Match[str]) -> str:
-    """Show a whole reply by its ends; one with a gap stays as it is."""
+    """Shorten a complete reply to its first and last words.
+
+    A reply with missing words is not changed.
+    """
     words = found.group().split()
     mark = words[0].rpartition('-')[0]
     whole = [f'{mark}-{index}' for index in range(len(words))]
@@ -258,5 +271,5 @@
         for name in _FIELDS
         if fields.get(name) is not None
     ]
-    # Which engine a request goes to is not settled.
+    # The choice of the engine is not deterministic.
     return _ENGINE.sub('ENGINE', ' '.join((event, *shown)))
--- a/tests/golden_support.py
+++ b/tests/golden_support.py
@@ -1,11 +1,11 @@
-"""Whole sessions compared with golden files.
-
-A session is what callers send and get, the bills in the table service, the
-events logged and some counters. Before it is compared, what differs from
-run to run is replaced: the Date header, keys minted by a router, ids of
-engines and routers, span ids, ports, creation times and the lengths that
-depend on these.
-``BALSAMREACH_REWRITE_GOLDEN=1`` writes the files in place of comparing.
+"""Records sessions and compares them to golden files.
+
+A session consists of the requests and answers of callers, the bills in the
+table service, logged events and some counters. Values that differ between
+runs are replaced before the comparison: the Date header, keys minted by a
+router, ids of engines and routers, span ids, ports, creation times and the
+lengths that depend on these.
+``BALSAMREACH_REWRITE_GOLDEN=1`` overwrites the files with the new sessions.
 """
 
 import asyncio
@@ -39,14 +39,14 @@
 
 
 class _Events(logging.Handler):
-    """Collects the events of the product."""
+    """Collects the selected log events."""
 
     def __init__(self) -> None:
         super().__init__()
         self.lines: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep an event's fixed fields."""
+        """Store those fields of an event that are the same in every run."""
         fields = getattr(record, 'event_fields', None)
         if fields is None or record.getMessage() not in _EVENTS:
             return
@@ -60,12 +60,12 @@
 
 @attrs.define
 class Session:
-    """One session as it is written down.
+    """The text of one session.
 
     Parameters
     ----------
     deployment : Deployment
-        What the callers talk to.
+        Deployment to which the callers send requests.
     """
 
     deployment: Deployment
@@ -79,7 +79,7 @@
         logger.setLevel(logging.INFO)
 
     async def say(self, title: str, sent: bytes) -> None:
-        """Send a request and write down both ways."""
+        """Send a request and write it and its answer."""
         self._said += 1
         received = await exchange(self.deployment.callers, sent)
         answer = parse_answer(received)
@@ -88,7 +88,7 @@
         self._write('router', f'{answer.head}\r\n\r\n{body}')
 
     async def end(self, bills: int) -> str:
-        """Wait for the bills and return the normalised session."""
+        """Wait for a number of bills and return the normalised session."""
         found: list[str] = []
         for _ in range(1000):
             page = await self.deployment.store.scan(Scan('bill/'))
@@ -102,7 +102,7 @@
             await asyncio.sleep(0.005)
         self._write('bills', '\n'.join(sorted(found)))
         events = self._events.lines
-        # The event of a request follows its last byte.
+        # The event of a request is logged after its last byte is sent.
         await until(lambda: len(events) >= self._said)
         self._write('events', '\n'.join(events))
         parts = self.deployment.routers[0].parts
@@ -118,14 +118,14 @@
 
 
 def normalise(text: str) -> str:
-    """Replace what differs from run to run."""
+    """Replace values that differ between runs."""
     for pattern, stands_for in _NORMAL:
         text = pattern.sub(stands_for, text)
     return text
 
 
 def golden(name: str, session: str) -> str:
-    """Return the golden text of a session, written first if asked for."""
+    """Return the text of a golden file, after rewriting it on request."""
     path = _DIRECTORY / f'{name}.txt'
     if os.environ.get(REWRITE) == '1':
         path.parent.mkdir(exist_ok=True)
--- a/tests/small_router.py
+++ b/tests/small_router.py
@@ -1,4 +1,4 @@
-"""One router's way of requests, on fakes of all that it stands on."""
+"""A router without listeners, on fake platform, targets and network."""
 
 import asyncio
 import random
@@ -29,16 +29,16 @@
 
 
 class QuickClock(FakeClock):
-    """A clock that moves on as soon as somebody waits for it."""
+    """A clock that every sleep advances at once."""
 
     async def sleep(self, seconds):
-        """Let time pass at once."""
+        """Advance the clock and let other tasks run once."""
         self.advance(seconds)
         await asyncio.sleep(0)
 
 
 class Caller(Sink):
-    """What one caller has received."""
+    """Records what one caller receives."""
 
     def __init__(self):
         self.status = 0
@@ -47,33 +47,33 @@
         self.came = asyncio.Event()
 
     def start(self, status, headers):
-        """Take the head."""
+        """Store the status."""
         self.status = status
 
     def write(self, chunk):
-        """Take a part of the body."""
+        """Append a chunk of the body."""
         self.body += chunk
         self.came.set()
 
     def cut(self):
-        """Never meant to happen here."""
+        """Fail the test: the router must not cut this caller off."""
         raise AssertionError('the caller was cut off')
 
     @property
     def fault(self):
-        """Why the answer is not whole."""
+        """Fault for which the answer is incomplete, None if complete."""
         return self.end.fault
 
 
 async def open_account(platform):
-    """Give the team a budget."""
+    """Create the account of the team."""
     row = Write('account/team', {'prepaid': 10**6})
     await platform.table.commit(Commit((row,)))
 
 
 @attrs.define(eq=False)
 class SmallRouter:
-    """A router without listeners."""
+    """A router's dispatcher with all components that it needs."""
 
     name: str
     platform: object
@@ -113,17 +113,17 @@
 
     @property
     def parts(self):
-        """What its requests run on."""
+        """Components that process the requests."""
         return self.dispatcher.parts
 
     def bills(self):
-        """Return the bills that wait, by request key."""
+        """Return the tokens of the unrecorded bills, by request key."""
         ledger = self.parts.budgets.ledgers.get('team')
         waiting = ledger.waiting if ledger else ()
         return {bill.key: bill.tokens for bill in waiting}
 
     async def call(self, **changes):
-        """Send a request and return its caller after the end."""
+        """Send a request, wait until it has ended and return its caller."""
         caller = Caller()
         answer = self.dispatcher.submit(self.request(**changes))
         answer.attach(caller)
@@ -131,7 +131,7 @@
         return caller
 
     def request(self, **changes):
-        """Return a call; a key of None is minted."""
+        """Return a call; if ``key`` is None, a key is minted."""
         key = changes.pop('key', 'key')
         mark = changes.pop('mark', 'f')
         minted = key is None
@@ -160,7 +160,7 @@
 
 
 def service_call(**changes):
-    """Return the changes that make a call one of a plain service."""
+    """Return changes for ``call`` that address a plain service."""
     plain = {
         'kind': 'service',
         'name': 'desk',
@@ -173,7 +173,7 @@
 
 
 def target_rows(count=_ENGINES):
-    """Yield the rows of engines and of as many workers of a service."""
+    """Yield rows of ``count`` engines and ``count`` plain services."""
     for number in range(count):
         yield _row(f'engine-{number}', 'llm', 'engine', number, ['model-a'])
         yield _row(f'desk-{number}', 'desk', 'service', 9 + number, [])
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Helpers that several test modules share."""
+"""Clocks, processes and HTTP requests that several test modules use."""
 
 import asyncio
 import heapq
@@ -21,7 +21,7 @@
 
 @attrs.define(eq=False)
 class HeldClock(Clock):
-    """A clock that stands still; its subclasses say what moves it."""
+    """A clock whose time is set; its subclasses define what advances it."""
 
     seconds: float = 1000
     _sleepers: list[tuple[float, int, asyncio.Future]] = attrs.field(
@@ -30,26 +30,26 @@
     _numbers: itertools.count = attrs.field(factory=itertools.count)
 
     def now(self) -> float:
-        """Return the time set."""
+        """Return the current time in seconds."""
         return self.seconds
 
     def wall(self) -> float:
-        """Return the time set, as wall time."""
+        """Return the same time as ``now``."""
         return self.seconds
 
     async def sleep(self, seconds: float) -> None:
-        """Suspend until the clock was moved far enough."""
+        """Suspend until the clock has advanced by that many seconds."""
         fut = asyncio.get_running_loop().create_future()
         wakes = (self.seconds + seconds, next(self._numbers), fut)
         heapq.heappush(self._sleepers, wakes)
         await fut
 
     def sleeps_until(self, end: float) -> bool:
-        """Return whether anybody is to wake by then."""
+        """Return whether a sleeper is due at ``end`` or earlier."""
         return bool(self._sleepers) and self._sleepers[0][0] <= end
 
     def wake_next(self) -> float:
-        """Wake whoever is next, and return for when that was asked."""
+        """Wake the sleeper that is due first and return its due time."""
         wakes_at, _, fut = heapq.heappop(self._sleepers)
         if not fut.done():
             fut.set_result(None)
@@ -57,10 +57,10 @@
 
 
 class FakeClock(HeldClock):
-    """A clock that stands still until a test moves it."""
+    """A clock that a test advances."""
 
     def advance(self, seconds: float) -> None:
-        """Move the clock on and wake, in order, whose time has come."""
+        """Advance the clock and wake the sleepers that are due, in order."""
         self.seconds += seconds
         while self.sleeps_until(self.seconds):
             self.wake_next()
@@ -68,33 +68,33 @@
 
 @attrs.define(eq=False)
 class ManualClock(HeldClock):
-    """A clock that begins at 0 and is moved on by whoever sleeps."""
+    """A clock that starts at 0 and that every sleep advances."""
 
     seconds: float = 0
 
     async def sleep(self, seconds: float) -> None:
-        """Let the time pass at once."""
+        """Advance the clock without suspending."""
         self.seconds += seconds
 
 
 @attrs.define
 class Process:
-    """A role of the program, run as a process of its own."""
+    """A running process of the program and its first line of output."""
 
     popen: subprocess.Popen
     first_line: str
 
     @property
     def address(self) -> str:
-        """``ip:port`` that the first line names."""
+        """``ip:port`` on which the process listens, from its first line."""
         return json.loads(self.first_line)['address']
 
 
 def command_line() -> list[str]:
-    """Return the command to start the program with.
+    """Return the command that starts the program.
 
-    The variable ``BALSAMREACH_BINARY`` names a built file to test instead
-    of the checkout.
+    The environment variable ``BALSAMREACH_BINARY`` names a built file to
+    test instead of the checkout.
     """
     binary = os.environ.get('BALSAMREACH_BINARY')
     if binary:
@@ -104,7 +104,7 @@
 
 @contextmanager
 def process(*arguments: str) -> Generator[Process, None, None]:
-    """Run the program until the block ends, then end it by SIGTERM."""
+    """Run the program for the duration of the block, then send SIGTERM."""
     popen = subprocess.Popen(
         [*command_line(), *arguments],
         stdout=subprocess.PIPE,
@@ -124,14 +124,14 @@
 
 @attrs.frozen
 class Reply:
-    """An HTTP answer as a test sees it."""
+    """An HTTP response."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def json(self) -> Any:
-        """Return the JSON of the body."""
+        """Return the body decoded as JSON."""
         return json.loads(self.body)
 
 
@@ -142,20 +142,20 @@
     method: str = '',
     **headers: str,
 ) -> Reply:
-    """Send one HTTP request and return whatever answer comes.
+    """Send one HTTP request and return the response of any status.
 
     Parameters
     ----------
     url : str
-        Where to send it.
+        URL of the request.
     secret : str
-        Key for the Authorization header.
+        Team's or operator's key for the Authorization header.
     body : object
         Sent as JSON; None sends no body.
     method : str
-        Empty for POST with a body and GET without.
+        HTTP method; empty means POST with a body and GET without.
     **headers : str
-        More headers, with underscores for hyphens.
+        Additional headers, with underscores in place of hyphens.
     """
     sent = None if body is None else json.dumps(body).encode()
     req = request.Request(url, data=sent, method=method or None)
--- a/tests/test_golden_sessions.py
+++ b/tests/test_golden_sessions.py
@@ -1,4 +1,4 @@
-"""Golden sessions of the two users in examples/."""
+"""Golden sessions and example files of the two users in examples/."""
 
 import json
 import unittest
@@ -26,7 +26,7 @@
 
 
 class GoldenTest(unittest.IsolatedAsyncioTestCase):
-    """What callers, bills and logs show of whole sessions."""
+    """Sessions without failures of the platform or the routers."""
 
     maxDiff = None
 
@@ -43,11 +43,10 @@
         self.assertEqual(text, golden(name, text))
 
     async def test_quote_from_a_tablet_that_retries(self):
-        """A tablet repeats its request by itself.
+        """A request that is repeated under its key is billed once.
 
-        Symptom: one quote is billed twice. Events: the tablet sends, loses
-        patience and sends the same under the same key. Cause: the second
-        was taken for a new request.
+        Guards against two bills for one quote: a tablet times out and sends
+        the same request again, which is handled as a new one.
         """
         sent = request(
             _CHAT,
@@ -59,10 +58,11 @@
         await self.check('tekercs-quote-retried', bills=1)
 
     async def test_certificate_called_twice(self):
-        """A doubled certificate confuses the customer's auditors.
+        """A repeated non-idempotent call runs once.
 
-        Symptom: two certificates. Events: the answer is late, the caller
-        sends again. Cause: the call ran once more.
+        Guards against two certificates, which confuse the customer's
+        auditors: the answer is late, the caller sends the call again and it
+        runs again.
         """
         sent = request(
             _CERTIFICATE,
@@ -85,10 +85,10 @@
         await self.check('kymata-confirmation', bills=1)
 
     async def test_stream_cut_and_resumed(self):
-        """A stream breaks in the middle of an answer.
+        """A stream is resumed after its connection to the engine breaks.
 
-        Symptom: a guest reads half an answer. Events: the connection to the
-        engine breaks after some events. Cause: nobody fetched the rest.
+        Guards against half an answer: the connection breaks after some
+        events and the router does not fetch the rest.
         """
         engine = self.deployment.engine.core
         engine.cfg.cut_after = 4
@@ -114,7 +114,7 @@
 
 
 class ExamplesTest(unittest.TestCase):
-    """The files in examples/ can be used as they are."""
+    """The files in examples/ are valid."""
 
     def test_settings(self):
         files = sorted(_EXAMPLES.glob('*/*.ini'))
--- a/tests/test_sessions_answers.py
+++ b/tests/test_sessions_answers.py
@@ -1,4 +1,4 @@
-"""Golden sessions of duplicates and of late and foreign answers."""
+"""Golden sessions of duplicate requests and of misdirected answers."""
 
 import asyncio
 from unittest import mock
@@ -12,10 +12,10 @@
 
 
 class AnswerTest(FailureCase):
-    """Every caller gets its own answer, whole and once."""
+    """Every caller gets the complete answer to its own request."""
 
     async def begin(self, engines=1):
-        """Start two routers."""
+        """Start the targets and two routers."""
         await self.open(Rig(engines=engines))
         await self.rig.start(2)
 
@@ -24,7 +24,7 @@
         return asyncio.create_task(receive(self.address(number), sent))
 
     async def end(self, name, *keys):
-        """Let the routers leave and compare the session."""
+        """Stop the routers and compare the session."""
         for router in self.rig.routers:
             await router.leave()
         self.rig.routers.clear()
@@ -33,11 +33,11 @@
         self.check(name)
 
     async def test_duplicates_at_two_routers(self):
-        """A tablet that asks three times pays three times.
+        """Duplicates at two routers share one run and one bill.
 
-        Symptom: several runs and bills for one report. Events: the tablet
-        asks at two routers at once and again while the answer is still
-        being made. Cause: each router knows only what it runs itself.
+        Guards against several runs and bills for one report: a tablet sends
+        the same request to two routers, and again while the answer is being
+        generated, and each router knows only its own runs.
         """
         await self.begin()
         engine = self.rig.engine.core
@@ -60,16 +60,16 @@
         await self.end('duplicates')
 
     def is_followed(self):
-        """Return whether the second router copies from the first one."""
+        """Return whether the second router receives the first one's answer."""
         answers = self.rig.routers[1].parts.dispatcher.parts.answers
         known = answers.known('winders', 'report-5')
         return known is not None and known.body.size > 0
 
     async def test_doubled_certificate_at_two_routers(self):
-        """A certificate that is asked for at two routers runs twice.
+        """A non-idempotent call at two routers runs once.
 
-        Symptom: two certificates. Events: both routers get the call while
-        the service works on it. Cause: no claim decides between them.
+        Guards against two certificates: both routers get the call while the
+        service processes it, and no claim decides which of them sends it.
         """
         await self.begin()
         desk = self.rig.service.core
@@ -85,16 +85,16 @@
         await self.end('certificate-at-two-routers', 'certificate-m-17')
 
     def is_known_to_second(self):
-        """Return whether the second router has taken the call."""
+        """Return whether the second router has accepted the call."""
         answers = self.rig.routers[1].parts.dispatcher.parts.answers
         return answers.known('winders', 'certificate-m-17') is not None
 
     async def test_answers_out_of_order(self):
-        """An answer that comes late goes to the wrong caller.
+        """Answers that finish out of order go to the right callers.
 
-        Symptom: a guest reads another one's lesson plan. Events: the first
-        request is slow, the second one is answered before it, on the same
-        router and engine. Cause: answers are matched by their order.
+        Guards against a guest who gets the lesson plan of another: at one
+        router and engine, the second request is answered before the first,
+        and answers are matched to requests by their order.
         """
         await self.begin()
         engine = self.rig.engine.core
@@ -111,11 +111,11 @@
         await self.end('answers-out-of-order')
 
     async def test_foreign_answer(self):
-        """A target answers with what belongs to another request.
+        """An answer that names another attempt is rejected.
 
-        Symptom: a caller reads another one's answer. Events: an engine
-        mixes two requests up, and names the other attempt in its answer.
-        Cause: whatever comes back is taken for the answer.
+        Guards against a caller who gets the answer to another request: an
+        engine confuses two requests and names the other attempt in its
+        answer, and the router does not check the attempt.
         """
         await self.begin(engines=2)
         mixed = _MixedUp(EngineHandler.read_by)
@@ -132,13 +132,13 @@
 
 @attrs.define
 class _MixedUp:
-    """Names another attempt in the first answer of an engine."""
+    """Replaces the attempt id in the first answer of an engine."""
 
     plain: object
     done: bool = False
 
     def read_by(self, handler, generation):
-        """Take the part of the engine's own method."""
+        """Stand in for ``EngineHandler.read_by``."""
         if not self.done:
             self.done = True
             generation.headers['X-Attempt-Id'] = 'of-another-request'
--- a/tests/test_sessions_kill.py
+++ b/tests/test_sessions_kill.py
@@ -17,10 +17,10 @@
 
 
 class KillTest(FailureCase):
-    """One router is a process and is killed, the other one stays."""
+    """A router in a separate process is killed, another one keeps running."""
 
     async def begin(self, *events, more=()):
-        """Start the router that stays and the process to be killed."""
+        """Start the router that keeps running and the process to kill."""
         await self.open(Rig(), *events)
         await self.rig.start(1)
         port = free_port()
@@ -29,17 +29,17 @@
         await self.rig.meet()
 
     async def replace(self) -> RouterProcess:
-        """Start a new router on the address of the killed one."""
+        """Start a new router on the peers' address of the killed one."""
         self.session.tell('a new router starts on the address of the killed')
         self.rig.more['victim'] = self.rig.more['victim'][:1]
         return await self.rig.add_process('victim')
 
     def sees(self):
-        """Return how many routers the one that stays holds to be alive."""
+        """Return the number of routers alive, seen by the one still running."""
         return len(self.rig.routers[0].parts.net.members())
 
     async def end(self, name, successor):
-        """Let both routers leave and compare the session."""
+        """Stop both routers and compare the session."""
         self.session.tell('both routers leave')
         await self.rig.routers.pop().leave()
         await successor.leave()
@@ -47,12 +47,12 @@
         self.check(name, *successor.events())
 
     async def test_stream_is_taken_up_by_another_router(self):
-        """A caller gets half a report, or pays for it twice.
+        """Another router resumes the stream of a killed router.
 
-        Symptom: the report breaks off, or there are two runs and two bills.
-        Events: a stream is open at a router; the router is killed; the
-        caller asks again at another one under the same key. Cause: the
-        other router knows nothing of the run that goes on at the engine.
+        Guards against half a report, or two runs and two bills: a router is
+        killed while a stream is open, the caller repeats the request at
+        another router under the same key, and that router does not know the
+        run that continues at the engine.
         """
         await self.begin('allotment_taken_over')
         engine = self.rig.engine.core
@@ -82,11 +82,11 @@
         await self.end('kill-open-stream', successor)
 
     async def test_bills_of_a_killed_router_while_the_store_is_down(self):
-        """Work is done and never billed.
+        """Unrecorded bills of a killed router are recorded by its peer.
 
-        Symptom: fewer bills than answers. Events: the platform is down, so
-        that a router's bills wait; the router is killed; the platform comes
-        back. Cause: the bills were in that router's memory alone.
+        Guards against fewer bills than answers: a router can't record its
+        bills because the platform is down, and is killed before the
+        platform is back, and the bills exist only in its memory.
         """
         await self.begin('allotment_taken_over')
         warm = ask('Quote', 3, 'before')
@@ -114,12 +114,11 @@
         await self.end('kill-store-down', successor)
 
     async def test_certificate_of_a_killed_router(self):
-        """A certificate is issued twice.
+        """A non-idempotent call of a killed router is not sent again.
 
-        Symptom: the service was called twice under one key. Events: a
-        router calls the service and is killed before the answer comes; the
-        caller asks again at another one. Cause: nobody else knows that the
-        call was made.
+        Guards against two certificates under one key: a router sends the
+        call and is killed before the answer arrives, the caller repeats it
+        at another router, and that router does not know that it was sent.
         """
         await self.begin()
         desk = self.rig.service.core
@@ -141,7 +140,7 @@
         await self.end('kill-certificate', successor)
 
     async def wait_until_closed(self):
-        """Wait until nothing is held in the name of the killed router."""
+        """Wait until all allotments of the killed router are closed."""
         stays = self.rig.routers[0].parts.net.me.incarnation
         await self.session.wait_until_closed(besides=stays)
 
@@ -150,7 +149,7 @@
     """A router is shut down while requests are in progress."""
 
     async def begin(self, *events):
-        """Open two streams at one of two routers and let it leave."""
+        """Open two streams at one of two routers and shut it down."""
         await self.open(Rig(), *events)
         await self.rig.start(2)
         engine = self.rig.engine.core
@@ -167,24 +166,24 @@
         first = self.rig.routers[0]
         self.leaving = asyncio.create_task(first.leave())
         await wait_ready(first.operators.address, 'leaving')
-        # One that does not wait for its streams is gone by then.
+        # A router that does not wait for its streams has stopped within 1 s.
         await asyncio.wait({self.leaving}, timeout=1)
         gone = 'yes' if self.leaving.done() else 'no'
         self.session.write('it is gone before they end', gone)
         self.rig.routers.remove(first)
 
     async def finish(self):
-        """Let the streams end and write them down."""
+        """Let the streams end and write their answers."""
         self.rig.gate.opened.set()
         for sent, stream in self.streams:
             self.session.took('stream', sent, await stream)
 
     async def test_streams_are_whole_and_bills_recorded(self):
-        """A shutdown cuts a guest's answer off or loses its bill.
+        """A shutdown waits for open streams and their bills.
 
-        Symptom: a stream without its end, or without a bill. Events: a
-        router has open streams and is told to leave. Cause: it ends before
-        they do, or before their bills are recorded.
+        Guards against a stream without its end or without a bill: a router
+        with open streams is shut down and stops before the streams end, or
+        before their bills are recorded.
         """
         await self.begin('requests_cut_off', 'router_leaving', 'router_left')
         await self.finish()
@@ -194,11 +193,11 @@
         self.check('shutdown-streams')
 
     async def test_bills_are_handed_over_while_the_store_is_down(self):
-        """A shutdown during an outage loses what was not recorded.
+        """A shutdown during an outage hands unrecorded bills to a peer.
 
-        Symptom: answers without a bill after an outage. Events: the
-        platform is down; a router has open streams and is told to leave;
-        the platform comes back. Cause: its bills ended with it.
+        Guards against answers without a bill after an outage: a router with
+        open streams is shut down while the platform is down, and its bills
+        exist only in its memory.
         """
         await self.begin('bills_handed_over', 'bills_left_behind')
         self.session.tell('the platform goes down')
@@ -215,12 +214,12 @@
 
 
 def _generation(sharing, key):
-    """Return whether a router was told which generation answers a request."""
+    """Return whether a run directory has the generation of a request."""
     entry = sharing.notes._notes.get(('winders', key))
     return entry is not None and bool(entry[1].generation)
 
 
 def _reads(engine):
-    """Return whether somebody reads a generation of the engine."""
+    """Return whether a generation of the engine has a reader."""
     held = engine.generations._held.values()
     return any(generation.readers for generation in held)
--- a/tests/test_sessions_partition.py
+++ b/tests/test_sessions_partition.py
@@ -1,4 +1,4 @@
-"""Golden sessions of availability zones that are cut off."""
+"""Golden sessions of network partitions between availability zones."""
 
 from parameterized import parameterized
 
@@ -17,10 +17,10 @@
 
 
 class PartitionTest(FailureCase):
-    """A zone is cut off from the others and from the platform."""
+    """A zone is cut off from another zone and from the platform."""
 
     async def begin(self, *events, prepaid=200):
-        """Start a router in each of two zones; each draws its allotment."""
+        """Start a router in each of two zones and let both draw tokens."""
         rig = Rig(prepaid=prepaid)
         await self.open(rig, *events)
         rig.more['router-1'] = ('host.zone=zone-b',)
@@ -34,18 +34,27 @@
         await self.session.books()
 
     async def cut(self):
-        """Cut the second router off from all but its callers and targets."""
+        """Cut the second router off from all but its callers and targets.
+
+        Returns when both routers have noticed it.
+        """
         self.session.tell('zone-b is cut off from zone-a and the platform')
         for link in self.rig.links:
             link.cut = True
         await self.part()
 
     async def part(self):
-        """Wait until each router holds itself to be alone."""
+        """Wait until each router sees no other router alive."""
         await wait(lambda: self.sees(0) == self.sees(1) == 1)
 
     async def cut_one_way(self, lost):
-        """Lose all that the second router sends, or all that it is sent."""
+        """Drop all that the second router sends, or all that it receives.
+
+        Parameters
+        ----------
+        lost : str
+            The direction to drop, ``sends`` or ``receives``.
+        """
         self.session.tell(f'all that the router of zone-b {lost} is lost')
         platform, first, second = self.rig.links
         is_sent = lost == 'sends'
@@ -57,24 +66,24 @@
         await self.part()
 
     def sees(self, number):
-        """Return how many routers one holds to be alive."""
+        """Return the number of routers alive, seen by one router."""
         return len(self.rig.routers[number].parts.net.members())
 
     async def top_up(self, tokens):
-        """Top the budget up through the router of zone-a."""
+        """Top up the budget through the router of zone-a."""
         self.session.tell(f'{tokens} tokens are topped up in zone-a')
         operators = self.rig.routers[0].operators.address
         await exchange(operators, top_up(tokens))
 
     async def heal(self, bills):
-        """Mend the links and wait until all bills are recorded."""
+        """Restore the links and wait until all bills are recorded."""
         self.session.tell('the network heals')
         self.rig.heal()
         await self.session.wait_for_bills(bills)
         await self.rig.meet()
 
     async def end(self, name):
-        """Let the routers leave and compare the session."""
+        """Stop the routers and compare the session."""
         self.session.tell('both routers leave')
         for router in self.rig.routers:
             await router.leave()
@@ -83,12 +92,13 @@
         self.check(name)
 
     async def test_top_up_on_the_other_side(self):
-        """A team spends more than it has paid for, or loses a bill.
+        """A partition with a top-up in one zone neither overspends nor loses.
 
-        Symptom: the recorded spend passes the prepaid budget after a long
-        partition. Events: both zones hold tokens of a budget that is drawn
-        whole; one is cut off and goes on; the budget is topped up on the
-        other side. Cause: a zone that cannot ask spends what others hold.
+        Guards against more recorded use than prepaid tokens, or a lost bill,
+        after a long partition: both zones hold tokens of a budget that is
+        drawn completely, one is cut off and continues, the budget is topped
+        up in the other, and the isolated zone spends tokens that it does not
+        hold.
         """
         await self.begin()
         await self.cut()
@@ -101,8 +111,8 @@
         for number in range(3):
             sent = ask('Quote', 20, f'near-{number}')
             title = f'quote {number} in zone-a'
-            # A router remembers for a second that an account was empty, so
-            # it may refuse at first although the top-up came.
+            # A router remembers for 1 s that an account is empty, so it may
+            # refuse requests at first despite the top-up.
             await self.session.say_until(title, self.address(0), sent)
         await self.session.wait_for_bills(5)
         await self.session.books(
@@ -115,12 +125,12 @@
         await self.end('partition-top-up')
 
     async def test_lost_answers_after_a_partition(self):
-        """Bills are recorded twice when a zone comes back.
+        """Lost answers after a partition do not count writes twice.
 
-        Symptom: a bill, or a draw, counts twice. Events: a zone was cut
-        off and holds bills; when it can reach the platform again, the
-        answers to its first writes are lost. Cause: a write without an
-        answer is made again as if it had not taken effect.
+        Guards against a bill or a draw that counts twice: a zone was cut off
+        and has unrecorded bills, the answers to its first writes after the
+        partition are lost, and the router repeats these writes as if they
+        had not taken effect.
         """
         await self.begin(prepaid=400)
         await self.cut()
@@ -143,13 +153,14 @@
 
     @parameterized.expand((('sends',), ('receives',)))
     async def test_one_way(self, lost):
-        """Something is done twice that was done although nobody heard of it.
-
-        Symptom: a certificate is issued twice, a bill or a draw counts
-        twice, or a caller is told "not run" of one that ran. Events: only
-        one way between a zone and all else is cut; its requests vanish, or
-        take effect while each answer is lost; callers ask again. Cause: no
-        answer is taken for no effect.
+        """A partition in one direction repeats nothing that took effect.
+
+        Guards against a certificate that is issued twice, a bill or a draw
+        that counts twice, or an answer "not run" for a call that ran: only
+        one direction between a zone and the rest is cut, so that its
+        requests are lost, or take effect and the answers are lost. Callers
+        repeat their requests, and the router treats a missing answer as a
+        write without effect.
         """
         await self.begin(prepaid=400)
         await self.cut_one_way(lost)
@@ -168,10 +179,10 @@
         await self.end(f'partition-one-way-{lost}')
 
     async def certificates(self):
-        """Ask for a certificate in the zone that can't claim it, and again.
+        """Send a non-idempotent call in the cut-off zone, then in the other.
 
-        Where answers are lost a claim may have been made or not, and the
-        caller of the second one is told of it.
+        If answers are lost, it is unknown whether the claim was recorded;
+        the answer to the second call says so.
         """
         sent = certificate('certificate-m-17')
         await self.session.say('certificate in zone-b', self.address(1), sent)
--- a/tests/test_sessions_pause.py
+++ b/tests/test_sessions_pause.py
@@ -1,4 +1,4 @@
-"""Golden sessions of a router that is paused and wakes up."""
+"""Golden sessions of a router that is paused and resumed."""
 
 import asyncio
 import signal
@@ -15,10 +15,10 @@
 
 
 class PauseTest(FailureCase):
-    """One router is a process that is stopped, the other one runs on."""
+    """A router in a separate process is paused, another keeps running."""
 
     async def begin(self, prepaid=200):
-        """Start both; each serves a request and holds the rest."""
+        """Start both routers and let each serve a request and keep tokens."""
         await self.open(Rig(prepaid=prepaid))
         await self.rig.start(1)
         port = free_port()
@@ -31,24 +31,23 @@
         await self.session.books()
 
     async def pause(self):
-        """Stop the process until the other one holds it for dead."""
+        """Pause the process and wait until the other router sees it as dead."""
         self.session.tell('the router is paused')
         self.sleeper.signal(signal.SIGSTOP)
         net = self.rig.routers[0].parts.net
         await wait(lambda: len(net.members()) == 1)
 
     def wake(self):
-        """Let the process run on."""
+        """Resume the process."""
         self.session.tell('the paused router wakes up')
         self.sleeper.signal(signal.SIGCONT)
 
     async def take_over(self):
-        """Close what the paused one holds, as its successor would.
+        """Close the allotments of the paused router as its successor does.
 
-        A process that is only stopped keeps its port, so no other one can
-        be started there; in the field the platform gives the address of a
-        host that hangs to a new one. What the new one commits is what this
-        commits.
+        A paused process keeps its port, so that no other process can start
+        on it. In production the platform assigns the address of a hung host
+        to a new one. This makes the same commits as the new one would.
         """
         self.session.tell('a successor on its address takes over')
         cfg = self.rig.routers[0].cfg.budget
@@ -64,7 +63,7 @@
         await self.session.books('books after the takeover')
 
     async def end(self, name, *keys):
-        """Let both routers leave and compare the session."""
+        """Stop both routers and compare the session."""
         await self.sleeper.leave()
         await self.rig.routers.pop().leave()
         self.session.tell('both routers have left')
@@ -73,12 +72,12 @@
         self.check(name)
 
     async def test_holder_was_taken_over_and_the_budget_topped_up(self):
-        """A holder that was asleep spends what others have spent since.
+        """A resumed router does not spend tokens that were taken over.
 
-        Symptom: the recorded spend passes the prepaid budget. Events: a
-        router is paused for long; a successor returns its tokens; another
-        router spends them, and a top-up; the paused one wakes up and still
-        believes in them. Cause: it does not look before it spends.
+        Guards against more recorded use than prepaid tokens: a router is
+        paused for long, a successor returns its tokens, another router
+        spends them and a top-up, and the paused router resumes and spends
+        them again without checking its allotment.
         """
         await self.begin()
         await self.pause()
@@ -95,7 +94,7 @@
             title = f'quote {number} at the other router'
             sent = ask('Quote', 20)
             await self.session.say(title, self.address(0), sent)
-        # The process finds out by its clock that it did not run.
+        # The process detects the pause by the jump of its clock.
         await asyncio.sleep(PAUSE_S + 1)
         self.wake()
         for number in range(2):
@@ -105,12 +104,12 @@
         await self.end('pause-taken-over')
 
     async def test_claim_of_a_paused_holder(self):
-        """A certificate runs at the holder that wakes up, and elsewhere.
+        """A call that a paused router has claimed runs once.
 
-        Symptom: two certificates. Events: a router has claimed a call and is
-        paused before it dispatches it; the caller asks again at another
-        router; the paused one wakes up and goes on. Cause: a claim that
-        lapses, so that the other one runs the call too.
+        Guards against two certificates: a router claims a call and is paused
+        before it sends it, the caller repeats the call at another router,
+        the claim lapses so that this router sends it, and the paused router
+        resumes and sends it too.
         """
         await self.begin(prepaid=1000)
         held = HeldCommit('claim/', applied=True)
--- a/tests/test_sessions_store.py
+++ b/tests/test_sessions_store.py
@@ -1,4 +1,4 @@
-"""Golden sessions of a table service that is away or loses answers."""
+"""Golden sessions of table service outages, lost answers and races."""
 
 import asyncio
 
@@ -16,10 +16,10 @@
 
 
 class DownTest(FailureCase):
-    """The platform is away for long."""
+    """The platform is down for a long time."""
 
     async def begin(self, *overrides):
-        """Start a router, let it draw, and take the platform away."""
+        """Start a router, let it draw tokens and take the platform down."""
         await self.open(Rig(overrides=overrides))
         await self.rig.start(1)
         sent = ask('Quote', 20, 'before')
@@ -29,7 +29,7 @@
         self.rig.weather.down = True
 
     async def back(self, bills):
-        """Bring the platform back and wait for the bills."""
+        """Bring the platform back, wait for the bills and stop the router."""
         self.session.tell('the platform is back')
         self.rig.weather.down = False
         await self.session.wait_for_bills(bills)
@@ -41,12 +41,12 @@
         await self.session.books()
 
     async def test_serves_from_its_allotment_then_refuses(self):
-        """An outage of the platform stops everything, or is not noticed.
+        """During an outage a router spends its allotment, then refuses.
 
-        Symptom: requests are refused though tokens are at hand, or are
-        served beyond them, or callers wait without an answer. Events: the
-        platform is down for long. Cause: a router that asks for each
-        request, or one that goes on without tokens.
+        Guards against requests that are refused although the router holds
+        tokens, served although it holds none, or left without an answer:
+        the platform is down for a long time, and the router asks it for each
+        request or continues without tokens.
         """
         await self.begin()
         for number in range(4):
@@ -60,11 +60,11 @@
         self.check('store-down')
 
     async def test_bills_that_wait_are_bounded(self):
-        """A long outage fills a router's memory with bills.
+        """The number of unrecorded bills is limited.
 
-        Symptom: a router runs out of memory in an outage. Events: the
-        platform is down, the allotment is large, bills wait. Cause: nothing
-        bounds their number.
+        Guards against a router that runs out of memory: the platform is
+        down, the allotment is large, and unrecorded bills pile up without a
+        limit.
         """
         await self.begin('budget.bills_limit=2', 'budget.least_draw=1000')
         for number in range(3):
@@ -77,20 +77,20 @@
 
 
 class LostAnswerTest(FailureCase):
-    """A write takes effect and its answer is lost."""
+    """A write takes effect, but its answer is lost."""
 
     async def begin(self):
-        """Start a router that records bills only when told to."""
+        """Start a router that records bills only on an explicit flush."""
         await self.open(Rig(overrides=(_NO_ROUNDS,)))
         await self.rig.start(1)
 
     async def lose(self, what):
-        """Lose the next answer."""
+        """Drop the next answer of the table service."""
         self.session.tell(f'the answer to {what} will be lost')
         self.rig.weather.lose_answers = 1
 
     async def rows(self, title, prefix):
-        """Write down the rows of a prefix."""
+        """Write the rows whose keys have a prefix."""
         page = await self.rig.store.scan(Scan(prefix))
         shown = [f'{row.key} {_shown(row.value)}' for row in page.rows]
         lost = self.rig.weather.lose_answers
@@ -98,11 +98,11 @@
         self.session.write(title, '\n'.join(lines))
 
     async def test_draw_and_settlement(self):
-        """Tokens are drawn, or a bill is counted, twice.
+        """A draw and a settlement with lost answers count once.
 
-        Symptom: an account shows more taken than is held, or a bill counts
-        twice. Events: a commit takes effect and its answer is lost; it is
-        made again. Cause: the second one is taken for a new one.
+        Guards against an account that shows more tokens taken than are held,
+        or a bill that counts twice: a commit takes effect, its answer is
+        lost, and the repeated commit counts as a new one.
         """
         await self.begin()
         await self.lose('the draw')
@@ -117,11 +117,11 @@
         self.check('lost-answer-draw-settle')
 
     async def test_claim(self):
-        """A certificate runs twice, or never, after a lost answer.
+        """A call whose claim was recorded without an answer runs once.
 
-        Symptom: two certificates, or a refusal for good. Events: the claim
-        is recorded and the answer is lost. Cause: the router takes its own
-        claim for another one's, or another one's for its own.
+        Guards against two certificates or a permanent refusal: the claim is
+        recorded and the answer is lost, and the router takes its own claim
+        for that of another router, or the reverse.
         """
         await self.begin()
         warm = ask('Quote', 20, 'before')
@@ -137,11 +137,11 @@
         self.check('lost-answer-claim')
 
     async def test_edit(self):
-        """A top-up counts twice.
+        """A repeated top-up counts once.
 
-        Symptom: more prepaid than was paid. Events: the top-up takes
-        effect, its answer is lost, it is made again. Cause: the second one
-        is taken for another top-up.
+        Guards against more prepaid tokens than were paid for: the top-up
+        takes effect, its answer is lost, and the repetition counts as
+        another top-up.
         """
         await self.begin()
         await self.lose('the top-up')
@@ -161,12 +161,12 @@
     """Two operators edit one row at the same time."""
 
     async def test_one_wins_and_the_other_is_told(self):
-        """An edit disappears without a word.
+        """Of two concurrent edits one is accepted and one refused.
 
-        Symptom: an operator's accepted edit is overwritten by somebody who
-        never saw it. Events: both read a row; the commit of one is under
-        way as the other one's takes effect. Cause: writes that do not
-        depend on what was read.
+        Guards against an accepted edit that an operator overwrites without
+        having seen it: both operators read a row, the commit of one takes
+        effect while that of the other is in progress, and writes do not
+        depend on the version that was read.
         """
         await self.open(Rig())
         await self.rig.start(2)
--- a/tests/test_sessions_table.py
+++ b/tests/test_sessions_table.py
@@ -1,4 +1,4 @@
-"""Golden session of an edit that must never be undone."""
+"""Golden session of an edit that an old snapshot must not undo."""
 
 from balsamreach.daemon.router import READY, STARTING
 from balsamreach.table.rows import PAUSED
@@ -14,15 +14,15 @@
 
 
 class EditTest(FailureCase):
-    """A zone is cut off from the platform and a router restarts there."""
+    """A router restarts in a zone without the table service."""
 
     async def test_accepted_edit_never_goes_back(self):
-        """A paused team is served again after a restart.
+        """A restarted router does not serve from an outdated snapshot.
 
-        Symptom: an edit that was in force everywhere is undone at one
-        router. Events: the team is paused; a zone loses the table service;
-        a router restarts there and finds an old snapshot in the object
-        store. Cause: it serves by the snapshot.
+        Guards against a paused team that is served again: the team is paused
+        at all routers, a zone loses the table service, and a router restarts
+        there, reads an old snapshot from the object store and serves with
+        it.
         """
         await self.open(Rig())
         zone = ('host.zone=zone-b', 'table.snapshot_interval=1ms')
@@ -70,7 +70,7 @@
         ]
 
     async def ask_all(self):
-        """Ask every router."""
+        """Send a request to every router and write the answers."""
         for router in self.rig.routers:
             title = f'quote at {router.cfg.host.name}'
             await self.session.say(title, router.callers.address, ask('Quote'))
--- a/tests/test_sessions_targets.py
+++ b/tests/test_sessions_targets.py
@@ -1,4 +1,4 @@
-"""Golden sessions of targets that crash, leave or fall silent."""
+"""Golden sessions of targets that crash, leave or stop responding."""
 
 import asyncio
 from unittest import mock
@@ -15,19 +15,20 @@
 
 
 class CrashTest(FailureCase):
-    """One request crashes each engine that runs it."""
+    """A request crashes every engine that runs it."""
 
     async def test_sent_again_under_new_keys(self):
-        """One request takes all engines down.
+        """A request that crashes engines is quarantined under any key.
 
-        Symptom: engines die one after the other. Events: a request crashes
-        the engine that runs it, and is sent again under other keys and at
-        another router. Cause: each time it is given to a sound engine.
+        Guards against engines that crash one after the other: a request
+        crashes its engine and is sent again under other keys and at another
+        router, and each time a router sends it to a working engine.
         """
         await self.open(Rig(engines=4), 'request_quarantined')
         await self.rig.start(2)
-        # Who breaks off is compared with its next start by what it said of
-        # itself before; a request that came first would prove nothing.
+        # A crash is recognised by the change of incarnation, so the routers
+        # must know that of each engine before the first request; otherwise
+        # the test would prove nothing.
         await wait(lambda: all(map(_knows_starts, self.rig.routers)))
         for engine in self.rig.pool:
             engine.core.cfg.crash_mark = _POISON
@@ -53,25 +54,26 @@
         self.check('crashing-request')
 
     def count_lost(self):
-        """Write down how many engines are down."""
+        """Write the number of engines that are down."""
         lost = sum(engine.core.crashed for engine in self.rig.pool)
         self.session.write('engines down', f'{lost} of {len(self.rig.pool)}')
 
     def is_known(self, router):
-        """Return whether a router refuses the request for good."""
+        """Return whether a router has quarantined a request."""
         suspects = router.parts.routing.quarantine.suspects
         return any(map(suspects.is_quarantined, suspects.by_print))
 
 
 class SilentTest(FailureCase):
-    """A connection is lost track of; new ones work."""
+    """Established connections go silent, new ones work."""
 
     async def test_stream_goes_on_over_a_new_connection(self):
-        """A caller waits for a stream that will never go on.
+        """A stream on a silent connection is resumed over a new one.
 
-        Symptom: half a report, then nothing. Events: a middlebox forgets
-        the connection to the engine in the middle of a stream. Cause: an
-        open connection that carries nothing looks like a slow engine.
+        Guards against a caller who waits forever after half a report: a
+        middlebox drops the state of the connection to the engine during a
+        stream, and the open connection without data looks like a slow
+        engine.
         """
         rig = Rig(overrides=('routing.gap_timeout=1s',))
         await self.open(rig)
@@ -100,7 +102,7 @@
         self.check('silent-connection')
 
     async def first_word(self):
-        """Wait until the router has taken in the first word."""
+        """Wait until the router has received the first word."""
         answers = self.rig.routers[0].parts.dispatcher.parts.answers
         await wait(
             lambda: (
@@ -114,18 +116,18 @@
     """A target leaves while the host list still shows it as live."""
 
     async def test_no_new_work_and_nobody_cut_off(self):
-        """A host is switched off under a caller, or still gets work.
+        """A leaving target finishes its stream and gets no new requests.
 
-        Symptom: a stream breaks at scale-down, or requests are sent to a
-        host that leaves. Events: an engine with an open stream says that it
-        leaves; the platform's list lags by hours; requests go on coming at
-        routers of two zones. Cause: the list alone is believed, or the zone
-        of the engine keeps the news to itself.
+        Guards against a stream that breaks at scale-down, or requests to a
+        leaving host: an engine with an open stream announces that it leaves,
+        the host list of the platform lags by hours, and routers in two zones
+        get requests. Either only the list is used, or the announcement does
+        not reach the other zone.
         """
         rig = Rig(engines=2)
         await self.open(rig, 'target_marked_leaving')
         rig.weather.hosts_lag_s = 10_000
-        # The second router has no engine in its zone and polls none.
+        # The second router has no engine in its zone, so it polls none.
         rig.more['router-1'] = ('host.zone=zone-b',)
         await rig.start(2)
         for started in rig.pool:
@@ -159,14 +161,14 @@
         self.check('leaving-target')
 
     async def test_announced_in_an_answer_alone(self):
-        """A target that says in its answers that it leaves gets new work.
-
-        Symptom: requests begin at a host that announced its leaving; or a
-        host that was started again stays unused. Events: an engine names
-        its start in the head of an answer, while its load report and the
-        platform's list show nothing; it is started again, and a head still
-        names the start before. Cause: heads were not read, or a word was
-        taken for that of whatever start is there.
+        """An answer's leaving header applies to one incarnation.
+
+        Guards against requests to a host that announced its leaving, or a
+        restarted host that stays unused: an engine names its incarnation as
+        leaving in a header of an answer, while its load report and the host
+        list show nothing. It restarts, and the header still names the former
+        incarnation. Either headers are not read, or the announcement is
+        applied to the incarnation that is running.
         """
         await self.open(Rig(), 'target_marked_leaving')
         self.rig.weather.hosts_lag_s = 10_000
@@ -174,8 +176,8 @@
         await self.rig.start(2)
         engine = self.rig.engine.core
         engine.cfg.leaving_header = engine.cfg.incarnation
-        # A poll between setting the header and the quote would tell the
-        # router first, and the quote would be refused.
+        # A poll between setting the header and the quote would announce the
+        # leaving first, and the quote would be refused.
         with (
             mock.patch.object(LoadHandler, 'announce'),
             mock.patch.object(CacheEventsHandler, 'announce'),
@@ -198,17 +200,17 @@
         self.check('leaving-header')
 
     def running(self):
-        """Return the engines that have begun a request."""
+        """Return the engines that have started a request."""
         return [engine for engine in self.rig.pool if engine.core.runs]
 
 
 def _is_leaving(router):
-    """Return whether a router takes the first engine to be leaving."""
+    """Return whether a router has marked the first engine as leaving."""
     return router.parts.targets.by_name['engine-0'].leaving
 
 
 def _knows_starts(router):
-    """Return whether a router has read a report of each engine."""
+    """Return whether a router has a load report of each engine."""
     targets = router.parts.targets
     engines = [
         target
