--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests, one module per module of the product."""
+"""Tests, as a rule one module per source module, and their helpers."""
--- a/tests/test_bench_budgets.py
+++ b/tests/test_bench_budgets.py
@@ -1,4 +1,4 @@
-"""Small runs of the budgets' bench, judged on counts alone."""
+"""Small runs of the budget benchmark; only counts are checked."""
 
 import unittest
 
@@ -23,7 +23,7 @@
 
 
 class BudgetsBenchTest(unittest.TestCase):
-    """What must hold in every run."""
+    """Invariants of every run."""
 
     @parameterized.expand(
         [
@@ -39,7 +39,7 @@
         ]
     )
     def test_books_balance(self, name, posture, scenario):
-        """Nothing is overspent or left unbilled."""
+        """No tokens are overspent or left unbilled."""
         figures = _run(scenario, posture=posture)
         self.assertEqual(figures['overspend_tokens'], 0)
         self.assertEqual(figures['breaches'], 0)
@@ -48,17 +48,17 @@
 
     @parameterized.expand([('central',), ('static',)])
     def test_baselines_keep_the_budget(self, policy):
-        """A baseline that overspent would be no baseline."""
+        """A baseline policy that overspends is no valid comparison."""
         figures = _run(_SPENT, policy)
         self.assertEqual(figures['overspend_tokens'], 0)
         self.assertGreater(figures['refused_share'], 0)
 
     def test_same_seed_same_figures(self):
-        """A run is repeated to the last figure."""
+        """Two runs with the same seed return the same figures."""
         self.assertEqual(_run(_CUT), _run(_CUT))
 
     def test_cut_is_told_from_reachable(self):
-        """Refusals while the platform is away are counted apart."""
+        """False refusals during an outage are counted separately."""
         cut = _run(_CUT)
         self.assertEqual(_run(_CALM)['false_away_share'], 0)
         refused, up, away = (
--- a/tests/test_bench_slopes.py
+++ b/tests/test_bench_slopes.py
@@ -1,4 +1,4 @@
-"""Smoke form of every measurement of slopes, judged on counts alone."""
+"""Smoke runs of the measurements of slopes; only counts are checked."""
 
 import json
 import os
@@ -11,7 +11,7 @@
 from parameterized import parameterized
 
 _ROOT = Path(__file__).resolve().parent.parent
-#: Figures that only count, so that they are the same at each run.
+#: Counts, which are the same in every run, unlike times.
 _COUNTED = (
     ('spread', 'use_copies_each_at_8', 7 / 8),
     ('spread', 'edit_reached_share_at_8', 1),
@@ -41,7 +41,7 @@
 
 
 class SlopesTest(unittest.TestCase):
-    """All measurements but those of links and streams, once and small."""
+    """One small run of all measurements except those of links and streams."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -73,6 +73,6 @@
         self.assertEqual(self.slopes[name][figure]['median'], expected)
 
     def test_counts_conflicts(self) -> None:
-        """Drawers on one account that never conflict were not counted."""
+        """Many drawers on one account cause conflicts, which are counted."""
         crowd = self.slopes['contention']
         self.assertGreater(crowd['commits_per_draw_at_64']['median'], 1)
--- a/tests/test_curl_tls.py
+++ b/tests/test_curl_tls.py
@@ -1,4 +1,4 @@
-"""Tests of TLS towards platform and targets."""
+"""Tests of TLS to the platform and to targets."""
 
 import ssl
 import tempfile
@@ -29,14 +29,14 @@
 
 
 class CurlTlsTest(unittest.IsolatedAsyncioTestCase):
-    """A server that asks a router for a certificate."""
+    """Platform and target request a client certificate from the router."""
 
     def setUp(self):
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
         self.files = Files(directory.name)
         self.others = Files(Path(directory.name, 'others'))
-        # No test waits for a minute.
+        # The CA cache lifetime of 1 min is too long for a test.
         cache = mock.patch.object(curl_tls, 'CA_CACHE_S', 0)
         cache.start()
         self.addCleanup(cache.stop)
@@ -78,13 +78,14 @@
         place = (
             'host.zone=zone-a',
             f'platform.table={url}',
-            # The process itself may stand still for longer than targets may.
+            # On a busy machine the test process may pause for longer than the
+            # default timeout of polls.
             'targets.poll_timeout=30s',
         )
         return read_settings(None, (*place, 'routing.target_tls=yes', *named))
 
     def client(self, kind, files):
-        """Return what asks the server of a kind, and closes after."""
+        """Return a function that sends a request to the server of a kind."""
         cfg = self.settings(files)
         if kind == 'target':
             targets = HttpTargetClient(cfg, SystemClock())
@@ -96,10 +97,10 @@
 
     @parameterized.expand(_KINDS)
     async def test_both_ends_show_a_certificate(self, kind):
-        """Targets are reached over TLS, also for their load.
+        """Both ends of a connection verify the other's certificate.
 
-        Symptom: with target_tls every target is held to be dead. Cause:
-        load reports were asked for in plain text.
+        Guards against targets that all count as dead with ``target_tls``
+        because load reports are requested without TLS.
         """
         answer = await self.client(kind, self.files)()
         self.assertFalse(_failed(answer), answer)
@@ -108,10 +109,11 @@
 
     @parameterized.expand(_KINDS)
     async def test_renewed_files_need_no_restart(self, kind):
-        """The CA is renewed while the router runs.
+        """Renewed certificate files take effect while the router runs.
 
-        Symptom: for a day every server with a new certificate is strange.
-        Cause: curl keeps what it has read of the CA's file.
+        Guards against a router that rejects every server with a new
+        certificate for a day because curl caches the contents of the CA
+        file.
         """
         ask = self.client(kind, self.files)
         self.assertFalse(_failed(await ask()))
--- a/tests/test_deploy_start.py
+++ b/tests/test_deploy_start.py
@@ -1,4 +1,4 @@
-"""Tests of a start from a bundle of modules."""
+"""Tests of starting the program from a bundle of compiled modules."""
 
 import marshal
 import os
@@ -40,7 +40,7 @@
 
 
 class StartTest(unittest.TestCase):
-    """Modules come from the bundle, and from their files without one."""
+    """Modules are loaded from a valid bundle, otherwise from their files."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -103,10 +103,11 @@
         ]
     )
     def test_a_bundle_that_can_not_be_used(self, _name, octets):
-        """Symptom: a router crashes at its start, or runs other code.
+        """An invalid or outdated bundle is ignored.
 
-        Sequence: Python is updated, and the bundle is not.
-        Cause: code of another version was run.
+        Guards against a router that crashes at startup or runs wrong code:
+        Python is updated and the bundle is not, so that it contains code of
+        another version.
         """
         if octets is not None:
             self.bundle.write_bytes(octets)
--- a/tests/test_operators_pages.py
+++ b/tests/test_operators_pages.py
@@ -1,4 +1,4 @@
-"""Checks the pages against what the code has, so that none goes stale."""
+"""Checks that the documentation pages match the code."""
 
 import ast
 import configparser
@@ -27,7 +27,7 @@
 _DOCS = pathlib.Path(__file__).parent.parent / 'docs'
 _SOURCE = pathlib.Path(balsamreach.__file__).parent
 _QUOTED = re.compile(r'`([^`]+)`')
-#: A link to a file of the repository, without its place in the file.
+#: A link to a file in the repository; the group excludes the fragment.
 _LINK = re.compile(r'\]\(([^):#]+)(?:#[^)]*)?\)')
 _UNITS = {
     units.read_count: 'count',
@@ -47,7 +47,7 @@
 
 
 def _sections(page):
-    """Yield each heading of a page with the rows of its tables."""
+    """Yield each heading of a page with the cells of its table rows."""
     text = (_DOCS / page).read_text()
     for section in re.split(r'^#+ ', text, flags=re.MULTILINE)[1:]:
         heading, *lines = section.splitlines()
@@ -67,7 +67,7 @@
 
 
 def _calls(name, package='gateway'):
-    """Yield the calls of a name, two arguments or more, in a package."""
+    """Yield the calls of a name with two or more arguments in a package."""
     for path in _SOURCE.glob(f'{package}/*.py'):
         for node in ast.walk(ast.parse(path.read_text())):
             func = getattr(node, 'func', None)
@@ -77,7 +77,10 @@
 
 
 def _literal_codes(name):
-    """Yield status, None if no constant, and code of a name's calls."""
+    """Yield status and code of each call of a name with a literal code.
+
+    The status is None if it is not a constant.
+    """
     for node in _calls(name):
         code = getattr(node.args[1], 'value', None)
         if isinstance(code, str):
@@ -124,7 +127,7 @@
 
 
 class OperatorsPagesTest(unittest.TestCase):
-    """What an operator may look up stands on a page, and no more."""
+    """The operators' pages list exactly what the code has."""
 
     maxDiff = None
 
@@ -169,7 +172,7 @@
 
     def compare_codes(self, heading, known):
         listed = _listed_codes(_rows('operators/errors.md', heading))
-        # Where a status depends on what happened, only the code is compared.
+        # If the status depends on the case, only the code is compared.
         open_codes = {code for status, code in known if status is None}
         fixed = {pair for pair in known if pair[1] not in open_codes}
         self.assertEqual(
--- a/tests/test_telemetry_names.py
+++ b/tests/test_telemetry_names.py
@@ -1,4 +1,4 @@
-"""Checks the names of all metrics against the operators' page."""
+"""Checks that metric names are unique and listed on the operators' page."""
 
 import ast
 import pathlib
@@ -12,9 +12,9 @@
 _SOURCE = pathlib.Path(balsamreach.__file__).parent
 _NAME = re.compile(r'balsamreach_[a-z_]*[a-z]')
 _ROW = re.compile(r'^\| `([a-z_]+)` \|', re.MULTILINE)
-#: A type in the body of an error, not a metric.
+#: The type in the body of an error response, not a metric.
 _OTHERS = frozenset(('balsamreach_error',))
-#: Gauges whose names ``table.follower`` puts together.
+#: Suffixes of the gauges whose names ``table.follower`` builds.
 _TABLE = ('version', 'age_seconds', 'rows', 'rows_rejected')
 
 
@@ -25,7 +25,7 @@
 
 
 class NamesTest(unittest.TestCase):
-    """One name, one meaning, and a row on the page."""
+    """Every metric name is defined once and has a row on the page."""
 
     def setUp(self):
         found = Counter(
@@ -37,11 +37,11 @@
         self.found = found
 
     def test_each_name_stands_in_one_place(self):
-        """A sum over one counter counts the same request twice.
+        """No metric name is defined twice.
 
-        Symptom: attempts seem to be twice the requests.
-        Sequence: two modules count under one name, with other labels.
-        Cause: a name that was written down twice.
+        Guards against a sum over a counter that counts each request twice,
+        so that there seem to be twice as many attempts as requests: two
+        modules define the same name and count with different labels.
         """
         twice = [name for name, count in self.found.items() if count > 1]
         self.assertEqual(twice, [])
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes: request, answer, bill, edit."""
+"""End-to-end test with separate processes: request, bill and edit."""
 
 import contextlib
 import json
@@ -28,7 +28,7 @@
 
 
 class WholePathTest(unittest.TestCase):
-    """One router, one engine and the platform, each in its own process."""
+    """A router, an engine and the platform in separate processes."""
 
     def setUp(self):
         self.stack = contextlib.ExitStack()
