--- a/tests/relay_scripts.py
+++ b/tests/relay_scripts.py
@@ -1,4 +1,4 @@
-"""Scripted targets and a recording outlet for tests of the relay."""
+"""Scripted targets and a recording response for tests of the relay."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,8 +6,8 @@
 import attrs
 
 from balsamreach.dispatch.upstream import Intake, UpstreamFault
+from balsamreach.relay.caller_response import CallerResponse
 from balsamreach.relay.exchange import Exchange, Outgoing
-from balsamreach.relay.outlet import Outlet
 from tests.relay_samples import SIGNED
 
 #: What a target does with an attempt.
@@ -29,7 +29,7 @@
         intake: Intake,
     ) -> UpstreamFault | None:
         """Send the response."""
-        assert intake.before_send()
+        assert intake.may_send()
         intake.start(self.status, self.headers)
         for chunk in self.chunks:
             intake.write(chunk)
@@ -65,7 +65,7 @@
         intake: Intake,
     ) -> UpstreamFault | None:
         """Receive the request."""
-        assert intake.before_send()
+        assert intake.may_send()
         return self.fault
 
 
@@ -85,12 +85,12 @@
         """Run the next script."""
         self.sent.append(outgoing)
         if self.hang:
-            assert intake.before_send()
+            assert intake.may_send()
             await asyncio.get_running_loop().create_future()
         return self.scripts.pop(0)(outgoing, intake)
 
 
-class RecordingOutlet(Outlet):
+class RecordingResponse(CallerResponse):
     """Records the response that a caller gets."""
 
     def __init__(self) -> None:
@@ -102,7 +102,7 @@
         self.aborted = False
 
     @property
-    def full(self) -> bool:
+    def should_pause(self) -> bool:
         """Always False: the caller is never slow."""
         return False
 
--- a/tests/test_dispatch_hedging.py
+++ b/tests/test_dispatch_hedging.py
@@ -27,19 +27,19 @@
     def test_delay_is_a_high_percentile_with_a_floor(self):
         delays = HedgeDelays(enabled=True)
         for number in range(19):
-            delays.observe(_ENGINE, number / 10)
+            delays.add_first_byte(_ENGINE, number / 10)
         self.assertEqual(delays.delay(_ENGINE), 0)
-        delays.observe(_ENGINE, 1.9)
+        delays.add_first_byte(_ENGINE, 1.9)
         self.assertAlmostEqual(delays.delay(_ENGINE), 1.9)
         for _ in range(200):
-            delays.observe(_ENGINE, 0.001)
+            delays.add_first_byte(_ENGINE, 0.001)
         self.assertAlmostEqual(delays.delay(_ENGINE), 0.05)
         self.assertEqual(delays.delay(_DESK), 0)
 
     def test_nothing_is_learnt_while_it_is_off(self):
         delays = HedgeDelays(enabled=False)
         for _ in range(30):
-            delays.observe(_ENGINE, 1)
+            delays.add_first_byte(_ENGINE, 1)
         self.assertEqual(delays.delay(_ENGINE), 0)
 
 
@@ -52,12 +52,12 @@
         await open_account(platform)
         self.upstream = FakeUpstream()
         self.router = SmallRouter('router-a', platform, self.upstream, clock)
-        self.tries = self.router.parts.tries
-        self.routing = self.tries.placer.routing
+        self.attempt_parts = self.router.parts.attempt_parts
+        self.routing = self.attempt_parts.placer.routing
         self.routing.hedges.enabled = True
         for pool in (_ENGINE, _DESK):
             for _ in range(20):
-                self.routing.hedges.observe(pool, 0.1)
+                self.routing.hedges.add_first_byte(pool, 0.1)
 
     def plan_first(self, fault):
         """Set the fault of the request that is sent first."""
@@ -65,7 +65,7 @@
 
     def hedges(self, outcome):
         """Return the number of hedges with an outcome."""
-        return self.tries.metrics.counted(HEDGES, outcome=outcome)
+        return self.attempt_parts.metrics.counted(HEDGES, outcome=outcome)
 
     async def settle(self):
         """Run all tasks that need no further time."""
@@ -75,7 +75,7 @@
     def check_slots_released(self):
         """Check that all slots have been released."""
         pools = self.routing.admission.picker.pools
-        held = [state.held for state in pools.states.values()]
+        held = [state.slots_held for state in pools.states.values()]
         self.assertEqual(sum(held), 0)
 
     @parameterized.expand([({},), (service_call(),)])
@@ -86,7 +86,7 @@
         """
         self.plan_first(HANG)
         caller = await self.router.call(**changes)
-        self.assertTrue(caller.end.whole, caller.end)
+        self.assertTrue(caller.end.is_complete, caller.end)
         self.assertEqual(self.upstream.runs['key'], 2)
         self.assertEqual(len(self.router.bills()), 1)
         self.assertEqual(self.hedges('second'), 1)
@@ -105,7 +105,7 @@
         self.assertEqual(len(self.upstream.sent), 2)
         self.upstream.go_on.set()
         caller = await submitted
-        self.assertTrue(caller.end.whole, caller.end)
+        self.assertTrue(caller.end.is_complete, caller.end)
         self.assertEqual(caller.body.count(_DONE_EVENT), 1)
         self.assertEqual(self.hedges('first'), 1)
         self.check_slots_released()
@@ -142,7 +142,7 @@
         self.assertEqual(self.hedges('not_sent'), 1)
         self.upstream.go_on.set()
         caller = await submitted
-        self.assertTrue(caller.end.whole, caller.end)
+        self.assertTrue(caller.end.is_complete, caller.end)
         self.assertEqual(self.upstream.runs['key'], 1)
 
     async def test_target_that_always_loses_is_suspended(self):
@@ -157,10 +157,10 @@
         self.upstream.plan('engine-0', *(HANG for _ in range(60)))
         for number in range(60):
             caller = await self.router.call(key=f'key-{number}')
-            self.assertTrue(caller.end.whole, caller.end)
+            self.assertTrue(caller.end.is_complete, caller.end)
         pools = self.routing.admission.picker.pools
         breakers = {
-            name: state.breaker.open for name, state in pools.states.items()
+            name: state.breaker.is_open for name, state in pools.states.items()
         }
         slow = breakers.pop('engine-0')
         self.assertTrue(slow)
@@ -170,6 +170,6 @@
     async def test_failed_first_attempt_waits_for_the_hedge(self):
         self.plan_first(BREAK_BEFORE_HEAD)
         caller = await self.router.call()
-        self.assertTrue(caller.end.whole, caller.end)
+        self.assertTrue(caller.end.is_complete, caller.end)
         self.assertEqual(len(self.router.bills()), 1)
         self.check_slots_released()
--- a/tests/test_sessions_targets.py
+++ b/tests/test_sessions_targets.py
@@ -61,7 +61,7 @@
     def is_known(self, router):
         """Return whether a router has quarantined a request."""
         suspects = router.parts.routing.quarantine.suspects
-        return any(map(suspects.is_quarantined, suspects.by_print))
+        return any(map(suspects.is_quarantined, suspects.by_fingerprint))
 
 
 class SilentTest(FailureCase):
@@ -106,8 +106,8 @@
         answers = self.rig.routers[0].parts.dispatcher.parts.answers
         await wait(
             lambda: (
-                answers.known('winders', 'report-5') is not None
-                and answers.known('winders', 'report-5').body.size > 300
+                answers.get('winders', 'report-5') is not None
+                and answers.get('winders', 'report-5').body.size > 300
             ),
         )
 
