--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -36,16 +36,16 @@
 SECRET = 'team-secret'
 OPERATOR_SECRET = 'operator-secret'
 PREPAID = 100_000
-_LOOKS = 5000
-_PAUSE = 0.002
+_MAX_CHECKS = 5000
+_CHECK_INTERVAL_S = 0.002
 
 
 async def until(check: Callable[[], bool]) -> bool:
     """Wait until a check is true; False if it is not within about 10 s."""
-    for _ in range(_LOOKS):
+    for _ in range(_MAX_CHECKS):
         if check():
             return True
-        await asyncio.sleep(_PAUSE)
+        await asyncio.sleep(_CHECK_INTERVAL_S)
     return False
 
 
@@ -208,7 +208,7 @@
     def header(self, name: str) -> str | None:
         """Return the value of a header, None if it is missing."""
         for line in self.head.split('\r\n')[1:]:
-            found, _colon, text = line.partition(':')
+            found, _separator, text = line.partition(':')
             if found.lower() == name.lower():
                 return text.strip()
         return None
@@ -239,28 +239,28 @@
     if body:
         lines.append(f'Content-Length: {len(body)}')
     for name, text in headers.items():
-        shown = name.replace('_', '-')
-        lines.append(f'{shown}: {text}')
+        header_name = name.replace('_', '-')
+        lines.append(f'{header_name}: {text}')
     head = '\r\n'.join(lines)
     return f'{head}\r\n\r\n'.encode() + body
 
 
 def parse_answer(received: bytes) -> Answer:
     """Parse the only response in the received bytes."""
-    head, _gap, body = received.partition(b'\r\n\r\n')
+    head, _separator, body = received.partition(b'\r\n\r\n')
     answer = Answer(head.decode(), body)
     if answer.header('Transfer-Encoding') == 'chunked':
-        body = _unchunk(body)
+        body = _decode_chunked(body)
     return Answer(answer.head, body)
 
 
-def _unchunk(coded: bytes) -> bytes:
+def _decode_chunked(encoded: bytes) -> bytes:
     body = b''
-    while coded:
-        size, _gap, rest = coded.partition(b'\r\n')
+    while encoded:
+        size, _separator, rest = encoded.partition(b'\r\n')
         length = int(size, 16)
         body += rest[:length]
-        coded = rest[length + 2 :]
+        encoded = rest[length + 2 :]
         if not length:
             break
     return body
--- a/tests/failure_case.py
+++ b/tests/failure_case.py
@@ -5,25 +5,27 @@
 import unittest
 
 from tests.deployment import MODEL, request
-from tests.failure_rig import Rig
+from tests.failure_deployment import FailureDeployment
 from tests.failure_session import FailureSession
-from tests.golden_support import golden
+from tests.golden_support import golden_text
 
-CHAT = 'POST /v1/chat/completions'
-CERTIFICATE = 'POST /services/desk/certificate/m-17'
+_CHAT = 'POST /v1/chat/completions'
+_CERTIFICATE = 'POST /services/desk/certificate/m-17'
 
 
-def ask(text: str, words: int = 3, key: str = '', **changes) -> bytes:
+def chat_request(
+    text: str, word_count: int = 3, key: str = '', **changes
+) -> bytes:
     """Return the bytes of a chat request."""
-    messages = [{'role': 'user', 'content': f'{text} words={words}'}]
-    body = {'model': MODEL, 'messages': messages, 'max_tokens': words}
+    messages = [{'role': 'user', 'content': f'{text} words={word_count}'}]
+    body = {'model': MODEL, 'messages': messages, 'max_tokens': word_count}
     headers = {'Idempotency_Key': key} if key else {}
-    return request(CHAT, json.dumps(body | changes).encode(), **headers)
+    return request(_CHAT, json.dumps(body | changes).encode(), **headers)
 
 
-def certificate(key: str) -> bytes:
+def certificate_request(key: str) -> bytes:
     """Return the bytes of a non-idempotent call to the plain service."""
-    return request(CERTIFICATE, b'{"motor": "m-17"}', Idempotency_Key=key)
+    return request(_CERTIFICATE, b'{"motor": "m-17"}', Idempotency_Key=key)
 
 
 class FailureCase(unittest.IsolatedAsyncioTestCase):
@@ -39,18 +41,20 @@
         """
         asyncio.get_running_loop().set_debug(False)
 
-    async def open(self, rig: Rig, *events: str) -> None:
+    async def open_session(
+        self, deployment: FailureDeployment, *events: str
+    ) -> None:
         """Start the platform and the targets and begin the session."""
-        self.rig = rig
-        await rig.open()
-        self.addAsyncCleanup(rig.stop)
-        self.session = FailureSession(rig, frozenset(events))
+        self.deployment = deployment
+        await deployment.start_standins()
+        self.addAsyncCleanup(deployment.stop)
+        self.session = FailureSession(deployment, frozenset(events))
 
     def address(self, number: int) -> str:
         """Return the address on which a router serves callers."""
-        return self.rig.routers[number].callers.address
+        return self.deployment.routers[number].callers.address
 
-    def check(self, name: str, *logged: dict[str, object]) -> None:
+    def check_session(self, name: str, *logged: dict[str, object]) -> None:
         """End the session and compare it to its golden file."""
         text = self.session.end(*logged)
-        self.assertEqual(text, golden(f'failures/{name}', text))
+        self.assertEqual(text, golden_text(f'failures/{name}', text))
--- a/tests/failure_rig.py
+++ b/tests/failure_deployment.py
@@ -43,16 +43,16 @@
 )
 from tests.support import command_line
 
-#: A sleep of at least this many seconds lasts until the gate is opened.
-HELD_S = 1000
+#: A sleep of at least this many seconds lasts until the clock is resumed.
+ENDLESS_SLEEP_S = 1000
 #: Pace with which an engine stops after its first word until then, in ms.
-HELD_MS = HELD_S * 1000
+ENDLESS_PACE_MS = ENDLESS_SLEEP_S * 1000
 TEAM = 'winders'
-_SECONDS = 60
-_LOOKS = 2000
-_PAUSE = 0.02
+_TIMEOUT_S = 60
+_MAX_CHECKS = 2000
+_CHECK_INTERVAL_S = 0.02
 #: All draws have the same size, so that sessions are reproducible.
-_SETTINGS = (
+_OVERRIDES = (
     'budget.least_draw=100',
     'budget.draw_ahead=0s',
     'budget.partition_cover=0s',
@@ -66,22 +66,22 @@
 )
 
 
-class Gate(SystemClock):
-    """The system's clock, except that long sleeps end on an event."""
+class ResumableClock(SystemClock):
+    """The system's clock, except that long sleeps end when it is resumed."""
 
     def __init__(self) -> None:
-        self.opened = asyncio.Event()
+        self.resumed = asyncio.Event()
 
     async def sleep(self, seconds: float) -> None:
-        """Sleep, or wait for ``opened`` if asked for ``HELD_S`` or more."""
-        if seconds >= HELD_S:
-            await self.opened.wait()
+        """Sleep; for ``ENDLESS_SLEEP_S`` or more, wait for ``resumed``."""
+        if seconds >= ENDLESS_SLEEP_S:
+            await self.resumed.wait()
         else:
             await super().sleep(seconds)
 
 
 @attrs.define(eq=False)
-class HeldCommit:
+class DelayedCommit:
     """Delays the first commit to rows with a prefix at the table service.
 
     Parameters
@@ -94,12 +94,12 @@
 
     prefix: str
     applied: bool
-    came: asyncio.Event = attrs.field(factory=asyncio.Event)
-    go_on: asyncio.Event = attrs.field(factory=asyncio.Event)
-    _plain = MemoryTableService.commit
+    reached: asyncio.Event = attrs.field(factory=asyncio.Event)
+    resume: asyncio.Event = attrs.field(factory=asyncio.Event)
+    _original_commit = MemoryTableService.commit
 
     @contextlib.contextmanager
-    def hold(self) -> Generator[None, None, None]:
+    def installed(self) -> Generator[None, None, None]:
         """Patch the table service for the duration of the block."""
         with mock.patch.object(
             MemoryTableService,
@@ -109,17 +109,17 @@
             yield
 
     async def commit(self, table: MemoryTableService, change: Commit):
-        """Commit; if this is the selected commit, wait for ``go_on``."""
+        """Commit; if this is the selected commit, wait for ``resume``."""
         keys = [write.key for write in change.writes]
-        wanted = any(key.startswith(self.prefix) for key in keys)
-        if not wanted or self.came.is_set():
-            return await HeldCommit._plain(table, change)
-        self.came.set()
+        is_selected = any(key.startswith(self.prefix) for key in keys)
+        if not is_selected or self.reached.is_set():
+            return await DelayedCommit._original_commit(table, change)
+        self.reached.set()
         if not self.applied:
-            await self.go_on.wait()
-            return await HeldCommit._plain(table, change)
-        outcome = await HeldCommit._plain(table, change)
-        await self.go_on.wait()
+            await self.resume.wait()
+            return await DelayedCommit._original_commit(table, change)
+        outcome = await DelayedCommit._original_commit(table, change)
+        await self.resume.wait()
         return outcome
 
 
@@ -129,39 +129,39 @@
 
     Parameters
     ----------
-    started : dict
+    addresses : dict
         Addresses of its listeners, from its first line of output.
     log : Path
         File of its log.
     """
 
-    child: asyncio.subprocess.Process
-    started: dict[str, str]
+    proc: asyncio.subprocess.Process
+    addresses: dict[str, str]
     log: Path
 
     @property
     def address(self) -> str:
         """``ip:port`` on which it serves callers."""
-        return self.started['callers']
+        return self.addresses['callers']
 
     def signal(self, number: int) -> None:
         """Send a signal unless the process has ended."""
         with contextlib.suppress(ProcessLookupError):
-            self.child.send_signal(number)
+            self.proc.send_signal(number)
 
     async def kill(self) -> None:
         """Kill the process by SIGKILL."""
         with contextlib.suppress(ProcessLookupError):
-            self.child.kill()
-        async with asyncio.timeout(_SECONDS):
-            await self.child.wait()
+            self.proc.kill()
+        async with asyncio.timeout(_TIMEOUT_S):
+            await self.proc.wait()
 
     async def leave(self) -> int:
         """Shut the process down by SIGTERM and return its exit code."""
         with contextlib.suppress(ProcessLookupError):
-            self.child.terminate()
-        async with asyncio.timeout(_SECONDS):
-            return await self.child.wait()
+            self.proc.terminate()
+        async with asyncio.timeout(_TIMEOUT_S):
+            return await self.proc.wait()
 
     def events(self) -> list[dict[str, object]]:
         """Return the events that it has logged."""
@@ -170,7 +170,7 @@
 
 
 @attrs.define(eq=False)
-class Rig(Deployment):
+class FailureDeployment(Deployment):
     """A platform, engines and routers with failures that a test triggers.
 
     Parameters
@@ -183,17 +183,17 @@
 
     engines: int = 1
     prepaid: int = 10_000
-    more: dict[str, tuple[str, ...]] = attrs.field(factory=dict)
-    gate: Gate = attrs.field(factory=Gate)
-    pool: list[Running] = attrs.field(factory=list)
+    router_overrides: dict[str, tuple[str, ...]] = attrs.field(factory=dict)
+    clock: ResumableClock = attrs.field(factory=ResumableClock)
+    running_engines: list[Running] = attrs.field(factory=list)
     links: list[Link] = attrs.field(factory=list)
-    children: list[RouterProcess] = attrs.field(factory=list)
+    router_processes: list[RouterProcess] = attrs.field(factory=list)
     seeds: list[str] = attrs.field(factory=list)
     _logs: tempfile.TemporaryDirectory = attrs.field(
         factory=tempfile.TemporaryDirectory,
     )
 
-    async def open(self) -> None:
+    async def start_standins(self) -> None:
         """Start the platform and the targets."""
         self.platform = await start_platform(PlatformSettings())
         for number in range(self.engines):
@@ -204,28 +204,28 @@
                 pace_ms=0,
                 incarnation=f'start-{number}',
             )
-            self.pool.append(await start_engine(cfg, self.gate))
-        self.engine = self.pool[0]
-        self.service = await start_service(ServiceSettings(), self.gate)
+            self.running_engines.append(await start_engine(cfg, self.clock))
+        self.engine = self.running_engines[0]
+        self.service = await start_service(ServiceSettings(), self.clock)
         await self.put_rows(self.rows())
 
     async def start(self, routers: int = 1) -> None:
         """Start routers and wait until all are ready and connected."""
         for number in range(routers):
             await self.add_router(f'router-{number}')
-        await self.meet()
+        await self.wait_until_connected()
 
     async def stop(self) -> None:
         """Undo all failures, then stop everything."""
-        self.heal()
-        self.gate.opened.set()
-        self.weather.down = False
-        for child in self.children:
-            child.signal(signal.SIGCONT)
-            await child.kill()
+        self.restore_links()
+        self.clock.resumed.set()
+        self.failures.down = False
+        for proc in self.router_processes:
+            proc.signal(signal.SIGCONT)
+            await proc.kill()
         for router in self.routers:
             await router.leave()
-        standins = (*self.pool, self.service, self.platform)
+        standins = (*self.running_engines, self.service, self.platform)
         for standin in standins:
             await standin.stop()
         for link in self.links:
@@ -233,7 +233,7 @@
         self._logs.cleanup()
 
     @property
-    def weather(self):
+    def failures(self):
         """Failures that the platform simulates."""
         return self.platform.core.weather
 
@@ -242,10 +242,10 @@
         seeds = ' '.join(self.seeds)
         return (
             *super().settings_text(name),
-            *_SETTINGS,
+            *_OVERRIDES,
             f'peers.seeds={seeds}',
             *self.overrides,
-            *self.more.get(name, ()),
+            *self.router_overrides.get(name, ()),
         )
 
     def rows(self) -> tuple[TeamRow | TargetRow, ...]:
@@ -255,7 +255,7 @@
             prepaid=self.prepaid,
             key_hashes=(hash_key(SECRET),),
         )
-        desk = super().rows()[-1]
+        service = super().rows()[-1]
         engines = [
             TargetRow(
                 name=f'engine-{number}',
@@ -264,9 +264,9 @@
                 service='llm',
                 models={MODEL: 1},
             )
-            for number, engine in enumerate(self.pool)
+            for number, engine in enumerate(self.running_engines)
         ]
-        return (team, *engines, attrs.evolve(desk, service=SERVICE, price=5))
+        return (team, *engines, attrs.evolve(service, service=SERVICE, price=5))
 
     async def replace_row(self, row: TargetRow) -> None:
         """Overwrite a row by an operator's edit."""
@@ -285,9 +285,9 @@
     async def table_link(self, name: str) -> Link:
         """Link a router that is not started yet to the table service."""
         link = await self.link(self.platform.address)
-        given = self.more.get(name, ())
+        earlier = self.router_overrides.get(name, ())
         url = f'http://{link.address}'
-        self.more[name] = (*given, f'platform.table={url}')
+        self.router_overrides[name] = (*earlier, f'platform.table={url}')
         return link
 
     async def platform_link(self, name: str) -> Link:
@@ -296,16 +296,16 @@
         url = f'http://{link.address}'
         kinds = ('objects', 'hosts', 'weights')
         urls = [f'platform.{kind}={url}' for kind in kinds]
-        self.more[name] = (*self.more[name], *urls)
+        self.router_overrides[name] = (*self.router_overrides[name], *urls)
         return link
 
     async def add_router(self, name: str) -> Router:
         """Start one more router and wait until it is ready."""
-        router = await self.begin_router(name)
+        router = await self.start_router(name)
         assert await until(lambda: router.state == READY)
         return router
 
-    async def begin_router(self, name: str) -> Router:
+    async def start_router(self, name: str) -> Router:
         """Start one more router, which its peers reach over a link."""
         router = Router(self.settings(name))
         await router.start()
@@ -316,58 +316,58 @@
         self.seeds.append(link.address)
         return router
 
-    async def add_process(self, name: str) -> RouterProcess:
+    async def add_router_process(self, name: str) -> RouterProcess:
         """Start a router in a process and wait until it is ready."""
         texts = self.settings_text(name)
-        log = Path(self._logs.name) / f'{name}-{len(self.children)}.log'
+        log = Path(self._logs.name) / f'{name}-{len(self.router_processes)}.log'
         with log.open('w', encoding='utf-8') as errors:
-            child = await asyncio.create_subprocess_exec(
+            proc = await asyncio.create_subprocess_exec(
                 *command_line(),
                 'serve',
                 *(f'--set={text}' for text in texts),
                 stdout=asyncio.subprocess.PIPE,
                 stderr=errors,
             )
-        started = json.loads(await child.stdout.readline())
-        process = RouterProcess(child, started, log)
-        self.children.append(process)
-        self.seeds.append(started['peers'])
-        await wait_ready(started['operators'])
+        addresses = json.loads(await proc.stdout.readline())
+        process = RouterProcess(proc, addresses, log)
+        self.router_processes.append(process)
+        self.seeds.append(addresses['peers'])
+        await wait_for_state(addresses['operators'])
         return process
 
-    async def meet(self) -> None:
+    async def wait_until_connected(self) -> None:
         """Wait until each router in this process is connected to all others."""
-        count = len(self.routers) + len(self.children) - 1
+        count = len(self.routers) + len(self.router_processes) - 1
         for router in self.routers:
-            await wait(partial(_sees, router.parts.net, count))
+            await wait_until(partial(_has_neighbours, router.parts.net, count))
 
-    def heal(self) -> None:
+    def restore_links(self) -> None:
         """Restore all links."""
         for link in self.links:
             link.heal()
 
 
-def _sees(net, count: int) -> bool:
+def _has_neighbours(net, count: int) -> bool:
     return len(net.neighbours()) == count
 
 
-async def wait(check) -> None:
+async def wait_until(check) -> None:
     """Wait until a check is true; fail if it is not within about 40 s."""
-    for _ in range(_LOOKS):
+    for _ in range(_MAX_CHECKS):
         if check():
             return
-        await asyncio.sleep(_PAUSE)
+        await asyncio.sleep(_CHECK_INTERVAL_S)
     raise AssertionError('timed out before the check was true')
 
 
-async def wait_ready(address: str, state: str = 'ready') -> None:
+async def wait_for_state(address: str, state: str = 'ready') -> None:
     """Wait until the router at an operators' address reports a state."""
     sent = request('GET /readyz', secret='')
-    for _ in range(_LOOKS):
+    for _ in range(_MAX_CHECKS):
         answer = parse_answer(await exchange(address, sent))
         if json.loads(answer.body)['status'] == state:
             return
-        await asyncio.sleep(_PAUSE)
+        await asyncio.sleep(_CHECK_INTERVAL_S)
     raise AssertionError(f'timed out before the router was {state}')
 
 
--- a/tests/golden_support.py
+++ b/tests/golden_support.py
@@ -19,12 +19,12 @@
 from balsamreach.services.base import Scan
 from tests.deployment import Deployment, exchange, parse_answer, until
 
-REWRITE = 'BALSAMREACH_REWRITE_GOLDEN'
+REWRITE_VARIABLE = 'BALSAMREACH_REWRITE_GOLDEN'
 _DIRECTORY = Path(__file__).parent / 'golden'
-_EVENTS = frozenset(('request_served',))
+_EVENT_NAMES = frozenset(('request_served',))
 _COUNTERS = ('balsamreach_streams_', 'balsamreach_requests_total')
-_FIELDS = ('request_id', 'team', 'reason', 'status', 'ran')
-_NORMAL = (
+_EVENT_FIELDS = ('request_id', 'team', 'reason', 'status', 'ran')
+_REPLACEMENTS = (
     (re.compile(r'Date: [^\r\n]+'), 'Date: DATE'),
     (re.compile(r'~[0-9a-f]{32}'), '~MINTED'),
     (re.compile(r'[0-9a-f]{32}'), 'ID'),
@@ -38,7 +38,7 @@
 )
 
 
-class _Events(logging.Handler):
+class _EventCollector(logging.Handler):
     """Collects the selected log events."""
 
     def __init__(self) -> None:
@@ -48,11 +48,11 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Store those fields of an event that are the same in every run."""
         fields = getattr(record, 'event_fields', None)
-        if fields is None or record.getMessage() not in _EVENTS:
+        if fields is None or record.getMessage() not in _EVENT_NAMES:
             return
         shown = ' '.join(
             f'{name}={fields[name]}'
-            for name in _FIELDS
+            for name in _EVENT_FIELDS
             if fields.get(name) is not None
         )
         self.lines.append(f'{record.getMessage()} {shown}')
@@ -70,22 +70,22 @@
 
     deployment: Deployment
     lines: list[str] = attrs.field(factory=list)
-    _said: int = 0
-    _events: _Events = attrs.field(factory=_Events)
+    _sent_requests: int = 0
+    _collector: _EventCollector = attrs.field(factory=_EventCollector)
 
     def __attrs_post_init__(self) -> None:
         logger = logging.getLogger('balsamreach')
-        logger.addHandler(self._events)
+        logger.addHandler(self._collector)
         logger.setLevel(logging.INFO)
 
-    async def say(self, title: str, sent: bytes) -> None:
+    async def send(self, title: str, sent: bytes) -> None:
         """Send a request and write it and its answer."""
-        self._said += 1
+        self._sent_requests += 1
         received = await exchange(self.deployment.callers, sent)
         answer = parse_answer(received)
-        self._write(f'caller: {title}', sent.decode())
+        self._add_section(f'caller: {title}', sent.decode())
         body = answer.body.decode()
-        self._write('router', f'{answer.head}\r\n\r\n{body}')
+        self._add_section('router', f'{answer.head}\r\n\r\n{body}')
 
     async def end(self, bills: int) -> str:
         """Wait for a number of bills and return the normalised session."""
@@ -100,34 +100,34 @@
             if len(found) >= bills:
                 break
             await asyncio.sleep(0.005)
-        self._write('bills', '\n'.join(sorted(found)))
-        events = self._events.lines
+        self._add_section('bills', '\n'.join(sorted(found)))
+        events = self._collector.lines
         # The event of a request is logged after its last byte is sent.
-        await until(lambda: len(events) >= self._said)
-        self._write('events', '\n'.join(events))
+        await until(lambda: len(events) >= self._sent_requests)
+        self._add_section('events', '\n'.join(events))
         parts = self.deployment.routers[0].parts
         lines = parts.metrics.render().split('\n')
         counters = [line for line in lines if line.startswith(_COUNTERS)]
-        self._write('counters', '\n'.join(counters))
-        logging.getLogger('balsamreach').removeHandler(self._events)
+        self._add_section('counters', '\n'.join(counters))
+        logging.getLogger('balsamreach').removeHandler(self._collector)
         return normalise('\n'.join(self.lines))
 
-    def _write(self, title: str, text: str) -> None:
+    def _add_section(self, title: str, text: str) -> None:
         plain = text.replace('\r\n', '\n').rstrip('\n')
         self.lines.extend((f'=== {title}', plain, ''))
 
 
 def normalise(text: str) -> str:
     """Replace values that differ between runs."""
-    for pattern, stands_for in _NORMAL:
-        text = pattern.sub(stands_for, text)
+    for pattern, replacement in _REPLACEMENTS:
+        text = pattern.sub(replacement, text)
     return text
 
 
-def golden(name: str, session: str) -> str:
+def golden_text(name: str, session: str) -> str:
     """Return the text of a golden file, after rewriting it on request."""
     path = _DIRECTORY / f'{name}.txt'
-    if os.environ.get(REWRITE) == '1':
+    if os.environ.get(REWRITE_VARIABLE) == '1':
         path.parent.mkdir(exist_ok=True)
         path.write_text(session, encoding='utf-8')
     return path.read_text(encoding='utf-8')
--- a/tests/small_router.py
+++ b/tests/small_router.py
@@ -139,9 +139,9 @@
         key = changes.pop('key', 'key')
         mark = changes.pop('mark', 'f')
         minted = key is None
-        made = mint_key() if minted else key
+        request_key = mint_key() if minted else key
         call = Call(
-            req=RequestId('team', made, minted, mark),
+            req=RequestId('team', request_key, minted, mark),
             team=TEAM,
             kind='engine',
             name='model-a',
@@ -165,7 +165,7 @@
 
 def service_call(**changes):
     """Return changes for ``call`` that address a plain service."""
-    plain = {
+    service_changes = {
         'kind': 'service',
         'name': 'desk',
         'path': '/book',
@@ -173,7 +173,7 @@
         'reserved_tokens': 1,
         'max_completion_tokens': 0,
     }
-    return plain | changes
+    return service_changes | changes
 
 
 def target_rows(count=_ENGINES):
--- a/tests/support.py
+++ b/tests/support.py
@@ -16,7 +16,7 @@
 
 from balsamreach.clock import Clock
 
-_SECONDS = 30
+_TIMEOUT_S = 30
 
 
 @attrs.define(eq=False)
@@ -27,7 +27,7 @@
     _sleepers: list[tuple[float, int, asyncio.Future]] = attrs.field(
         factory=list,
     )
-    _numbers: itertools.count = attrs.field(factory=itertools.count)
+    _sequence: itertools.count = attrs.field(factory=itertools.count)
 
     def now(self) -> float:
         """Return the current time in seconds."""
@@ -40,8 +40,8 @@
     async def sleep(self, seconds: float) -> None:
         """Suspend until the clock has advanced by that many seconds."""
         fut = asyncio.get_running_loop().create_future()
-        wakes = (self.seconds + seconds, next(self._numbers), fut)
-        heapq.heappush(self._sleepers, wakes)
+        entry = (self.seconds + seconds, next(self._sequence), fut)
+        heapq.heappush(self._sleepers, entry)
         await fut
 
     def sleeps_until(self, end: float) -> bool:
@@ -50,10 +50,10 @@
 
     def wake_next(self) -> float:
         """Wake the sleeper that is due first and return its due time."""
-        wakes_at, _, fut = heapq.heappop(self._sleepers)
+        due_at, _, fut = heapq.heappop(self._sleepers)
         if not fut.done():
             fut.set_result(None)
-        return wakes_at
+        return due_at
 
 
 class FakeClock(HeldClock):
@@ -114,12 +114,12 @@
     try:
         yield Process(popen, popen.stdout.readline())
     finally:
-        _end(popen)
+        _terminate(popen)
 
 
-def _end(popen: subprocess.Popen) -> None:
+def _terminate(popen: subprocess.Popen) -> None:
     popen.terminate()
-    popen.communicate(timeout=_SECONDS)
+    popen.communicate(timeout=_TIMEOUT_S)
 
 
 @attrs.frozen
@@ -157,16 +157,18 @@
     **headers : str
         Additional headers, with underscores in place of hyphens.
     """
-    sent = None if body is None else json.dumps(body).encode()
-    req = request.Request(url, data=sent, method=method or None)
+    data = None if body is None else json.dumps(body).encode()
+    req = request.Request(url, data=data, method=method or None)
     req.add_header('Content-Type', 'application/json')
     if secret:
         req.add_header('Authorization', f'Bearer {secret}')
     for name, text in headers.items():
         req.add_header(name.replace('_', '-'), text)
     try:
-        with request.urlopen(req, timeout=_SECONDS) as answer:
-            return Reply(answer.status, dict(answer.headers), answer.read())
+        with request.urlopen(req, timeout=_TIMEOUT_S) as response:
+            return Reply(
+                response.status, dict(response.headers), response.read()
+            )
     except error.HTTPError as exc:
         with exc:
             return Reply(exc.code, dict(exc.headers), exc.read())
--- a/tests/test_sessions_pause.py
+++ b/tests/test_sessions_pause.py
@@ -7,9 +7,15 @@
 from balsamreach.budget.pause_detector import PAUSE_THRESHOLD_S
 from balsamreach.clock import SystemClock
 from tests.deployment import OPERATOR_SECRET, exchange, request
-from tests.failure_case import FailureCase, ask, certificate
-from tests.failure_rig import TEAM, HeldCommit, Rig, free_port, wait
-from tests.failure_session import receive
+from tests.failure_case import FailureCase, certificate_request, chat_request
+from tests.failure_deployment import (
+    TEAM,
+    DelayedCommit,
+    FailureDeployment,
+    free_port,
+    wait_until,
+)
+from tests.failure_session import send_and_receive
 
 _ROUNDS = 8
 
@@ -17,30 +23,30 @@
 class PauseTest(FailureCase):
     """A router in a separate process is paused, another keeps running."""
 
-    async def begin(self, prepaid=200):
+    async def start_routers(self, prepaid=200):
         """Start both routers and let each serve a request and keep tokens."""
-        await self.open(Rig(prepaid=prepaid))
-        await self.rig.start(1)
+        await self.open_session(FailureDeployment(prepaid=prepaid))
+        await self.deployment.start(1)
         port = free_port()
-        self.rig.more['sleeper'] = (f'peers.port={port}',)
-        self.sleeper = await self.rig.add_process('sleeper')
-        await self.rig.meet()
-        for address in (self.sleeper.address, self.address(0)):
-            await self.session.say('quote', address, ask('Quote', 20))
+        self.deployment.router_overrides['sleeper'] = (f'peers.port={port}',)
+        self.paused_router = await self.deployment.add_router_process('sleeper')
+        await self.deployment.wait_until_connected()
+        for address in (self.paused_router.address, self.address(0)):
+            await self.session.send('quote', address, chat_request('Quote', 20))
         await self.session.wait_for_bills(2)
-        await self.session.books()
+        await self.session.add_audit()
 
     async def pause(self):
         """Pause the process and wait until the other router sees it as dead."""
-        self.session.tell('the router is paused')
-        self.sleeper.signal(signal.SIGSTOP)
-        net = self.rig.routers[0].parts.net
-        await wait(lambda: len(net.members()) == 1)
+        self.session.add_step('the router is paused')
+        self.paused_router.signal(signal.SIGSTOP)
+        net = self.deployment.routers[0].parts.net
+        await wait_until(lambda: len(net.members()) == 1)
 
-    def wake(self):
+    def resume(self):
         """Resume the process."""
-        self.session.tell('the paused router wakes up')
-        self.sleeper.signal(signal.SIGCONT)
+        self.session.add_step('the paused router wakes up')
+        self.paused_router.signal(signal.SIGCONT)
 
     async def take_over(self):
         """Close the allotments of the paused router as its successor does.
@@ -49,29 +55,29 @@
         on it. In production the platform assigns the address of a hung host
         to a new one. This makes the same commits as the new one would.
         """
-        self.session.tell('a successor on its address takes over')
-        cfg = self.rig.routers[0].cfg.budget
+        self.session.add_step('a successor on its address takes over')
+        cfg = self.deployment.routers[0].cfg.budget
         successor = Budgets(
-            self.rig.store,
+            self.deployment.store,
             'successor',
             cfg,
             SystemClock(),
-            address=self.sleeper.started['peers'],
+            address=self.paused_router.addresses['peers'],
         )
         for _ in range(_ROUNDS):
             await successor.maintenance.run_round()
-        await self.session.books('books after the takeover')
+        await self.session.add_audit('books after the takeover')
 
-    async def end(self, name, *keys):
+    async def leave_and_check(self, name, *keys):
         """Stop both routers and compare the session."""
-        await self.sleeper.leave()
-        await self.rig.routers.pop().leave()
-        self.session.tell('both routers have left')
-        self.session.runs(*keys)
-        await self.session.books()
-        self.check(name)
+        await self.paused_router.leave()
+        await self.deployment.routers.pop().leave()
+        self.session.add_step('both routers have left')
+        self.session.add_runs(*keys)
+        await self.session.add_audit()
+        self.check_session(name)
 
-    async def test_holder_was_taken_over_and_the_budget_topped_up(self):
+    async def test_resumed_router_does_not_spend_taken_over_tokens(self):
         """A resumed router does not spend tokens that were taken over.
 
         Guards against more recorded use than prepaid tokens: a router is
@@ -79,31 +85,31 @@
         spends them and a top-up, and the paused router resumes and spends
         them again without checking its allotment.
         """
-        await self.begin()
+        await self.start_routers()
         await self.pause()
         await self.take_over()
-        operators = self.rig.routers[0].operators.address
+        operators = self.deployment.routers[0].operators.address
         sent = request(
             f'PATCH /table/team/{TEAM}',
             b'{"top_up": 22}',
             OPERATOR_SECRET,
         )
-        self.session.tell('22 tokens are topped up')
+        self.session.add_step('22 tokens are topped up')
         await exchange(operators, sent)
         for number in range(6):
             title = f'quote {number} at the other router'
-            sent = ask('Quote', 20)
-            await self.session.say(title, self.address(0), sent)
+            sent = chat_request('Quote', 20)
+            await self.session.send(title, self.address(0), sent)
         # The process detects the pause by the jump of its clock.
         await asyncio.sleep(PAUSE_THRESHOLD_S + 1)
-        self.wake()
+        self.resume()
         for number in range(2):
             title = f'quote {number} at the router that was paused'
-            sent = ask('Quote', 20)
-            await self.session.say(title, self.sleeper.address, sent)
-        await self.end('pause-taken-over')
+            sent = chat_request('Quote', 20)
+            await self.session.send(title, self.paused_router.address, sent)
+        await self.leave_and_check('pause-taken-over')
 
-    async def test_claim_of_a_paused_holder(self):
+    async def test_call_claimed_by_paused_router_runs_once(self):
         """A call that a paused router has claimed runs once.
 
         Guards against two certificates: a router claims a call and is paused
@@ -111,23 +117,25 @@
         the claim lapses so that this router sends it, and the paused router
         resumes and sends it too.
         """
-        await self.begin(prepaid=1000)
-        held = HeldCommit('claim/', applied=True)
-        sent = certificate('certificate-m-17')
-        with held.hold():
-            first = asyncio.create_task(receive(self.sleeper.address, sent))
-            await wait(held.came.is_set)
-            self.session.tell('the claim is recorded, its answer under way')
+        await self.start_routers(prepaid=1000)
+        delayed = DelayedCommit('claim/', applied=True)
+        sent = certificate_request('certificate-m-17')
+        with delayed.installed():
+            first = asyncio.create_task(
+                send_and_receive(self.paused_router.address, sent)
+            )
+            await wait_until(delayed.reached.is_set)
+            self.session.add_step('the claim is recorded, its answer under way')
             await self.pause()
             title = 'certificate, asked again elsewhere'
-            await self.session.say(title, self.address(0), sent)
-            self.session.runs('certificate-m-17')
-            self.wake()
-            held.go_on.set()
-            self.session.took('certificate', sent, await first)
-        self.session.runs('certificate-m-17')
-        await self.rig.meet()
+            await self.session.send(title, self.address(0), sent)
+            self.session.add_runs('certificate-m-17')
+            self.resume()
+            delayed.resume.set()
+            self.session.add_exchange('certificate', sent, await first)
+        self.session.add_runs('certificate-m-17')
+        await self.deployment.wait_until_connected()
         title = 'certificate, asked once more elsewhere'
-        await self.session.say(title, self.address(0), sent)
+        await self.session.send(title, self.address(0), sent)
         await self.session.wait_for_bills(3)
-        await self.end('pause-claim', 'certificate-m-17')
+        await self.leave_and_check('pause-claim', 'certificate-m-17')
