--- a/tests/test_bench_slopes.py
+++ b/tests/test_bench_slopes.py
@@ -12,7 +12,7 @@
 
 _ROOT = Path(__file__).resolve().parent.parent
 #: Counts, which are the same in every run, unlike times.
-_COUNTED = (
+_EXPECTED_COUNTS = (
     ('spread', 'use_copies_each_at_8', 7 / 8),
     ('spread', 'edit_reached_share_at_8', 1),
     ('messages', 'heartbeat_bytes', 25),
@@ -49,7 +49,7 @@
         cls.addClassCleanup(directory.cleanup)
         paths = os.pathsep.join((str(_ROOT / 'src'), str(_ROOT)))
         command = (sys.executable, '-m', 'bench.slopes', *_NAMES)
-        cls.done = subprocess.run(
+        cls.completed = subprocess.run(
             (*command, '--smoke', '--runs', '1'),
             cwd=directory.name,
             env=os.environ | {'PYTHONPATH': paths},
@@ -58,21 +58,23 @@
             timeout=200,
             check=False,
         )
-        out = Path(directory.name) / 'build' / 'bench' / 'slopes.json'
-        cls.slopes = json.loads(out.read_text())['slopes']
+        output = Path(directory.name) / 'build' / 'bench' / 'slopes.json'
+        cls.slopes = json.loads(output.read_text())['slopes']
 
     @parameterized.expand([(name,) for name in _NAMES])
-    def test_measures(self, name: str) -> None:
-        self.assertEqual(self.done.returncode, 0, self.done.stderr)
+    def test_every_measurement_has_figures(self, name: str) -> None:
+        self.assertEqual(self.completed.returncode, 0, self.completed.stderr)
         figures = self.slopes[name]
         self.assertTrue(figures)
         self.assertEqual({one['runs'] for one in figures.values()}, {1})
 
-    @parameterized.expand(_COUNTED)
-    def test_counts(self, name: str, figure: str, expected: float) -> None:
+    @parameterized.expand(_EXPECTED_COUNTS)
+    def test_expected_counts(
+        self, name: str, figure: str, expected: float
+    ) -> None:
         self.assertEqual(self.slopes[name][figure]['median'], expected)
 
     def test_counts_conflicts(self) -> None:
         """Many drawers on one account cause conflicts, which are counted."""
-        crowd = self.slopes['contention']
-        self.assertGreater(crowd['commits_per_draw_at_64']['median'], 1)
+        contention = self.slopes['contention']
+        self.assertGreater(contention['commits_per_draw_at_64']['median'], 1)
--- a/tests/test_curl_tls.py
+++ b/tests/test_curl_tls.py
@@ -35,7 +35,7 @@
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
         self.files = Files(directory.name)
-        self.others = Files(Path(directory.name, 'others'))
+        self.other_files = Files(Path(directory.name, 'others'))
         # The CA cache lifetime of 1 min is too long for a test.
         cache = mock.patch.object(curl_tls, 'CA_CACHE_S', 0)
         cache.start()
@@ -45,8 +45,8 @@
         platform = make_platform_app(MemoryPlatform.start(SystemClock()))
         engine = make_engine_app(Engine(EngineSettings(), SystemClock()))
         self.servers = {
-            'platform': HTTPServer(platform, ssl_options=self.context()),
-            'target': HTTPServer(engine, ssl_options=self.context()),
+            'platform': HTTPServer(platform, ssl_options=self.ssl_context()),
+            'target': HTTPServer(engine, ssl_options=self.ssl_context()),
         }
         self.addresses = {}
         for kind, server in self.servers.items():
@@ -57,14 +57,14 @@
             self.addAsyncCleanup(server.close_all_connections)
             self.addCleanup(server.stop)
 
-    def context(self):
-        context = ssl.create_default_context(
+    def ssl_context(self):
+        ssl_context = ssl.create_default_context(
             ssl.Purpose.CLIENT_AUTH,
             cafile=self.files.ca,
         )
-        context.verify_mode = ssl.CERT_REQUIRED
-        context.load_cert_chain(self.files.certificate, self.files.key)
-        return context
+        ssl_context.verify_mode = ssl.CERT_REQUIRED
+        ssl_context.load_cert_chain(self.files.certificate, self.files.key)
+        return ssl_context
 
     def settings(self, files):
         url = f'https://{self.addresses["platform"]}'
@@ -74,17 +74,21 @@
             ('certificate', files.certificate),
             ('key', files.key),
         )
-        named = [f'{key}_{name}={path}' for key in keys for name, path in paths]
-        place = (
+        tls_settings = [
+            f'{key}_{name}={path}' for key in keys for name, path in paths
+        ]
+        base_settings = (
             'host.zone=zone-a',
             f'platform.table={url}',
             # On a busy machine the test process may pause for longer than the
             # default timeout of polls.
             'targets.poll_timeout=30s',
         )
-        return read_settings(None, (*place, 'routing.target_tls=yes', *named))
+        return read_settings(
+            None, (*base_settings, 'routing.target_tls=yes', *tls_settings)
+        )
 
-    def client(self, kind, files):
+    def request_function(self, kind, files):
         """Return a function that sends a request to the server of a kind."""
         cfg = self.settings(files)
         if kind == 'target':
@@ -96,16 +100,16 @@
         return lambda: HttpTableService(sender).read(('a',))
 
     @parameterized.expand(_KINDS)
-    async def test_both_ends_show_a_certificate(self, kind):
+    async def test_both_ends_verify_certificates(self, kind):
         """Both ends of a connection verify the other's certificate.
 
         Guards against targets that all count as dead with ``target_tls``
         because load reports are requested without TLS.
         """
-        answer = await self.client(kind, self.files)()
-        self.assertFalse(_failed(answer), answer)
-        strange = await self.client(kind, self.others)()
-        self.assertTrue(_failed(strange))
+        answer = await self.request_function(kind, self.files)()
+        self.assertFalse(_is_fault(answer), answer)
+        rejected = await self.request_function(kind, self.other_files)()
+        self.assertTrue(_is_fault(rejected))
 
     @parameterized.expand(_KINDS)
     async def test_renewed_files_need_no_restart(self, kind):
@@ -115,13 +119,13 @@
         certificate for a day because curl caches the contents of the CA
         file.
         """
-        ask = self.client(kind, self.files)
-        self.assertFalse(_failed(await ask()))
+        send_request = self.request_function(kind, self.files)
+        self.assertFalse(_is_fault(await send_request()))
         self.files.renew()
         server = self.servers[kind]
-        server.ssl_options = self.context()
+        server.ssl_options = self.ssl_context()
         await server.close_all_connections()
-        self.assertFalse(_failed(await ask()))
+        self.assertFalse(_is_fault(await send_request()))
 
     @parameterized.expand(
         (
@@ -138,7 +142,7 @@
             ('peers.tls_key=/none.pem', '[peers] tls_certificate: missing'),
         )
     )
-    def test_files_are_checked_before_the_start(self, override, told):
+    def test_invalid_files_are_reported(self, override, expected):
         cfg = self.settings(self.files)
         self.assertIsNone(check_certificates(cfg))
         section, _, text = override.partition('.')
@@ -146,14 +150,14 @@
         changed = attrs.evolve(getattr(cfg, section), **{name: path})
         fault = check_certificates(attrs.evolve(cfg, **{section: changed}))
         self.assertEqual(len(fault.problems), 1, fault.problems)
-        self.assertTrue(fault.problems[0].startswith(told), fault.problems)
+        self.assertTrue(fault.problems[0].startswith(expected), fault.problems)
 
-    def test_routers_need_their_ca(self):
-        given = self.files.settings('peers')
-        cfg = read_settings(None, ('host.zone=zone-a', *given))
+    def test_peer_tls_requires_ca(self):
+        tls_settings = self.files.settings('peers')
+        cfg = read_settings(None, ('host.zone=zone-a', *tls_settings))
         fault = check_certificates(cfg)
         self.assertTrue(fault.reason.startswith('[peers] tls_ca: missing'))
 
 
-def _failed(answer):
+def _is_fault(answer):
     return isinstance(answer, Fault)
--- a/tests/test_deploy_start.py
+++ b/tests/test_deploy_start.py
@@ -12,7 +12,7 @@
 from parameterized import parameterized
 
 ROOT = Path(__file__).resolve().parent.parent
-_SECONDS = 60
+_TIMEOUT_S = 60
 
 
 def _load(path):
@@ -24,8 +24,10 @@
 
 start = _load(ROOT / 'deploy' / 'start.py')
 
-_ELSEWHERE = marshal.dumps(('/elsewhere', {'a': ('b', None, b'')}, {}))
-_NEVER = marshal.dumps(('', {}, {}))
+_BUNDLE_OF_OTHER_PATH = marshal.dumps(
+    ('/elsewhere', {'a': ('b', None, b'')}, {})
+)
+_EMPTY_BUNDLE = marshal.dumps(('', {}, {}))
 _MODULES = {
     'sample/__init__.py': 'from sample.inner import NAME\n',
     'sample/inner.py': (
@@ -52,7 +54,7 @@
             path.write_text(text, encoding='utf-8')
         self.bundle = self.root / 'modules.bundle'
 
-    def write(self):
+    def write_bundle(self):
         self.run_python(str(ROOT / 'tools' / 'make_bundle.py'), 'sample')
 
     def run_python(self, script, *names):
@@ -60,16 +62,16 @@
             [sys.executable, script, str(self.bundle), *names],
             cwd=self.root,
             env=os.environ | {'PYTHONPATH': str(self.root)},
-            timeout=_SECONDS,
+            timeout=_TIMEOUT_S,
             check=True,
             capture_output=True,
         )
 
-    def read(self):
+    def load_bundle(self):
         return start.read_bundle(str(self.bundle), str(self.root))
 
-    def test_a_module_comes_whole_without_its_file(self):
-        self.write()
+    def test_module_is_loaded_without_its_file(self):
+        self.write_bundle()
         (self.root / 'sample' / 'inner.py').unlink()
         script = self.root / 'use.py'
         script.write_text(
@@ -83,12 +85,12 @@
             'print(sample.NAME, sample.inner.__file__)\n',
             encoding='utf-8',
         )
-        told = self.run_python(str(script)).stdout.decode().split(maxsplit=2)
-        self.assertEqual(told[0], 'Pair(one=1,')
-        self.assertTrue(told[2].strip().endswith('sample/inner.py'))
+        output = self.run_python(str(script)).stdout.decode().split(maxsplit=2)
+        self.assertEqual(output[0], 'Pair(one=1,')
+        self.assertTrue(output[2].strip().endswith('sample/inner.py'))
 
-    def test_paths_follow_the_checkout(self):
-        self.write()
+    def test_paths_are_relative_to_the_checkout(self):
+        self.write_bundle()
         moved = start.read_bundle(str(self.bundle), '/elsewhere')[0]
         origin, locations, _ = moved['sample']
         self.assertEqual(origin, '/elsewhere/sample/__init__.py')
@@ -98,23 +100,26 @@
         [
             ('none', None),
             ('empty', b''),
-            ('of another version', b''.join((b'none', _NEVER))),
-            ('of another place', b''.join((util.MAGIC_NUMBER, _ELSEWHERE))),
+            ('of another version', b''.join((b'none', _EMPTY_BUNDLE))),
+            (
+                'of another place',
+                b''.join((util.MAGIC_NUMBER, _BUNDLE_OF_OTHER_PATH)),
+            ),
         ]
     )
-    def test_a_bundle_that_can_not_be_used(self, _name, octets):
+    def test_unusable_bundle_is_ignored(self, _name, contents):
         """An invalid or outdated bundle is ignored.
 
         Guards against a router that crashes at startup or runs wrong code:
         Python is updated and the bundle is not, so that it contains code of
         another version.
         """
-        if octets is not None:
-            self.bundle.write_bytes(octets)
-        self.assertEqual(self.read(), ({}, {}))
+        if contents is not None:
+            self.bundle.write_bytes(contents)
+        self.assertEqual(self.load_bundle(), ({}, {}))
 
-    def test_what_was_not_compiled_before_is_compiled(self):
-        once = start.CompileOnce({})
+    def test_code_missing_from_bundle_is_compiled(self):
+        compile_once = start.CompileOnce({})
         names = {}
-        exec(once('value = 3', '<test>', 'exec'), names)
+        exec(compile_once('value = 3', '<test>', 'exec'), names)
         self.assertEqual(names['value'], 3)
--- a/tests/test_operators_pages.py
+++ b/tests/test_operators_pages.py
@@ -26,10 +26,10 @@
 
 _DOCS = pathlib.Path(__file__).parent.parent / 'docs'
 _SOURCE = pathlib.Path(balsamreach.__file__).parent
-_QUOTED = re.compile(r'`([^`]+)`')
+_CODE_SPAN = re.compile(r'`([^`]+)`')
 #: A link to a file in the repository; the group excludes the fragment.
 _LINK = re.compile(r'\]\(([^):#]+)(?:#[^)]*)?\)')
-_UNITS = {
+_UNIT_OF_PARSER = {
     units.read_count: 'count',
     units.read_duration: 'duration',
     units.read_flag: 'flag',
@@ -62,11 +62,11 @@
     return dict(_sections(page))[heading]
 
 
-def _quoted(cell):
-    return _QUOTED.findall(cell)
+def _code_spans(cell):
+    return _CODE_SPAN.findall(cell)
 
 
-def _calls(name, package='gateway'):
+def _find_calls(name, package='gateway'):
     """Yield the calls of a name with two or more arguments in a package."""
     for path in _SOURCE.glob(f'{package}/*.py'):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -81,7 +81,7 @@
 
     The status is None if it is not a constant.
     """
-    for node in _calls(name):
+    for node in _find_calls(name):
         code = getattr(node.args[1], 'value', None)
         if isinstance(code, str):
             yield _status(node.args[0]), code
@@ -97,20 +97,20 @@
     return {
         (int(row[0].rstrip('*')), code)
         for row in rows
-        for code in _quoted(row[1])
+        for code in _code_spans(row[1])
     }
 
 
-def _setting(row):
+def _parse_setting_row(row):
     key, unit, default = row[:3]
     return key.strip('`'), unit, default.strip('`')
 
 
-def _members(module, kind):
+def _instances_in(module, instance_type):
     return [
         fault
         for _, fault in inspect.getmembers(module)
-        if isinstance(fault, kind)
+        if isinstance(fault, instance_type)
     ]
 
 
@@ -138,10 +138,10 @@
         for section in attrs.fields(Settings):
             for key in attrs.fields(section.type):
                 default = parser[section.name][key.name]
-                unit = _UNITS.get(view_of(key), 'word')
+                unit = _UNIT_OF_PARSER.get(view_of(key), 'word')
                 known.add((section.name, key.name, unit, default))
         listed = {
-            (heading.strip('`[]'), *_setting(row))
+            (heading.strip('`[]'), *_parse_setting_row(row))
             for heading, rows in _sections('operators/settings.md')
             if heading.startswith('`[')
             for row in rows
@@ -151,18 +151,18 @@
     def test_callers_refusals(self):
         known = set(_literal_codes('Refusal'))
         known.add((HTTPStatus.BAD_REQUEST, BAD_KEY.code))
-        for fault in _members(faults, DispatchFault):
+        for fault in _instances_in(faults, DispatchFault):
             known.add((from_fault(fault).status, fault.code))
         self.compare_codes("Refusals on the callers' interface", known)
 
-    def test_what_a_refusal_says_of_the_run(self):
+    def test_refusals_state_whether_the_request_ran(self):
         rows = _rows(
             'operators/errors.md', "Refusals on the callers' interface"
         )
-        said = {code: row[2] for row in rows for code in _quoted(row[1])}
-        for fault in _members(faults, DispatchFault):
-            runs = said[fault.code].split(' or ')
-            self.assertIn(fault.ran, runs, fault.code)
+        listed = {code: row[2] for row in rows for code in _code_spans(row[1])}
+        for fault in _instances_in(faults, DispatchFault):
+            documented_values = listed[fault.code].split(' or ')
+            self.assertIn(fault.ran, documented_values, fault.code)
 
     def test_operators_refusals(self):
         known = set(_literal_codes('refuse'))
@@ -173,39 +173,45 @@
     def compare_codes(self, heading, known):
         listed = _listed_codes(_rows('operators/errors.md', heading))
         # If the status depends on the case, only the code is compared.
-        open_codes = {code for status, code in known if status is None}
-        fixed = {pair for pair in known if pair[1] not in open_codes}
+        codes_without_status = {
+            code for status, code in known if status is None
+        }
+        pairs_with_status = {
+            pair for pair in known if pair[1] not in codes_without_status
+        }
         self.assertEqual(
-            {pair for pair in listed if pair[1] not in open_codes},
-            fixed,
+            {pair for pair in listed if pair[1] not in codes_without_status},
+            pairs_with_status,
         )
-        self.assertLessEqual(open_codes, {code for _, code in listed})
+        self.assertLessEqual(codes_without_status, {code for _, code in listed})
 
     def test_log_events(self):
         pages = (_DOCS / 'operators').glob('*.md')
-        quoted = {word for page in pages for word in _quoted(page.read_text())}
+        documented = {
+            word for page in pages for word in _code_spans(page.read_text())
+        }
         events = {
             call.args[2].value
-            for call in _calls('log_event', package='*')
+            for call in _find_calls('log_event', package='*')
             if isinstance(call.args[2], ast.Constant)
         }
-        self.assertEqual(events - quoted, set())
+        self.assertEqual(events - documented, set())
 
     def test_commands(self):
         listed = set()
         for row in _rows('operators/start.md', 'Commands'):
-            name, *under = _quoted(row[0])
-            listed.update(f'{name} {other}' for other in under)
-            if not under:
+            name, *subcommands = _code_spans(row[0])
+            listed.update(f'{name} {other}' for other in subcommands)
+            if not subcommands:
                 listed.add(name)
         self.assertEqual(listed, set(_commands(main)))
 
     def test_exit_codes(self):
         rows = _rows('operators/start.md', 'Exit codes')
-        known = set(_members(exit_codes, int))
+        known = set(_instances_in(exit_codes, int))
         self.assertEqual({int(row[0]) for row in rows}, known)
 
-    def test_links(self):
+    def test_links_to_files_exist(self):
         pages = (*_DOCS.rglob('*.md'), *_DOCS.parent.glob('*.md'))
         broken = [
             f'{page.name}: {link}'
@@ -217,7 +223,7 @@
 
     def test_packages(self):
         rows = _rows('ARCHITECTURE.md', 'Packages')
-        listed = {name for row in rows for name in _quoted(row[0])}
+        listed = {name for row in rows for name in _code_spans(row[0])}
         known = {path.parent.name for path in _SOURCE.glob('*/__init__.py')}
         modules = {path.stem for path in _SOURCE.glob('[!_]*.py')}
         self.assertEqual(listed, known | modules)
--- a/tests/test_telemetry_names.py
+++ b/tests/test_telemetry_names.py
@@ -10,12 +10,12 @@
 
 _ROOT = pathlib.Path(__file__).parent.parent
 _SOURCE = pathlib.Path(balsamreach.__file__).parent
-_NAME = re.compile(r'balsamreach_[a-z_]*[a-z]')
-_ROW = re.compile(r'^\| `([a-z_]+)` \|', re.MULTILINE)
+_METRIC_NAME = re.compile(r'balsamreach_[a-z_]*[a-z]')
+_TABLE_ROW = re.compile(r'^\| `([a-z_]+)` \|', re.MULTILINE)
 #: The type in the body of an error response, not a metric.
-_OTHERS = frozenset(('balsamreach_error',))
+_NOT_METRICS = frozenset(('balsamreach_error',))
 #: Suffixes of the gauges whose names ``table.follower`` builds.
-_TABLE = ('version', 'age_seconds', 'rows', 'rows_rejected')
+_TABLE_GAUGES = ('version', 'age_seconds', 'rows', 'rows_rejected')
 
 
 def _strings(path):
@@ -24,30 +24,32 @@
             yield node.value
 
 
-class NamesTest(unittest.TestCase):
+class MetricNamesTest(unittest.TestCase):
     """Every metric name is defined once and has a row on the page."""
 
     def setUp(self):
-        found = Counter(
+        counts = Counter(
             text
             for path in _SOURCE.rglob('*.py')
             for text in _strings(path)
-            if _NAME.fullmatch(text) and text not in _OTHERS
+            if _METRIC_NAME.fullmatch(text) and text not in _NOT_METRICS
         )
-        self.found = found
+        self.counts = counts
 
-    def test_each_name_stands_in_one_place(self):
+    def test_each_name_is_defined_once(self):
         """No metric name is defined twice.
 
         Guards against a sum over a counter that counts each request twice,
         so that there seem to be twice as many attempts as requests: two
         modules define the same name and count with different labels.
         """
-        twice = [name for name, count in self.found.items() if count > 1]
-        self.assertEqual(twice, [])
+        duplicates = [name for name, count in self.counts.items() if count > 1]
+        self.assertEqual(duplicates, [])
 
-    def test_page_lists_all_and_no_others(self):
+    def test_page_lists_exactly_these_names(self):
         page = (_ROOT / 'docs' / 'operators' / 'metrics.md').read_text()
-        listed = Counter(f'balsamreach_{row}' for row in _ROW.findall(page))
-        made = [f'balsamreach_table_{name}' for name in _TABLE]
-        self.assertEqual(listed, Counter([*self.found, *made]))
+        listed = Counter(
+            f'balsamreach_{row}' for row in _TABLE_ROW.findall(page)
+        )
+        table_gauges = [f'balsamreach_table_{name}' for name in _TABLE_GAUGES]
+        self.assertEqual(listed, Counter([*self.counts, *table_gauges]))
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -19,7 +19,7 @@
 _REPLY_TOKENS = 3
 
 
-def _wait_for(check):
+def _wait_until(check):
     for _ in range(400):
         if check():
             return True
@@ -65,7 +65,7 @@
             models=['model-a'],
         )
         chat = f'{self.callers}/v1/chat/completions'
-        ready = _wait_for(
+        ready = _wait_until(
             lambda: (
                 call(chat, _TEAM_KEY, _CHAT | {'messages': 0}).status == 400
             ),
@@ -78,14 +78,16 @@
         self.assertEqual(first.status, 200)
         self.assertTrue(first.body.endswith(b'data: [DONE]\n\n'))
         self.assertEqual(again.body, first.body)
-        self.assertTrue(_wait_for(lambda: not self._ledger()['waiting_bills']))
+        self.assertTrue(
+            _wait_until(lambda: not self._ledger()['waiting_bills'])
+        )
         self.assertEqual(
             self._ledger()['billed'],
             _PROMPT_TOKENS + _REPLY_TOKENS,
         )
 
         self._edit('team/winders', state='paused')
-        paused = _wait_for(
+        paused = _wait_until(
             lambda: call(chat, _TEAM_KEY, _CHAT).status == 403,
         )
         self.assertTrue(paused)
