--- a/tests/failure_rig.py
+++ b/tests/failure_deployment.py
@@ -1,4 +1,4 @@
-"""Whole routers in availability zones, with links that can be cut."""
+"""Routers, a platform and targets with failures that tests trigger."""
 
 import asyncio
 import contextlib
@@ -43,16 +43,16 @@
 )
 from tests.support import command_line
 
-#: A pause of at least so many seconds lasts until the gate is opened.
-HELD_S = 1000
-#: Pace of an engine that stops after its first word until then.
-HELD_MS = HELD_S * 1000
+#: A sleep of at least this many seconds lasts until the clock is resumed.
+ENDLESS_SLEEP_S = 1000
+#: Pace with which an engine stops after its first word until then, in ms.
+ENDLESS_PACE_MS = ENDLESS_SLEEP_S * 1000
 TEAM = 'winders'
-_SECONDS = 60
-_LOOKS = 2000
-_PAUSE = 0.02
-#: Every draw takes the same, so that sessions come out the same each time.
-_SETTINGS = (
+_TIMEOUT_S = 60
+_MAX_CHECKS = 2000
+_CHECK_INTERVAL_S = 0.02
+#: All draws have the same size, so that sessions are reproducible.
+_OVERRIDES = (
     'budget.least_draw=100',
     'budget.draw_ahead=0s',
     'budget.partition_cover=0s',
@@ -66,41 +66,41 @@
 )
 
 
-class Gate(SystemClock):
-    """The system's clock, but long pauses end when the gate is opened."""
+class ResumableClock(SystemClock):
+    """The system's clock, except that long sleeps end when it is resumed."""
 
     def __init__(self) -> None:
-        self.opened = asyncio.Event()
+        self.resumed = asyncio.Event()
 
     async def sleep(self, seconds: float) -> None:
-        """Wait for the time, or for the gate."""
-        if seconds >= HELD_S:
-            await self.opened.wait()
+        """Sleep; for ``ENDLESS_SLEEP_S`` or more, wait for ``resumed``."""
+        if seconds >= ENDLESS_SLEEP_S:
+            await self.resumed.wait()
         else:
             await super().sleep(seconds)
 
 
 @attrs.define(eq=False)
-class HeldCommit:
-    """Holds the first commit to rows of a prefix up at the table service.
+class DelayedCommit:
+    """Delays the first commit to rows with a prefix at the table service.
 
     Parameters
     ----------
     prefix : str
-        Start of a row's key.
+        Prefix of the row keys.
     applied : bool
-        Whether it takes effect before it is held, or after.
+        Whether the commit takes effect before the delay or after it.
     """
 
     prefix: str
     applied: bool
-    came: asyncio.Event = attrs.field(factory=asyncio.Event)
-    go_on: asyncio.Event = attrs.field(factory=asyncio.Event)
-    _plain = MemoryTableService.commit
+    reached: asyncio.Event = attrs.field(factory=asyncio.Event)
+    resume: asyncio.Event = attrs.field(factory=asyncio.Event)
+    _original_commit = MemoryTableService.commit
 
     @contextlib.contextmanager
-    def hold(self) -> Generator[None, None, None]:
-        """Hold it inside the block."""
+    def installed(self) -> Generator[None, None, None]:
+        """Patch the table service for the duration of the block."""
         with mock.patch.object(
             MemoryTableService,
             'commit',
@@ -109,91 +109,91 @@
             yield
 
     async def commit(self, table: MemoryTableService, change: Commit):
-        """Commit, held if it is the one."""
+        """Commit; if this is the selected commit, wait for ``resume``."""
         keys = [write.key for write in change.writes]
-        wanted = any(key.startswith(self.prefix) for key in keys)
-        if not wanted or self.came.is_set():
-            return await HeldCommit._plain(table, change)
-        self.came.set()
+        is_selected = any(key.startswith(self.prefix) for key in keys)
+        if not is_selected or self.reached.is_set():
+            return await DelayedCommit._original_commit(table, change)
+        self.reached.set()
         if not self.applied:
-            await self.go_on.wait()
-            return await HeldCommit._plain(table, change)
-        outcome = await HeldCommit._plain(table, change)
-        await self.go_on.wait()
+            await self.resume.wait()
+            return await DelayedCommit._original_commit(table, change)
+        outcome = await DelayedCommit._original_commit(table, change)
+        await self.resume.wait()
         return outcome
 
 
 @attrs.define(eq=False)
 class RouterProcess:
-    """A router as a process of its own, to be killed or paused.
+    """A router in a separate process, which tests can kill or pause.
 
     Parameters
     ----------
-    started : dict
-        Its addresses.
+    addresses : dict
+        Addresses of its listeners, from its first line of output.
     log : Path
-        Where its log goes.
+        File of its log.
     """
 
-    child: asyncio.subprocess.Process
-    started: dict[str, str]
+    proc: asyncio.subprocess.Process
+    addresses: dict[str, str]
     log: Path
 
     @property
     def address(self) -> str:
-        """Address for callers."""
-        return self.started['callers']
+        """``ip:port`` on which it serves callers."""
+        return self.addresses['callers']
 
     def signal(self, number: int) -> None:
-        """Send a signal, to whom it still reaches."""
+        """Send a signal unless the process has ended."""
         with contextlib.suppress(ProcessLookupError):
-            self.child.send_signal(number)
+            self.proc.send_signal(number)
 
     async def kill(self) -> None:
-        """End it as a crash would."""
+        """Kill the process by SIGKILL."""
         with contextlib.suppress(ProcessLookupError):
-            self.child.kill()
-        async with asyncio.timeout(_SECONDS):
-            await self.child.wait()
+            self.proc.kill()
+        async with asyncio.timeout(_TIMEOUT_S):
+            await self.proc.wait()
 
     async def leave(self) -> int:
-        """Let it shut down and return its exit code."""
+        """Shut the process down by SIGTERM and return its exit code."""
         with contextlib.suppress(ProcessLookupError):
-            self.child.terminate()
-        async with asyncio.timeout(_SECONDS):
-            return await self.child.wait()
+            self.proc.terminate()
+        async with asyncio.timeout(_TIMEOUT_S):
+            return await self.proc.wait()
 
     def events(self) -> list[dict[str, object]]:
-        """Return the events it has logged."""
+        """Return the events that it has logged."""
         lines = self.log.read_text(encoding='utf-8').splitlines()
         return [json.loads(line) for line in lines if line.startswith('{')]
 
 
 @attrs.define(eq=False)
-class Rig(Deployment):
-    """A platform, engines and routers whose failures a test brings about.
+class FailureDeployment(Deployment):
+    """A platform, engines and routers with failures that a test triggers.
 
     Parameters
     ----------
     engines : int
         Number of engines.
     prepaid : int
-        Budget of the one team.
+        Prepaid tokens of the only team.
     """
 
     engines: int = 1
     prepaid: int = 10_000
-    more: dict[str, tuple[str, ...]] = attrs.field(factory=dict)
-    gate: Gate = attrs.field(factory=Gate)
-    pool: list[Running] = attrs.field(factory=list)
+    router_overrides: dict[str, tuple[str, ...]] = attrs.field(factory=dict)
+    clock: ResumableClock = attrs.field(factory=ResumableClock)
+    running_engines: list[Running] = attrs.field(factory=list)
     links: list[Link] = attrs.field(factory=list)
-    children: list[RouterProcess] = attrs.field(factory=list)
+    router_processes: list[RouterProcess] = attrs.field(factory=list)
     seeds: list[str] = attrs.field(factory=list)
     _logs: tempfile.TemporaryDirectory = attrs.field(
         factory=tempfile.TemporaryDirectory,
     )
 
-    async def open(self) -> None:
+    async def start_standins(self) -> None:
         """Start the platform and the targets."""
         self.platform = await start_platform(PlatformSettings())
         for number in range(self.engines):
@@ -204,28 +204,28 @@
                 pace_ms=0,
                 incarnation=f'start-{number}',
             )
-            self.pool.append(await start_engine(cfg, self.gate))
-        self.engine = self.pool[0]
-        self.service = await start_service(ServiceSettings(), self.gate)
+            self.running_engines.append(await start_engine(cfg, self.clock))
+        self.engine = self.running_engines[0]
+        self.service = await start_service(ServiceSettings(), self.clock)
         await self.put_rows(self.rows())
 
     async def start(self, routers: int = 1) -> None:
-        """Start routers and wait until they are ready and met."""
+        """Start routers and wait until all are ready and connected."""
         for number in range(routers):
             await self.add_router(f'router-{number}')
-        await self.meet()
+        await self.wait_until_connected()
 
     async def stop(self) -> None:
-        """Heal everything, then stop it."""
-        self.heal()
-        self.gate.opened.set()
-        self.weather.down = False
-        for child in self.children:
-            child.signal(signal.SIGCONT)
-            await child.kill()
+        """Undo all failures, then stop everything."""
+        self.restore_links()
+        self.clock.resumed.set()
+        self.failures.down = False
+        for proc in self.router_processes:
+            proc.signal(signal.SIGCONT)
+            await proc.kill()
         for router in self.routers:
             await router.leave()
-        standins = (*self.pool, self.service, self.platform)
+        standins = (*self.running_engines, self.service, self.platform)
         for standin in standins:
             await standin.stop()
         for link in self.links:
@@ -233,8 +233,8 @@
         self._logs.cleanup()
 
     @property
-    def weather(self):
-        """What goes wrong with the platform."""
+    def failures(self):
+        """Failures that the platform simulates."""
         return self.platform.core.weather
 
     def settings_text(self, name: str) -> tuple[str, ...]:
@@ -242,20 +242,20 @@
         seeds = ' '.join(self.seeds)
         return (
             *super().settings_text(name),
-            *_SETTINGS,
+            *_OVERRIDES,
             f'peers.seeds={seeds}',
             *self.overrides,
-            *self.more.get(name, ()),
+            *self.router_overrides.get(name, ()),
         )
 
     def rows(self) -> tuple[TeamRow | TargetRow, ...]:
-        """Return the rows that the table starts with."""
+        """Return the initial rows of the table."""
         team = TeamRow(
             name=TEAM,
             prepaid=self.prepaid,
             key_hashes=(hash_key(SECRET),),
         )
-        desk = super().rows()[-1]
+        service = super().rows()[-1]
         engines = [
             TargetRow(
                 name=f'engine-{number}',
@@ -264,49 +264,49 @@
                 service='llm',
                 models={MODEL: 1},
             )
-            for number, engine in enumerate(self.pool)
+            for number, engine in enumerate(self.running_engines)
         ]
-        return (team, *engines, attrs.evolve(desk, service=SERVICE, price=5))
+        return (team, *engines, attrs.evolve(service, service=SERVICE, price=5))
 
     async def replace_row(self, row: TargetRow) -> None:
-        """Write a row anew, as an operator would."""
+        """Overwrite a row by an operator's edit."""
         editor = Editor(self.store, SystemClock())
         edit = Edit(f'new-{row.name}', 'test', row.key, -1, encode(row))
         outcome = await editor.apply(edit)
         assert not isinstance(outcome, TableFault), outcome
 
     async def link(self, to: str) -> Link:
-        """Return a link to an address that can be cut."""
+        """Open a link to an address; the test can cut the link."""
         link = Link(to)
         await link.open()
         self.links.append(link)
         return link
 
     async def table_link(self, name: str) -> Link:
-        """Put a link between a router to come and the table service."""
+        """Link a router that is not started yet to the table service."""
         link = await self.link(self.platform.address)
-        given = self.more.get(name, ())
+        earlier = self.router_overrides.get(name, ())
         url = f'http://{link.address}'
-        self.more[name] = (*given, f'platform.table={url}')
+        self.router_overrides[name] = (*earlier, f'platform.table={url}')
         return link
 
     async def platform_link(self, name: str) -> Link:
-        """Put a link between a router to come and the whole platform."""
+        """Link a router that is not started yet to all platform services."""
         link = await self.table_link(name)
         url = f'http://{link.address}'
         kinds = ('objects', 'hosts', 'weights')
         urls = [f'platform.{kind}={url}' for kind in kinds]
-        self.more[name] = (*self.more[name], *urls)
+        self.router_overrides[name] = (*self.router_overrides[name], *urls)
         return link
 
     async def add_router(self, name: str) -> Router:
         """Start one more router and wait until it is ready."""
-        router = await self.begin_router(name)
+        router = await self.start_router(name)
         assert await until(lambda: router.state == READY)
         return router
 
-    async def begin_router(self, name: str) -> Router:
-        """Start one more router; the others reach it over a link."""
+    async def start_router(self, name: str) -> Router:
+        """Start one more router, which its peers reach over a link."""
         router = Router(self.settings(name))
         await router.start()
         self.routers.append(router)
@@ -316,63 +316,63 @@
         self.seeds.append(link.address)
         return router
 
-    async def add_process(self, name: str) -> RouterProcess:
-        """Start a router as a process and wait until it is ready."""
+    async def add_router_process(self, name: str) -> RouterProcess:
+        """Start a router in a process and wait until it is ready."""
         texts = self.settings_text(name)
-        log = Path(self._logs.name) / f'{name}-{len(self.children)}.log'
+        log = Path(self._logs.name) / f'{name}-{len(self.router_processes)}.log'
         with log.open('w', encoding='utf-8') as errors:
-            child = await asyncio.create_subprocess_exec(
+            proc = await asyncio.create_subprocess_exec(
                 *command_line(),
                 'serve',
                 *(f'--set={text}' for text in texts),
                 stdout=asyncio.subprocess.PIPE,
                 stderr=errors,
             )
-        started = json.loads(await child.stdout.readline())
-        process = RouterProcess(child, started, log)
-        self.children.append(process)
-        self.seeds.append(started['peers'])
-        await wait_ready(started['operators'])
+        addresses = json.loads(await proc.stdout.readline())
+        process = RouterProcess(proc, addresses, log)
+        self.router_processes.append(process)
+        self.seeds.append(addresses['peers'])
+        await wait_for_state(addresses['operators'])
         return process
 
-    async def meet(self) -> None:
-        """Wait until every router in this process sees all others."""
-        count = len(self.routers) + len(self.children) - 1
+    async def wait_until_connected(self) -> None:
+        """Wait until each router in this process is connected to all others."""
+        count = len(self.routers) + len(self.router_processes) - 1
         for router in self.routers:
-            await wait(partial(_sees, router.parts.net, count))
+            await wait_until(partial(_has_neighbours, router.parts.net, count))
 
-    def heal(self) -> None:
-        """Mend all links."""
+    def restore_links(self) -> None:
+        """Restore all links."""
         for link in self.links:
             link.heal()
 
 
-def _sees(net, count: int) -> bool:
+def _has_neighbours(net, count: int) -> bool:
     return len(net.neighbours()) == count
 
 
-async def wait(check) -> None:
-    """Wait until a check holds; a test fails if it never does."""
-    for _ in range(_LOOKS):
+async def wait_until(check) -> None:
+    """Wait until a check is true; fail if it is not within about 40 s."""
+    for _ in range(_MAX_CHECKS):
         if check():
             return
-        await asyncio.sleep(_PAUSE)
-    raise AssertionError('it never came about')
+        await asyncio.sleep(_CHECK_INTERVAL_S)
+    raise AssertionError('timed out before the check was true')
 
 
-async def wait_ready(address: str, state: str = 'ready') -> None:
-    """Wait until a router calls itself ready, or whatever is awaited."""
+async def wait_for_state(address: str, state: str = 'ready') -> None:
+    """Wait until the router at an operators' address reports a state."""
     sent = request('GET /readyz', secret='')
-    for _ in range(_LOOKS):
+    for _ in range(_MAX_CHECKS):
         answer = parse_answer(await exchange(address, sent))
         if json.loads(answer.body)['status'] == state:
             return
-        await asyncio.sleep(_PAUSE)
-    raise AssertionError(f'the router is never {state}')
+        await asyncio.sleep(_CHECK_INTERVAL_S)
+    raise AssertionError(f'timed out before the router was {state}')
 
 
 def free_port() -> int:
-    """Return a port that is free now."""
+    """Return a TCP port that is currently free."""
     with socket.socket() as sock:
         sock.bind(('127.0.0.1', 0))
         return sock.getsockname()[1]
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Helpers that several test modules share."""
+"""Clocks, processes and HTTP requests that several test modules use."""
 
 import asyncio
 import heapq
@@ -16,51 +16,51 @@
 
 from balsamreach.clock import Clock
 
-_SECONDS = 30
+_TIMEOUT_S = 30
 
 
 @attrs.define(eq=False)
 class HeldClock(Clock):
-    """A clock that stands still; its subclasses say what moves it."""
+    """A clock whose time is set; its subclasses define what advances it."""
 
     seconds: float = 1000
     _sleepers: list[tuple[float, int, asyncio.Future]] = attrs.field(
         factory=list,
     )
-    _numbers: itertools.count = attrs.field(factory=itertools.count)
+    _sequence: itertools.count = attrs.field(factory=itertools.count)
 
     def now(self) -> float:
-        """Return the time set."""
+        """Return the current time in seconds."""
         return self.seconds
 
     def wall(self) -> float:
-        """Return the time set, as wall time."""
+        """Return the same time as ``now``."""
         return self.seconds
 
     async def sleep(self, seconds: float) -> None:
-        """Suspend until the clock was moved far enough."""
+        """Suspend until the clock has advanced by that many seconds."""
         fut = asyncio.get_running_loop().create_future()
-        wakes = (self.seconds + seconds, next(self._numbers), fut)
-        heapq.heappush(self._sleepers, wakes)
+        entry = (self.seconds + seconds, next(self._sequence), fut)
+        heapq.heappush(self._sleepers, entry)
         await fut
 
     def sleeps_until(self, end: float) -> bool:
-        """Return whether anybody is to wake by then."""
+        """Return whether a sleeper is due at ``end`` or earlier."""
         return bool(self._sleepers) and self._sleepers[0][0] <= end
 
     def wake_next(self) -> float:
-        """Wake whoever is next, and return for when that was asked."""
-        wakes_at, _, fut = heapq.heappop(self._sleepers)
+        """Wake the sleeper that is due first and return its due time."""
+        due_at, _, fut = heapq.heappop(self._sleepers)
         if not fut.done():
             fut.set_result(None)
-        return wakes_at
+        return due_at
 
 
 class FakeClock(HeldClock):
-    """A clock that stands still until a test moves it."""
+    """A clock that a test advances."""
 
     def advance(self, seconds: float) -> None:
-        """Move the clock on and wake, in order, whose time has come."""
+        """Advance the clock and wake the sleepers that are due, in order."""
         self.seconds += seconds
         while self.sleeps_until(self.seconds):
             self.wake_next()
@@ -68,33 +68,33 @@
 
 @attrs.define(eq=False)
 class ManualClock(HeldClock):
-    """A clock that begins at 0 and is moved on by whoever sleeps."""
+    """A clock that starts at 0 and that every sleep advances."""
 
     seconds: float = 0
 
     async def sleep(self, seconds: float) -> None:
-        """Let the time pass at once."""
+        """Advance the clock without suspending."""
         self.seconds += seconds
 
 
 @attrs.define
 class Process:
-    """A role of the program, run as a process of its own."""
+    """A running process of the program and its first line of output."""
 
     popen: subprocess.Popen
     first_line: str
 
     @property
     def address(self) -> str:
-        """``ip:port`` that the first line names."""
+        """``ip:port`` on which the process listens, from its first line."""
         return json.loads(self.first_line)['address']
 
 
 def command_line() -> list[str]:
-    """Return the command to start the program with.
+    """Return the command that starts the program.
 
-    The variable ``BALSAMREACH_BINARY`` names a built file to test instead
-    of the checkout.
+    The environment variable ``BALSAMREACH_BINARY`` names a built file to
+    test instead of the checkout.
     """
     binary = os.environ.get('BALSAMREACH_BINARY')
     if binary:
@@ -104,7 +104,7 @@
 
 @contextmanager
 def process(*arguments: str) -> Generator[Process, None, None]:
-    """Run the program until the block ends, then end it by SIGTERM."""
+    """Run the program for the duration of the block, then send SIGTERM."""
     popen = subprocess.Popen(
         [*command_line(), *arguments],
         stdout=subprocess.PIPE,
@@ -114,24 +114,24 @@
     try:
         yield Process(popen, popen.stdout.readline())
     finally:
-        _end(popen)
+        _terminate(popen)
 
 
-def _end(popen: subprocess.Popen) -> None:
+def _terminate(popen: subprocess.Popen) -> None:
     popen.terminate()
-    popen.communicate(timeout=_SECONDS)
+    popen.communicate(timeout=_TIMEOUT_S)
 
 
 @attrs.frozen
 class Reply:
-    """An HTTP answer as a test sees it."""
+    """An HTTP response."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def json(self) -> Any:
-        """Return the JSON of the body."""
+        """Return the body decoded as JSON."""
         return json.loads(self.body)
 
 
@@ -142,31 +142,33 @@
     method: str = '',
     **headers: str,
 ) -> Reply:
-    """Send one HTTP request and return whatever answer comes.
+    """Send one HTTP request and return the response of any status.
 
     Parameters
     ----------
     url : str
-        Where to send it.
+        URL of the request.
     secret : str
-        Key for the Authorization header.
+        Team's or operator's key for the Authorization header.
     body : object
         Sent as JSON; None sends no body.
     method : str
-        Empty for POST with a body and GET without.
+        HTTP method; empty means POST with a body and GET without.
     **headers : str
-        More headers, with underscores for hyphens.
+        Additional headers, with underscores in place of hyphens.
     """
-    sent = None if body is None else json.dumps(body).encode()
-    req = request.Request(url, data=sent, method=method or None)
+    data = None if body is None else json.dumps(body).encode()
+    req = request.Request(url, data=data, method=method or None)
     req.add_header('Content-Type', 'application/json')
     if secret:
         req.add_header('Authorization', f'Bearer {secret}')
     for name, text in headers.items():
         req.add_header(name.replace('_', '-'), text)
     try:
-        with request.urlopen(req, timeout=_SECONDS) as answer:
-            return Reply(answer.status, dict(answer.headers), answer.read())
+        with request.urlopen(req, timeout=_TIMEOUT_S) as response:
+            return Reply(
+                response.status, dict(response.headers), response.read()
+            )
     except error.HTTPError as exc:
         with exc:
             return Reply(exc.code, dict(exc.headers), exc.read())
