--- a/bench/meter.py
+++ b/bench/meter.py
@@ -6,7 +6,7 @@
 import attrs
 from tornado.httpclient import AsyncHTTPClient
 
-from balsamreach.peers.counters import BYTES
+from balsamreach.peers.metric_names import BYTES
 from bench.fleet import Fleet, fetch
 from bench.processes import Process
 
--- a/bench/power.py
+++ b/bench/power.py
@@ -13,7 +13,7 @@
 import attrs
 
 from tests.fake_targets import FakeHost
-from tests.power_world import World
+from tests.power_world import PowerSimulation
 
 _HOSTS = 12
 _SLOTS = 4
@@ -79,35 +79,37 @@
     shape: str
     rng: random.Random
     tally: Tally = attrs.field(init=False)
-    world: World = attrs.field(init=False)
+    simulation: PowerSimulation = attrs.field(init=False)
     queue: list[int] = attrs.field(factory=list)
     ends: list[tuple[int, FakeHost, int, object]] = attrs.field(factory=list)
     idle: dict[str, int] = attrs.field(factory=dict)
     calm_since: int = -1
 
     def __attrs_post_init__(self) -> None:
-        """Put up the world."""
+        """Create the simulation."""
         self.tally = Tally(self.policy, self.shape)
         up = _HOSTS if self.policy == 'static' else _SLOTS
-        self.world = World(count=_HOSTS, up=up, overrides=_SETTINGS)
-        self.world.switch.delay = _START
-        self.world.add_router('r0')
-        self.world.add_router('r1')
+        self.simulation = PowerSimulation(
+            count=_HOSTS, up=up, overrides=_SETTINGS
+        )
+        self.simulation.fake_platform.delay = _START
+        self.simulation.add_router('r0')
+        self.simulation.add_router('r1')
 
     async def run(self) -> Tally:
         """Go through all seconds."""
-        await self.world.rounds(1)
+        await self.simulation.rounds(1)
         for now in range(_LENGTH):
             self._second(now)
             if now % _INTERVAL == 0:
                 await self._decide()
-            await self.world.clock.advance(1)
-        self.tally.cut = self.world.aborted_requests
-        self.tally.switches = len(self.world.switch.orders)
+            await self.simulation.clock.advance(1)
+        self.tally.cut = self.simulation.aborted_requests
+        self.tally.switches = len(self.simulation.fake_platform.orders)
         return self.tally
 
     def _second(self, now: int) -> None:
-        self.world.switch.bring_up()
+        self.simulation.fake_platform.bring_up()
         self._finish(now)
         rate = _SHAPES[self.shape](now)
         chance = rate / _SLOTS
@@ -127,10 +129,10 @@
                 self.tally.answered += 1
 
     def _place(self, now: int) -> bool:
-        router = self.rng.choice(self.world.routers)
+        router = self.rng.choice(self.simulation.routers)
         able = [
-            (self.world.client.hosts[target.row.address], target)
-            for target in router.targets.usable(self.world.rows)
+            (self.simulation.client.hosts[target.row.address], target)
+            for target in router.targets.usable(self.simulation.rows)
         ]
         free = [
             pair
@@ -147,12 +149,12 @@
         return True
 
     def _count(self, now: int) -> None:
-        on = [host for host in self.world.hosts if host.up]
+        on = [host for host in self.simulation.hosts if host.up]
         busy = sum(host.running for host in on)
         need = -(-busy // (_SLOTS * _USE)) + 1
         self.tally.host_s += len(on)
         self.tally.unneeded_s += int(max(0, len(on) - need))
-        for host in self.world.hosts:
+        for host in self.simulation.hosts:
             alone = host.up and not host.running and len(on) > need
             length = self.idle.get(host.address, 0) + 1 if alone else 0
             self.idle[host.address] = length
@@ -171,24 +173,28 @@
             self.tally.to_capacity_s = self.calm_since - 300
 
     async def _decide(self) -> None:
-        await self.world.poll()
+        await self.simulation.poll()
         if self.policy == 'ours':
-            for router in self.world.routers:
-                await self.world.step(router)
-            await self.world.net.settle()
+            for router in self.simulation.routers:
+                await self.simulation.step(router)
+            await self.simulation.net.settle()
         elif self.policy == 'threshold':
             await self._threshold()
 
     async def _threshold(self) -> None:
         """Add or remove one host by present use alone."""
-        on = [host for host in self.world.hosts if host.up]
+        on = [host for host in self.simulation.hosts if host.up]
         use = sum(host.running for host in on) / (_SLOTS * len(on))
-        off = [host for host in self.world.hosts if not host.up]
+        off = [host for host in self.simulation.hosts if not host.up]
         if use > _HIGH and off:
-            await self.world.switch.power(off[0].address, on=True, fence=0)
+            await self.simulation.fake_platform.power(
+                off[0].address, on=True, fence=0
+            )
         elif use < _LOW and len(on) > 1:
             least = min(on, key=_load)
-            await self.world.switch.power(least.address, on=False, fence=0)
+            await self.simulation.fake_platform.power(
+                least.address, on=False, fence=0
+            )
 
 
 def _by_running(pair: tuple[FakeHost, object]) -> int:
--- a/bench/rates_baseline.py
+++ b/bench/rates_baseline.py
@@ -187,7 +187,7 @@
             return
         self._window += 1
         self._heard.expire(self.clock.now())
-        self.net.spread(
+        self.net.tell_neighbours(
             Uses(self.net.me.incarnation, self._window, self._own_uses()),
         )
 
@@ -199,7 +199,7 @@
             return
         news = self._heard.put(message, self.clock.now(), self.interval())
         if news and not self._reaches_all():
-            self.net.spread(message, besides=sender.incarnation)
+            self.net.tell_neighbours(message, exclude=sender.incarnation)
 
     def share(self, team: str) -> float:
         """Return this router's part of a team's rate over the fleet."""
--- a/bench/rates_net.py
+++ b/bench/rates_net.py
@@ -4,10 +4,10 @@
 
 import attrs
 
-from balsamreach.peers.base import PeerNet, Taker
+from balsamreach.peers.base import Handler, PeerNet
 from balsamreach.peers.faults import NO_ANSWER, PeerFault
-from balsamreach.peers.homes import heaviest, pick_local
 from balsamreach.peers.neighbours import Rings
+from balsamreach.peers.rendezvous import highest_weight_member, pick_local
 from balsamreach.wire.base import Message
 from balsamreach.wire.codec import Envelope, decode, encode
 from balsamreach.wire.framing import HEAD
@@ -109,7 +109,7 @@
             self._waiting = deque()
             for source, name, message in waiting:
                 net = self.nets[name]
-                await net.takers[type(message)](source, message)
+                await net.handlers[type(message)](source, message)
 
     def _link(self, group: int) -> None:
         nets = [
@@ -132,7 +132,7 @@
 
     fabric: Fabric
     linked: dict[str, Member] = attrs.field(factory=dict)
-    takers: dict[type[Message], Taker] = attrs.field(factory=dict)
+    handlers: dict[type[Message], Handler] = attrs.field(factory=dict)
     _alive: tuple[Member, ...] = ()
     _gone: tuple[Member, ...] = ()
     _homes: dict[str, Member] = attrs.field(factory=dict)
@@ -148,7 +148,7 @@
         """Return the routers held to be alive."""
         return self._alive
 
-    def departed(self) -> tuple[Member, ...]:
+    def dead_members(self) -> tuple[Member, ...]:
         """Return the routers held to be dead."""
         return self._gone
 
@@ -160,18 +160,18 @@
         """Return a key's home in the zone."""
         if key not in self._homes:
             local = pick_local(self._alive, self.me.zone)
-            self._homes[key] = heaviest(key, local) or self.me
+            self._homes[key] = highest_weight_member(key, local) or self.me
         return self._homes[key]
 
-    def on(self, kind: type[Message], taker: Taker) -> None:
-        """Name a taker."""
-        self.takers[kind] = taker
+    def on(self, kind: type[Message], handler: Handler) -> None:
+        """Register a handler."""
+        self.handlers[kind] = handler
 
     async def ask(
         self,
         incarnation: str,
         message: Message,
-        gaps: int = 1,
+        timeout_gaps: int = 1,
     ) -> Message | PeerFault:
         """Answer nothing; rates ask nobody."""
         return NO_ANSWER
@@ -181,8 +181,8 @@
         self.fabric.post(self.me, incarnation, message)
         return True
 
-    def spread(self, message: Message, besides: str = '') -> None:
+    def tell_neighbours(self, message: Message, exclude: str = '') -> None:
         """Send to the linked routers."""
         for name in tuple(self.linked):
-            if name != besides:
+            if name != exclude:
                 self.tell(name, message)
--- a/bench/slopes_spread.py
+++ b/bench/slopes_spread.py
@@ -74,7 +74,7 @@
             inbox = net.inbox
             net.inbox = []
             for member, message in inbox:
-                await net.takers[type(message)](member, message)
+                await net.handlers[type(message)](member, message)
 
 
 MEASURES: dict[str, Measure] = {'spread': _spread}
--- a/bench/table_spread.py
+++ b/bench/table_spread.py
@@ -13,8 +13,8 @@
     TableParts,
     make_table_parts,
 )
-from balsamreach.peers.counters import BYTES
 from balsamreach.peers.discovery import Discovery
+from balsamreach.peers.metric_names import BYTES
 from balsamreach.peers.net import TcpPeerNet
 from balsamreach.services.base import Row
 from balsamreach.standins.memory import MemoryPlatform
@@ -154,5 +154,5 @@
             metrics=metrics,
         ),
     )
-    net.greeter.table_version = parts.follower.announced
+    net.local_status.table_version = parts.follower.announced
     return Node(net, parts, way, metrics)
--- a/src/balsamreach/budget/homes.py
+++ b/src/balsamreach/budget/homes.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from balsamreach.peers.base import PeerNet
-from balsamreach.peers.homes import heaviest
+from balsamreach.peers.rendezvous import highest_weight_member
 from balsamreach.wire.membership import Member
 
 #: Most teams for which a home draws tokens before their first request. With
@@ -30,7 +30,7 @@
         One of the zone's hubs; None if there are no hubs and each router
         holds its own tokens.
     """
-    return heaviest(team, net.hubs.of(zone))
+    return highest_weight_member(team, net.hubs.hubs_of(zone))
 
 
 def potential_lenders(team: str, net: PeerNet) -> tuple[Member, ...]:
@@ -40,7 +40,7 @@
     which may reach the table service where the home does not.
     """
     homes = [home_of(team, net, zone) for zone in net.hubs.zones()]
-    local_hubs = net.hubs.of(net.me.zone)
+    local_hubs = net.hubs.hubs_of(net.me.zone)
     found = {home.incarnation: home for home in (*homes, *local_hubs) if home}
     found.pop(net.me.incarnation, None)
     return tuple(found.values())
@@ -68,7 +68,7 @@
         Empty if there are no hubs, or if there are more teams than this
         router should draw for before their first requests.
     """
-    if not net.hubs.of(net.me.zone):
+    if not net.hubs.hubs_of(net.me.zone):
         return ()
     held = tuple(team for team in teams if is_holder(team, net))
     return held if len(held) <= _MAX_HOME_TEAMS else ()
@@ -81,5 +81,5 @@
 
 def count_reporters(net: PeerNet) -> int:
     """Return how many routers report their use: the hubs, or all."""
-    hubs = sum(len(net.hubs.of(zone)) for zone in net.hubs.zones())
+    hubs = sum(len(net.hubs.hubs_of(zone)) for zone in net.hubs.zones())
     return hubs or len(net.members())
--- a/src/balsamreach/budget/reclaiming.py
+++ b/src/balsamreach/budget/reclaiming.py
@@ -11,7 +11,7 @@
 from balsamreach.budget.stranded import StrandedAllotments
 from balsamreach.budget.takeover import RECLAIMED
 from balsamreach.peers.base import PeerNet
-from balsamreach.peers.homes import heaviest
+from balsamreach.peers.rendezvous import highest_weight_member
 from balsamreach.services.faults import PlatformFault
 from balsamreach.services.scanning import scan_all
 from balsamreach.telemetry.logs import log_event
@@ -63,7 +63,7 @@
         """Reclaim tokens of the lenders that this router is responsible for."""
         for lender in await self.stranded.lenders():
             # Only one router, chosen by hash, checks each lender.
-            chosen = heaviest(lender, self.net.members())
+            chosen = highest_weight_member(lender, self.net.members())
             is_responsible = (
                 chosen is None or chosen.incarnation == self.net.me.incarnation
             )
--- a/src/balsamreach/catalogue/exchange.py
+++ b/src/balsamreach/catalogue/exchange.py
@@ -11,7 +11,7 @@
 from balsamreach.catalogue import serialization
 from balsamreach.catalogue.router_state import RouterState
 from balsamreach.clock import Clock
-from balsamreach.peers.base import FETCH_GAPS, PeerNet
+from balsamreach.peers.base import LARGE_ANSWER_GAPS, PeerNet
 from balsamreach.placement.evacuations import Evacuation
 from balsamreach.placement.relay_targets import TargetEntry
 from balsamreach.wire.membership import Heartbeat, Member
@@ -81,7 +81,7 @@
             self.net.tell(incarnation, TableRows(0, 0, rows))
 
     def _spread(self, row: TableRow, exclude: str = '') -> None:
-        self.net.spread(TableRows(0, 0, (row,)), exclude)
+        self.net.tell_neighbours(TableRows(0, 0, (row,)), exclude)
 
     async def _on_heartbeat(self, member: Member, beat: Heartbeat) -> None:
         self.known.view.record_version(beat.table_version)
@@ -105,7 +105,7 @@
         if not self.known.needs_update(beat):
             return
         ask = TableAsk(self.known.view.version)
-        answer = await self.net.ask(incarnation, ask, FETCH_GAPS)
+        answer = await self.net.ask(incarnation, ask, LARGE_ANSWER_GAPS)
         if isinstance(answer, TableRows):
             self._apply_rows(incarnation, answer)
 
--- a/src/balsamreach/daemon/parts.py
+++ b/src/balsamreach/daemon/parts.py
@@ -139,7 +139,7 @@
             metrics=net.metrics,
         ),
     )
-    net.greeter.table_version = table.follower.announced
+    net.local_status.table_version = table.follower.announced
     return table
 
 
--- a/src/balsamreach/daemon/placing_parts.py
+++ b/src/balsamreach/daemon/placing_parts.py
@@ -42,7 +42,7 @@
     evacuations = Evacuations(clock)
     cold_targets = ColdTargetLimiter(
         lambda: net.me.address,
-        lambda: (*net.members(), *net.departed()),
+        lambda: (*net.members(), *net.dead_members()),
         evacuations,
         clock,
     )
@@ -95,5 +95,5 @@
         cfg.retry_slack,
         cfg.retry_window,
         clock,
-        lambda: len(net.members()) + len(net.departed()),
+        lambda: len(net.members()) + len(net.dead_members()),
     )
--- a/src/balsamreach/daemon/relay_parts.py
+++ b/src/balsamreach/daemon/relay_parts.py
@@ -100,7 +100,7 @@
     incarnation = uuid.uuid4().hex
     net = make_peer_net(cfg, incarnation, clock, rng, metrics, outside.hosts)
     builder = _PartsBuilder(cfg, net, clock, rng, metrics)
-    net.greeter.table_version = lambda: builder.view.version
+    net.local_status.table_version = lambda: builder.view.version
     return builder
 
 
--- a/src/balsamreach/daemon/target_watch.py
+++ b/src/balsamreach/daemon/target_watch.py
@@ -9,7 +9,11 @@
 from balsamreach.config.settings import Settings
 from balsamreach.gateway.target_client import HttpTargetClient
 from balsamreach.peers.base import PeerNet
-from balsamreach.power.manager import PowerManager, PowerParts, make_power
+from balsamreach.power.manager import (
+    PowerDependencies,
+    PowerManager,
+    make_power,
+)
 from balsamreach.routing.routing import Routing
 from balsamreach.services.base import HostList, TableService, WeightStore
 from balsamreach.targets.registry import Targets
@@ -76,7 +80,7 @@
     if not cfg.power.enabled:
         return WatchRunner(watch, None)
     power = make_power(
-        PowerParts(
+        PowerDependencies(
             cfg=cfg,
             marks=watch.marks,
             client=client,
--- a/src/balsamreach/dispatch/home_routers.py
+++ b/src/balsamreach/dispatch/home_routers.py
@@ -4,7 +4,7 @@
 import xxhash
 
 from balsamreach.peers.base import PeerNet
-from balsamreach.peers.homes import weigh
+from balsamreach.peers.rendezvous import rendezvous_weight
 from balsamreach.wire.membership import Member
 
 _HASH_BYTES = 8
@@ -69,7 +69,7 @@
         ]
         return max(
             names,
-            key=lambda name: (weigh(key, name), name),
+            key=lambda name: (rendezvous_weight(key, name), name),
             default=self.net.me.incarnation,
         )
 
--- a/src/balsamreach/dispatch/run_directory.py
+++ b/src/balsamreach/dispatch/run_directory.py
@@ -119,12 +119,14 @@
         """Update the live and reachable routers; called about once a second."""
         members = self.home_routers.members()
         reached = self.net.neighbours()
-        departed = self.net.departed()
+        dead_members = self.net.dead_members()
         if self.home_routers.is_zone_local:
             zone = self.net.me.zone
             reached = members
-            departed = tuple(one for one in departed if one.zone == zone)
-        self.notes.update_members(members, reached, departed)
+            dead_members = tuple(
+                one for one in dead_members if one.zone == zone
+            )
+        self.notes.update_members(members, reached, dead_members)
 
     def is_complete(self) -> bool:
         """Return whether no note on a run can have been lost here."""
--- a/src/balsamreach/dispatch/run_notes.py
+++ b/src/balsamreach/dispatch/run_notes.py
@@ -56,7 +56,7 @@
         self,
         members: Collection[Member],
         reached: Collection[Member],
-        departed: Collection[Member] = (),
+        dead_members: Collection[Member] = (),
     ) -> None:
         """Update the lists of live and dead routers.
 
@@ -66,7 +66,7 @@
             Routers considered alive, including this one.
         reached : collection of Member
             Those that can currently send notes to this router.
-        departed : collection of Member
+        dead_members : collection of Member
             Those known to have died. A router that joined and died between two
             updates was never listed as alive, yet may have been the home
             router of keys and run requests; "not run" would then be reported
@@ -86,7 +86,7 @@
             may_lack_notes = earliest < self.me.started - _SAME_START_S
         else:
             may_lack_notes = bool(self._alive - alive)
-        dead = frozenset(member.incarnation for member in departed)
+        dead = frozenset(member.incarnation for member in dead_members)
         may_lack_notes = may_lack_notes or bool(dead - self._dead)
         self._dead = dead
         if may_lack_notes:
--- a/src/balsamreach/peers/base.py
+++ b/src/balsamreach/peers/base.py
@@ -10,20 +10,20 @@
 from balsamreach.wire.membership import Member
 
 #: Handles a message from a member; its result answers an ``ask``.
-Taker = Callable[[Member, Message], Awaitable[Message | None]]
+Handler = Callable[[Member, Message], Awaitable[Message | None]]
 #: Gap timeouts allowed for a large answer. The largest frame passes a link of
 #: half a megabit a second in that time.
-FETCH_GAPS = 8
+LARGE_ANSWER_GAPS = 8
 
 
-class HubChoice(abc.ABC):
+class HubSelector(abc.ABC):
     """Selects the hubs of each zone.
 
     Hubs are the routers that pass messages on to all others of their zone.
     """
 
     @abc.abstractmethod
-    def of(self, zone: str) -> tuple[Member, ...]:
+    def hubs_of(self, zone: str) -> tuple[Member, ...]:
         """Return the hubs of a zone, the preferred one first; may be empty."""
 
     @abc.abstractmethod
@@ -31,10 +31,10 @@
         """Return the zones that have hubs."""
 
 
-class NoHubs(HubChoice):
+class NoHubs(HubSelector):
     """No hubs: in a small fleet each router is connected to each other."""
 
-    def of(self, _zone: str) -> tuple[Member, ...]:
+    def hubs_of(self, _zone: str) -> tuple[Member, ...]:
         """Return an empty tuple."""
         return ()
 
@@ -51,18 +51,18 @@
     ----------
     me : Member
         This router.
-    hubs : HubChoice
+    hubs : HubSelector
         The hubs of each zone.
     """
 
     me: Member
-    hubs: HubChoice = attrs.field(factory=NoHubs, kw_only=True)
+    hubs: HubSelector = attrs.field(factory=NoHubs, kw_only=True)
 
     @abc.abstractmethod
     def members(self) -> tuple[Member, ...]:
         """Return all routers believed alive, this one included."""
 
-    def departed(self) -> tuple[Member, ...]:
+    def dead_members(self) -> tuple[Member, ...]:
         """Return the routers known to be dead and not yet forgotten."""
         return ()
 
@@ -83,7 +83,7 @@
         """
 
     @abc.abstractmethod
-    def on(self, kind: type[Message], handler: Taker) -> None:
+    def on(self, kind: type[Message], handler: Handler) -> None:
         """Register the handler of a kind of message; one for each kind."""
 
     @abc.abstractmethod
@@ -91,7 +91,7 @@
         self,
         incarnation: str,
         message: Message,
-        gaps: int = 1,
+        timeout_gaps: int = 1,
     ) -> Message | PeerFault:
         """Send a request and wait for the answer.
 
@@ -101,11 +101,11 @@
             The router to ask.
         message : Message
             The request.
-        gaps : int
+        timeout_gaps : int
             Gap timeouts that the answer may take while the connection receives
-            data; ``FETCH_GAPS`` for a large answer, which takes long on a slow
-            link. With a shorter timeout it would be dropped on arrival and
-            requested again each time.
+            data; ``LARGE_ANSWER_GAPS`` for a large answer, which takes long on
+            a slow link. With a shorter timeout it would be dropped on arrival
+            and requested again each time.
 
         Returns
         -------
@@ -118,23 +118,23 @@
         """Send a one-way message; False if there is no connection."""
 
     @abc.abstractmethod
-    def spread(self, message: Message, besides: str = '') -> None:
-        """Send to all neighbours except the incarnation ``besides``.
+    def tell_neighbours(self, message: Message, exclude: str = '') -> None:
+        """Send to all neighbours except the incarnation ``exclude``.
 
         A handler that learns something new from a message spreads it on, so
         that it reaches routers that are not neighbours of its origin.
         """
 
-    def tell_zone(self, message: Message, besides: str = '') -> None:
-        """Send to all other routers of this zone except ``besides``."""
-        excluded = {self.me.incarnation, besides}
+    def tell_zone(self, message: Message, exclude: str = '') -> None:
+        """Send to all other routers of this zone except ``exclude``."""
+        excluded = {self.me.incarnation, exclude}
         for member in self.members():
             same_zone = member.zone == self.me.zone
             if same_zone and member.incarnation not in excluded:
                 self.tell(member.incarnation, message)
 
     def broadcast(self, message: Message, source: Member | None = None) -> None:
-        """Send to all routers through the hubs; ``spread`` without hubs.
+        """Send to all routers via hubs; ``tell_neighbours`` without hubs.
 
         Spread over neighbours, each router receives each message from all of
         them; in a fleet of hundreds that would be most of what it reads. Each
@@ -148,22 +148,22 @@
         source : Member or None
             The router it was received from; None if it originates here.
         """
-        hubs = self.hubs.of(self.me.zone)
+        hubs = self.hubs.hubs_of(self.me.zone)
         source_incarnation = source.incarnation if source else ''
         if not hubs:
-            self.spread(message, besides=source_incarnation)
+            self.tell_neighbours(message, exclude=source_incarnation)
         elif self.me.incarnation in _incarnations(hubs):
             self._forward(message, source)
         elif source_incarnation not in _incarnations(hubs):
             self._send_to(hubs, message)
 
     def _forward(self, message: Message, source: Member | None) -> None:
-        self.tell_zone(message, besides=source.incarnation if source else '')
+        self.tell_zone(message, exclude=source.incarnation if source else '')
         if source is not None and source.zone != self.me.zone:
             return
         for zone in self.hubs.zones():
             if zone != self.me.zone:
-                self._send_to(self.hubs.of(zone), message)
+                self._send_to(self.hubs.hubs_of(zone), message)
 
     def _send_to(self, members: Iterable[Member], message: Message) -> None:
         for member in members:
--- a/src/balsamreach/peers/connector.py
+++ b/src/balsamreach/peers/connector.py
@@ -143,7 +143,7 @@
         return Link(self.context, stream, hello.member, dialled=True)
 
     def _refuse(self, code: str, reason: str, address: str) -> None:
-        self.context.tally.count_refused(code)
+        self.context.counters.count_refused(code)
         log_event(
             _logger,
             logging.WARNING,
--- a/src/balsamreach/peers/gossip.py
+++ b/src/balsamreach/peers/gossip.py
@@ -41,17 +41,19 @@
         self.net.on(Members, self._handle_members)
         self.net.on(MembersAsk, self._handle_members_ask)
 
-    def tell(self, member: Member, source: str = '') -> None:
+    def queue_update(self, member: Member, source: str = '') -> None:
         """Queue an update for the next flush; it skips ``source``."""
         self._updates[member.incarnation] = (member, source)
 
-    def learn(self, members: tuple[Member, ...], source: str) -> None:
+    def merge_reports(self, members: tuple[Member, ...], source: str) -> None:
         """Merge members received from a router and pass on what is new."""
         for reported in members:
             if self.membership.merge(reported):
                 known = self.membership.find(reported.incarnation)
                 unchanged = known == reported
-                self.tell(known or reported, source if unchanged else '')
+                self.queue_update(
+                    known or reported, source if unchanged else ''
+                )
 
     def flush(self) -> None:
         """Send the queued updates to all neighbours."""
@@ -70,7 +72,7 @@
                     Members(tuple(wanted[:MAX_MEMBERS_PER_MESSAGE])),
                 )
 
-    async def compare(self, incarnation: str) -> bool:
+    async def sync_with(self, incarnation: str) -> bool:
         """Exchange the differences between this list and a neighbour's.
 
         Returns
@@ -82,7 +84,7 @@
         answer = await self.net.ask(incarnation, MembersAsk(ours))
         if isinstance(answer, PeerFault) or not isinstance(answer, Members):
             return False
-        self.learn(answer.members, incarnation)
+        self.merge_reports(answer.members, incarnation)
         received = set(answer.members)
         missing = [
             member
@@ -94,7 +96,7 @@
         return True
 
     async def _handle_members(self, member: Member, message: Members) -> None:
-        self.learn(message.members, member.incarnation)
+        self.merge_reports(message.members, member.incarnation)
 
     async def _handle_members_ask(
         self,
--- a/src/balsamreach/peers/takers.py
+++ b/src/balsamreach/peers/handlers.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from balsamreach.peers.base import Taker
+from balsamreach.peers.base import Handler
 from balsamreach.telemetry.logs import log_event
 from balsamreach.wire.base import Message
 from balsamreach.wire.membership import Member
@@ -14,17 +14,17 @@
 
 
 @attrs.define(eq=False)
-class Takers:
+class HandlerRegistry:
     """Passes each message to the handler of its kind."""
 
-    _handlers: dict[type[Message], Taker] = attrs.field(factory=dict)
+    _handlers: dict[type[Message], Handler] = attrs.field(factory=dict)
 
-    def on(self, kind: type[Message], handler: Taker) -> None:
+    def on(self, kind: type[Message], handler: Handler) -> None:
         """Register the handler of a kind; one for each kind."""
         assert kind not in self._handlers, kind
         self._handlers[kind] = handler
 
-    async def take(self, member: Member, message: Message) -> Message:
+    async def handle(self, member: Member, message: Message) -> Message:
         """Handle a message; the returned answer is used only for requests.
 
         Parameters
--- a/src/balsamreach/peers/hubs.py
+++ b/src/balsamreach/peers/hubs.py
@@ -9,16 +9,16 @@
 import attrs
 
 from balsamreach.config.settings import PeersSettings
-from balsamreach.peers.base import HubChoice
-from balsamreach.peers.homes import pick_local, weigh
+from balsamreach.peers.base import HubSelector
 from balsamreach.peers.membership import Membership
+from balsamreach.peers.rendezvous import pick_local, rendezvous_weight
 from balsamreach.wire.membership import Member
 
 _HASH_KEY = 'hub'
 
 
 @attrs.define(eq=False)
-class Hubs(HubChoice):
+class Hubs(HubSelector):
     """Hubs by zone, computed from this router's membership list.
 
     Rendezvous hashing: routers that know the same members agree without a
@@ -38,7 +38,7 @@
     _by_zone: dict[str, tuple[Member, ...]] = attrs.field(factory=dict)
     _hubs_version: int = -1
 
-    def of(self, zone: str) -> tuple[Member, ...]:
+    def hubs_of(self, zone: str) -> tuple[Member, ...]:
         """Return a zone's hubs, none if the fleet is a full mesh."""
         self._refresh()
         return self._by_zone.get(zone, ())
@@ -75,7 +75,7 @@
     local.sort(
         key=lambda member: (
             member.link,
-            weigh(_HASH_KEY, member.incarnation),
+            rendezvous_weight(_HASH_KEY, member.incarnation),
             member.incarnation,
         ),
         reverse=True,
--- a/src/balsamreach/peers/link.py
+++ b/src/balsamreach/peers/link.py
@@ -20,8 +20,8 @@
 from balsamreach.peers.heartbeats import HeartbeatSchedule
 from balsamreach.peers.inbound import InboundMessages, MessageHandler
 from balsamreach.peers.outbox import Outbox
+from balsamreach.peers.peer_counters import PeerCounters
 from balsamreach.peers.pending_requests import PendingRequests
-from balsamreach.peers.tally import Tally
 from balsamreach.telemetry import hops
 from balsamreach.telemetry.traces import Tracing
 from balsamreach.wire.base import Message
@@ -47,9 +47,9 @@
         Heartbeat interval and gap timeout.
     clock : Clock
         Source of time.
-    tally : Tally
+    counters : PeerCounters
         Counts messages and bytes.
-    take : callable
+    handle : callable
         Handles a member's message and returns the answer.
     heartbeat : callable
         Returns the heartbeat to send now.
@@ -59,8 +59,8 @@
 
     cfg: PeersSettings
     clock: Clock
-    tally: Tally
-    take: MessageHandler
+    counters: PeerCounters
+    handle: MessageHandler
     heartbeat: Callable[[], Heartbeat] = Heartbeat
     tracing: Tracing | None = None
 
@@ -105,7 +105,7 @@
         self.last_used_at = self.last_received_at
         self._inbound = InboundMessages(
             self.peer,
-            self.context.take,
+            self.context.handle,
             self.send,
             self.context.tracing,
         )
@@ -125,14 +125,16 @@
             self._inbound.stop()
         return ended
 
-    async def ask(self, message: Message, gaps: int = 1) -> Message | PeerFault:
+    async def ask(
+        self, message: Message, timeout_gaps: int = 1
+    ) -> Message | PeerFault:
         """Send a request and wait for the answer.
 
         Parameters
         ----------
         message : Message
             The request.
-        gaps : int
+        timeout_gaps : int
             Gap timeouts that the answer may take while the connection is open.
 
         Returns
@@ -143,7 +145,7 @@
         """
         now = self.context.clock.now()
         self.last_used_at = now
-        timeout = gaps * self.context.cfg.gap_timeout
+        timeout = timeout_gaps * self.context.cfg.gap_timeout
         number, fut = self._pending.add(now + timeout)
         traceparent = hops.current_traceparent()
         refused = self.send(Envelope(message, number, 0, traceparent))
@@ -167,15 +169,17 @@
         """
         packed = encode(envelope)
         if isinstance(packed, WireFault):
-            self.context.tally.count_dropped(packed.code)
+            self.context.counters.count_dropped(packed.code)
             return PEER_REFUSED.because(packed.reason)
         if self.stream.closed() or not self._outbox.put(frame(packed)):
-            self.context.tally.count_dropped('queue_full')
+            self.context.counters.count_dropped('queue_full')
             return NO_ANSWER.because(
                 'connection closed, or the queue to the peer is full'
             )
         self._heartbeats.note_sent(envelope.message)
-        self.context.tally.count_message('out', envelope.message, len(packed))
+        self.context.counters.count_message(
+            'out', envelope.message, len(packed)
+        )
         return None
 
     def release(self) -> None:
@@ -234,12 +238,12 @@
         """Handle a received frame; a fault if it ends the connection."""
         envelope = decode(packed)
         if isinstance(envelope, WireFault):
-            self.context.tally.count_refused(envelope.code)
+            self.context.counters.count_refused(envelope.code)
             malformed = envelope != UNKNOWN_KIND
             return (
                 LINK_MALFORMED.because(envelope.reason) if malformed else None
             )
-        self.context.tally.count_message('in', envelope.message, len(packed))
+        self.context.counters.count_message('in', envelope.message, len(packed))
         if _is_release(envelope.message):
             return LINK_RELEASED
         self._dispatch(envelope)
@@ -261,7 +265,7 @@
                 # is unread. Counted as silence of the peers, the pause would
                 # end every connection at once and every peer would be declared
                 # dead.
-                self.context.tally.count_pause()
+                self.context.counters.count_pause()
                 self.last_received_at = now
             if now - self.last_received_at > self.context.cfg.gap_timeout:
                 return LINK_SILENT.because(
@@ -278,13 +282,13 @@
         message = envelope.message
         if envelope.answers:
             if not self._pending.resolve(envelope.answers, message):
-                self.context.tally.count_dropped('late_answer')
+                self.context.counters.count_dropped('late_answer')
         elif envelope.ask:
             self.last_used_at = self.context.clock.now()
             if not self._inbound.answer_request(envelope):
-                self.context.tally.count_refused('busy')
+                self.context.counters.count_refused('busy')
         elif not self._inbound.enqueue(message):
-            self.context.tally.count_dropped('inbox_full')
+            self.context.counters.count_dropped('inbox_full')
 
 
 def _shut_down(stream: IOStream, tasks: list[asyncio.Task]) -> None:
--- a/src/balsamreach/peers/link_manager.py
+++ b/src/balsamreach/peers/link_manager.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from balsamreach.peers import counters
+from balsamreach.peers import metric_names
 from balsamreach.peers.background_tasks import BackgroundTasks
 from balsamreach.peers.backoff import Backoff
 from balsamreach.peers.connector import Connector
@@ -117,9 +117,9 @@
             ended = await link.run()
         finally:
             self.links.remove(link)
-            if not self.links.every():
+            if not self.links.all_links():
                 self._no_links.set()
-        _count(link.context, counters.LINKS_ENDED, reason=ended.code)
+        _count(link.context, metric_names.LINKS_ENDED, reason=ended.code)
         _log_peer(logging.INFO, 'peer_down', peer, ended.reason or ended.code)
         await self._reconnect_after(peer, ended)
 
@@ -132,7 +132,7 @@
         """Release all links and cancel all tasks."""
         self.stopping = True
         context = self.connector.context
-        for link in self.links.every():
+        for link in self.links.all_links():
             link.release()
         # A peer closes the link when it reads the release, so all earlier
         # messages are delivered. The wait for one that doesn't read it is
@@ -147,14 +147,16 @@
         self.backoff.record_success(peer.incarnation)
         self._no_links.clear()
         if self.membership.record_contact(peer):
-            self.gossip.tell(self.membership.find(peer.incarnation) or peer)
+            self.gossip.queue_update(
+                self.membership.find(peer.incarnation) or peer
+            )
         _log_peer(logging.INFO, 'peer_up', peer, '')
 
     async def _compare(self, peer: Member) -> None:
         # One at a time: a starting router would otherwise fetch the whole list
         # from all its first neighbours at once.
         async with self._compare_lock:
-            await self.gossip.compare(peer.incarnation)
+            await self.gossip.sync_with(peer.incarnation)
 
     async def _reconnect_after(self, peer: Member, ended: PeerFault) -> None:
         """Try one new connection before a peer is declared dead.
@@ -198,15 +200,15 @@
 
     def _declare_dead(self, member: Member, fault: PeerFault) -> None:
         best = self.links.preferred(member.incarnation)
-        if best is None and self.membership.bury(member.incarnation):
+        if best is None and self.membership.mark_dead(member.incarnation):
             dead = self.membership.find(member.incarnation)
-            self.gossip.tell(dead or member)
-            _count(self.connector.context, counters.DEATHS)
+            self.gossip.queue_update(dead or member)
+            _count(self.connector.context, metric_names.DEATHS)
             _log_peer(logging.WARNING, 'peer_dead', member, fault.reason)
 
 
 def _count(context: LinkContext, name: str, **labels: str) -> None:
-    context.tally.metrics.count(name, **labels)
+    context.counters.metrics.count(name, **labels)
 
 
 def _log_peer(level: int, event: str, peer: Member, reason: str) -> None:
--- a/src/balsamreach/peers/links.py
+++ b/src/balsamreach/peers/links.py
@@ -45,7 +45,7 @@
         """Remove a link that ended."""
         self._links.remove(link)
 
-    def every(self) -> tuple[Link, ...]:
+    def all_links(self) -> tuple[Link, ...]:
         """Return all links, duplicates included."""
         return tuple(self._links)
 
--- a/src/balsamreach/peers/listener.py
+++ b/src/balsamreach/peers/listener.py
@@ -39,9 +39,9 @@
     async def handle_stream(self, stream: IOStream, address: tuple) -> None:
         """Accept a connection and serve its link."""
         remote = f'{address[0]}:{address[1]}'
-        if len(self._link_manager.links.every()) >= MAX_LINKS:
+        if len(self._link_manager.links.all_links()) >= MAX_LINKS:
             context = self._link_manager.connector.context
-            context.tally.count_refused('full')
+            context.counters.count_refused('full')
             stream.close()
             return
         link = await self._link_manager.connector.accept(stream, remote)
--- a/src/balsamreach/peers/local_status.py
+++ b/src/balsamreach/peers/local_status.py
@@ -20,14 +20,14 @@
         Source of this router's member entry.
     table_version : callable
         Returns the version of the table in force here.
-    orders : callable
+    evacuations_digest : callable
         Returns the digest of the evacuations known here.
     """
 
     fleet: str
     membership: Membership
     table_version: Callable[[], int] = int
-    orders: Callable[[], int] = int
+    evacuations_digest: Callable[[], int] = int
 
     def hello(self) -> Hello:
         """Return the Hello message."""
@@ -40,4 +40,4 @@
 
     def heartbeat(self) -> Heartbeat:
         """Return the heartbeat message."""
-        return Heartbeat(self.table_version(), self.orders())
+        return Heartbeat(self.table_version(), self.evacuations_digest())
--- a/src/balsamreach/peers/upkeep.py
+++ b/src/balsamreach/peers/maintenance.py
@@ -6,7 +6,7 @@
 import attrs
 
 from balsamreach.config.settings import PeersSettings
-from balsamreach.peers import counters
+from balsamreach.peers import metric_names
 from balsamreach.peers.discovery import Discovery
 from balsamreach.peers.faults import PeerFault
 from balsamreach.peers.link import Link
@@ -77,7 +77,7 @@
                 # Between heartbeats, send updates and keep looking for other
                 # routers.
                 self.link_manager.gossip.flush()
-                if not self.link_manager.links.every():
+                if not self.link_manager.links.all_links():
                     self._probe()
                 await clock.sleep(min(_FAST_INTERVAL, self.cfg.heartbeat))
 
@@ -86,7 +86,7 @@
         self.link_manager.prune()
         self.link_manager.gossip.flush()
         self._update_links(now)
-        isolated = not self.link_manager.links.every()
+        isolated = not self.link_manager.links.all_links()
         if isolated or now >= self._probe_at:
             self._probe_at = now + self._jittered(PROBE_EVERY)
             self._probe()
@@ -161,7 +161,7 @@
     def _release_unneeded(self, now: float) -> None:
         links = self.link_manager.links
         duplicates = links.duplicates()
-        for link in links.every():
+        for link in links.all_links():
             unwanted = link.dialled and not links.is_persistent(link)
             idle = now - link.last_used_at > IDLE_TIMEOUT
             if link in duplicates or (unwanted and idle):
@@ -199,15 +199,15 @@
         if peers:
             peer = self.rng.choice(peers)
             gossip = self.link_manager.gossip
-            self.link_manager.tasks.start(gossip.compare(peer.incarnation))
+            self.link_manager.tasks.start(gossip.sync_with(peer.incarnation))
 
     def _set_gauges(self) -> None:
         context = self.link_manager.connector.context
-        metrics = context.tally.metrics
-        links = self.link_manager.links.every()
-        metrics.gauge(counters.LINKS, len(links))
+        metrics = context.counters.metrics
+        links = self.link_manager.links.all_links()
+        metrics.gauge(metric_names.LINKS, len(links))
         alive = self.link_manager.membership.alive()
-        metrics.gauge(counters.MEMBERS, len(alive))
+        metrics.gauge(metric_names.MEMBERS, len(alive))
 
     def _jittered(self, seconds: float) -> float:
         return seconds * (0.5 + self.rng.random())
--- a/src/balsamreach/peers/membership.py
+++ b/src/balsamreach/peers/membership.py
@@ -106,10 +106,10 @@
             self.me.incarnation,
         }
         if overruled:
-            self.bury(other.incarnation)
+            self.mark_dead(other.incarnation)
         return self.merge(member) or overruled
 
-    def bury(self, incarnation: str) -> bool:
+    def mark_dead(self, incarnation: str) -> bool:
         """Mark an incarnation dead; False if nothing changed."""
         known = self._known.get(incarnation)
         if known is None or known.dead or known == self.me:
@@ -171,7 +171,7 @@
         self._died_at.pop(member.incarnation, None)
         displaced = self._owners.claim(member)
         if displaced is not None:
-            self.bury(displaced.incarnation)
+            self.mark_dead(displaced.incarnation)
 
 
 def bucket_of(member: Member) -> int:
--- a/src/balsamreach/peers/neighbours.py
+++ b/src/balsamreach/peers/neighbours.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from balsamreach.peers.homes import weigh
+from balsamreach.peers.rendezvous import rendezvous_weight
 from balsamreach.wire.membership import Member
 
 _HASH_KEY = 'ring'
@@ -188,4 +188,7 @@
 
 
 def _ring_order(member: Member) -> tuple[int, str]:
-    return (weigh(_HASH_KEY, member.incarnation), member.incarnation)
+    return (
+        rendezvous_weight(_HASH_KEY, member.incarnation),
+        member.incarnation,
+    )
--- a/src/balsamreach/peers/net.py
+++ b/src/balsamreach/peers/net.py
@@ -7,23 +7,23 @@
 
 from balsamreach.clock import Clock
 from balsamreach.config.settings import Settings
-from balsamreach.peers.base import PeerNet, Taker
+from balsamreach.peers.base import Handler, PeerNet
 from balsamreach.peers.connector import Connector
 from balsamreach.peers.discovery import Discovery
 from balsamreach.peers.faults import PeerFault
 from balsamreach.peers.gossip import Gossip
-from balsamreach.peers.homes import HomeCache
+from balsamreach.peers.handlers import HandlerRegistry
 from balsamreach.peers.hubs import Hubs
 from balsamreach.peers.link import Link, LinkContext
 from balsamreach.peers.link_manager import LinkManager
 from balsamreach.peers.links import Links
 from balsamreach.peers.listener import PeersListener
 from balsamreach.peers.local_status import LocalStatus
+from balsamreach.peers.maintenance import Maintenance
 from balsamreach.peers.membership import Membership
-from balsamreach.peers.takers import Takers
-from balsamreach.peers.tally import Tally
+from balsamreach.peers.peer_counters import PeerCounters
+from balsamreach.peers.rendezvous import HomeCache
 from balsamreach.peers.tls import load_tls
-from balsamreach.peers.upkeep import Maintenance
 from balsamreach.telemetry import hops
 from balsamreach.telemetry.metrics import Metrics
 from balsamreach.telemetry.traces import Tracing
@@ -57,10 +57,12 @@
     metrics: Metrics
     discovery: Discovery
     tracing: Tracing
-    greeter: LocalStatus = attrs.field(init=False)
-    keeper: LinkManager = attrs.field(init=False)
+    local_status: LocalStatus = attrs.field(init=False)
+    link_manager: LinkManager = attrs.field(init=False)
     _homes: HomeCache = attrs.field(init=False)
-    _takers: Takers = attrs.field(factory=Takers, init=False)
+    _handlers: HandlerRegistry = attrs.field(
+        factory=HandlerRegistry, init=False
+    )
     _listener: PeersListener = attrs.field(init=False)
     _maintenance: asyncio.Task | None = attrs.field(default=None, init=False)
 
@@ -69,53 +71,53 @@
         membership = Membership(self.me, self.clock)
         self._homes = HomeCache(membership)
         self.hubs = Hubs(membership, self.cfg.peers)
-        self.greeter = LocalStatus(self.cfg.peers.fleet, membership)
+        self.local_status = LocalStatus(self.cfg.peers.fleet, membership)
         context = LinkContext(
             cfg=self.cfg.peers,
             clock=self.clock,
-            tally=Tally(self.metrics),
-            take=self._takers.take,
-            heartbeat=self.greeter.heartbeat,
+            counters=PeerCounters(self.metrics),
+            handle=self._handlers.handle,
+            heartbeat=self.local_status.heartbeat,
             tracing=self.tracing,
         )
         gossip = Gossip(membership, self)
         gossip.start()
-        self.keeper = LinkManager(
-            connector=Connector(context, self.greeter.hello),
+        self.link_manager = LinkManager(
+            connector=Connector(context, self.local_status.hello),
             links=Links(self.me.incarnation),
             membership=membership,
             gossip=gossip,
             rng=self.rng,
         )
-        self._listener = PeersListener(self.keeper)
+        self._listener = PeersListener(self.link_manager)
 
     def members(self) -> tuple[Member, ...]:
         """Return all routers believed alive, this one included."""
-        return self.keeper.membership.alive()
+        return self.link_manager.membership.alive()
 
-    def departed(self) -> tuple[Member, ...]:
+    def dead_members(self) -> tuple[Member, ...]:
         """Return the routers known to be dead and not yet forgotten."""
-        return self.keeper.membership.dead()
+        return self.link_manager.membership.dead()
 
     def neighbours(self) -> tuple[Member, ...]:
         """Return the routers with a persistent connection to this one."""
-        find = self.keeper.membership.find
-        peers = self.keeper.links.persistent_peers()
+        find = self.link_manager.membership.find
+        peers = self.link_manager.links.persistent_peers()
         return tuple(find(peer.incarnation) or peer for peer in peers)
 
     def home(self, key: str) -> Member:
         """Return the router of this zone that a key is assigned to."""
         return self._homes.find(key)
 
-    def on(self, kind: type[Message], handler: Taker) -> None:
+    def on(self, kind: type[Message], handler: Handler) -> None:
         """Register the handler of a kind of message; one for each kind."""
-        self._takers.on(kind, handler)
+        self._handlers.on(kind, handler)
 
     async def ask(
         self,
         incarnation: str,
         message: Message,
-        gaps: int = 1,
+        timeout_gaps: int = 1,
     ) -> Message | PeerFault:
         """Send a request and wait for the answer.
 
@@ -123,10 +125,10 @@
         """
         kind = type(message).__name__
         with hops.hop('peer', kind=kind, peer=incarnation) as span:
-            link = await self.keeper.connect_by_incarnation(incarnation)
+            link = await self.link_manager.connect_by_incarnation(incarnation)
             answer = link
             if isinstance(link, Link):
-                answer = await link.ask(message, gaps)
+                answer = await link.ask(message, timeout_gaps)
             failed = isinstance(answer, PeerFault)
             span.set_attribute('outcome', answer.code if failed else 'ok')
         return answer
@@ -136,18 +138,18 @@
 
         In that case a connection is opened for later messages.
         """
-        link = self.keeper.links.preferred(incarnation)
+        link = self.link_manager.links.preferred(incarnation)
         if link is not None:
             return link.tell(message)
-        member = self.keeper.membership.find(incarnation)
+        member = self.link_manager.membership.find(incarnation)
         if member is not None and not member.dead:
-            self.keeper.tasks.start(self.keeper.connect(member))
+            self.link_manager.tasks.start(self.link_manager.connect(member))
         return False
 
-    def spread(self, message: Message, besides: str = '') -> None:
-        """Send to all neighbours except the incarnation ``besides``."""
-        for member in self.keeper.links.persistent_peers():
-            if member.incarnation != besides:
+    def tell_neighbours(self, message: Message, exclude: str = '') -> None:
+        """Send to all neighbours except the incarnation ``exclude``."""
+        for member in self.link_manager.links.persistent_peers():
+            if member.incarnation != exclude:
                 self.tell(member.incarnation, message)
 
     async def start(self) -> PeerFault | None:
@@ -156,9 +158,9 @@
         if fault is not None:
             return fault
         address = self._listener.open(self.cfg)
-        self.me = self.keeper.membership.change_me(address=address)
+        self.me = self.link_manager.membership.change_me(address=address)
         upkeep = Maintenance(
-            self.cfg.peers, self.keeper, self.discovery, self.rng
+            self.cfg.peers, self.link_manager, self.discovery, self.rng
         )
         self._maintenance = asyncio.create_task(upkeep.run())
         return None
@@ -168,22 +170,24 @@
         contexts = load_tls(self.cfg.peers)
         if isinstance(contexts, PeerFault):
             return contexts
-        self.keeper.connector.tls = contexts
+        self.link_manager.connector.tls = contexts
         self._listener.ssl_options = contexts.server
         return None
 
     async def leave(self) -> None:
         """Tell the others that this router is leaving."""
-        self.me = self.keeper.membership.change_me(leaving=True)
-        self.keeper.gossip.tell(self.me)
-        self.keeper.gossip.flush()
+        self.me = self.link_manager.membership.change_me(leaving=True)
+        self.link_manager.gossip.queue_update(self.me)
+        self.link_manager.gossip.flush()
 
     async def stop(self) -> None:
         """Tell the others that this router has stopped, and close all links."""
         self._listener.stop()
         if self._maintenance is not None:
             self._maintenance.cancel()
-        self.me = self.keeper.membership.change_me(leaving=True, dead=True)
-        self.keeper.gossip.tell(self.me)
-        self.keeper.gossip.flush()
-        await self.keeper.stop()
+        self.me = self.link_manager.membership.change_me(
+            leaving=True, dead=True
+        )
+        self.link_manager.gossip.queue_update(self.me)
+        self.link_manager.gossip.flush()
+        await self.link_manager.stop()
--- a/src/balsamreach/peers/tally.py
+++ b/src/balsamreach/peers/peer_counters.py
@@ -2,13 +2,13 @@
 
 import attrs
 
-from balsamreach.peers import counters
+from balsamreach.peers import metric_names
 from balsamreach.telemetry.metrics import Metrics
 from balsamreach.wire.base import Message
 
 
 @attrs.frozen
-class Tally:
+class PeerCounters:
     """Counters of messages and connections between routers.
 
     Parameters
@@ -22,17 +22,17 @@
     def count_message(self, way: str, message: Message, size: int) -> None:
         """Count a message; ``way`` is ``in`` or ``out``."""
         kind = type(message).__name__
-        self.metrics.count(counters.MESSAGES, way=way, kind=kind)
-        self.metrics.count(counters.BYTES, size, way=way)
+        self.metrics.count(metric_names.MESSAGES, way=way, kind=kind)
+        self.metrics.count(metric_names.BYTES, size, way=way)
 
     def count_dropped(self, reason: str) -> None:
         """Count a dropped message."""
-        self.metrics.count(counters.DROPPED, reason=reason)
+        self.metrics.count(metric_names.DROPPED, reason=reason)
 
     def count_refused(self, reason: str) -> None:
         """Count a refused message or connection."""
-        self.metrics.count(counters.REFUSED, reason=reason)
+        self.metrics.count(metric_names.REFUSED, reason=reason)
 
     def count_pause(self) -> None:
         """Count a pause of this process."""
-        self.metrics.count(counters.OWN_PAUSES)
+        self.metrics.count(metric_names.OWN_PAUSES)
--- a/src/balsamreach/peers/homes.py
+++ b/src/balsamreach/peers/rendezvous.py
@@ -33,10 +33,10 @@
             self._local_version = membership.version
             zone = membership.me.zone
             self._local = pick_local(membership.alive(), zone)
-        return heaviest(key, self._local) or membership.me
+        return highest_weight_member(key, self._local) or membership.me
 
 
-def weigh(key: str, name: str) -> int:
+def rendezvous_weight(key: str, name: str) -> int:
     """Return a member's weight for a key; the highest weight is its home."""
     return xxhash.xxh3_64_intdigest(f'{key}\n{name}'.encode())
 
@@ -47,7 +47,7 @@
     return [member for member in local if not member.leaving] or local
 
 
-def heaviest(key: str, members: Iterable[Member]) -> Member | None:
+def highest_weight_member(key: str, members: Iterable[Member]) -> Member | None:
     """Return the member with the highest weight for a key.
 
     Returns
@@ -58,14 +58,16 @@
     return max(
         members,
         key=lambda member: (
-            weigh(key, member.incarnation),
+            rendezvous_weight(key, member.incarnation),
             member.incarnation,
         ),
         default=None,
     )
 
 
-def home_of(key: str, members: Iterable[Member], zone: str) -> Member | None:
+def home_in_zone(
+    key: str, members: Iterable[Member], zone: str
+) -> Member | None:
     """Return the member of a zone that a key is assigned to.
 
     Parameters
@@ -83,4 +85,4 @@
     Member or None
         The home, None if the zone has no member.
     """
-    return heaviest(key, pick_local(members, zone))
+    return highest_weight_member(key, pick_local(members, zone))
--- a/src/balsamreach/placement/cold_targets.py
+++ b/src/balsamreach/placement/cold_targets.py
@@ -13,7 +13,7 @@
 
 from balsamreach.catalogue.entries import Service
 from balsamreach.clock import Clock
-from balsamreach.peers.homes import weigh
+from balsamreach.peers.rendezvous import rendezvous_weight
 from balsamreach.placement.evacuations import Evacuations
 from balsamreach.placement.relay_targets import RelayTarget
 from balsamreach.wire.membership import Member
@@ -118,7 +118,7 @@
             addresses = [one for found in all_zones for one in found]
         return sorted(
             addresses,
-            key=lambda address: weigh(target_id, address),
+            key=lambda address: rendezvous_weight(target_id, address),
             reverse=True,
         )[:MAX_SENDERS]
 
--- a/src/balsamreach/placement/engines.py
+++ b/src/balsamreach/placement/engines.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from balsamreach.peers.homes import weigh
+from balsamreach.peers.rendezvous import rendezvous_weight
 from balsamreach.placement.prompts import CacheEstimate, Prompt
 from balsamreach.placement.relay_targets import RelayTarget
 
@@ -111,5 +111,5 @@
         deepest = prompt.shared[-1].part_id
         return max(
             candidates,
-            key=lambda place: weigh(deepest, place.entry.target_id),
+            key=lambda place: rendezvous_weight(deepest, place.entry.target_id),
         )
--- a/src/balsamreach/placement/sharing.py
+++ b/src/balsamreach/placement/sharing.py
@@ -108,7 +108,7 @@
         now = self.clock.now()
         for load in loads:
             self._sent[load.target] = _Load(load.running, load.queued, now)
-        self.net.spread(TargetLoads(loads))
+        self.net.tell_neighbours(TargetLoads(loads))
 
     def on_request_sent(self, unread: int) -> None:
         """Record that a request was just sent, and report it if it is long.
@@ -139,7 +139,7 @@
         self._add_up(self.places)
 
     def _has_hubs(self) -> bool:
-        return bool(self.net.hubs.of(self.net.me.zone))
+        return bool(self.net.hubs.hubs_of(self.net.me.zone))
 
     def _add_up(self, places: Iterable[RelayTarget]) -> None:
         oldest = self.clock.now() - _STALE_S
--- a/src/balsamreach/placement/zone_loads.py
+++ b/src/balsamreach/placement/zone_loads.py
@@ -106,7 +106,7 @@
             self.net.tell(hub.incarnation, message)
 
     def _hub(self) -> Member | None:
-        hubs = self.net.hubs.of(self.net.me.zone)
+        hubs = self.net.hubs.hubs_of(self.net.me.zone)
         return hubs[0] if hubs else None
 
     def _own(self) -> list[tuple[str, Load]]:
@@ -138,7 +138,7 @@
         if message is None:
             return
         for zone in self.net.hubs.zones():
-            hubs = self.net.hubs.of(zone)
+            hubs = self.net.hubs.hubs_of(zone)
             if hubs and zone != self.net.me.zone:
                 self.net.tell(hubs[0].incarnation, message)
 
--- a/src/balsamreach/platform/pages.py
+++ b/src/balsamreach/platform/pages.py
@@ -128,7 +128,9 @@
         return is_silent and own in hubs
 
     def _hubs(self) -> list[str]:
-        return [hub.incarnation for hub in self.net.hubs.of(self.net.me.zone)]
+        return [
+            hub.incarnation for hub in self.net.hubs.hubs_of(self.net.me.zone)
+        ]
 
     def _encode_rows(self, rows: Iterable[StoredRow]) -> list[dict[str, Any]]:
         return [self._encode_row(row) for row in rows]
--- a/src/balsamreach/platform/router.py
+++ b/src/balsamreach/platform/router.py
@@ -83,7 +83,7 @@
     )
     exchange = CatalogueExchange(parts.net, known, parts.clock)
     exchange.start()
-    parts.net.greeter.orders = parts.chooser.evacuations.digest
+    parts.net.local_status.evacuations_digest = parts.chooser.evacuations.digest
     return exchange
 
 
--- a/src/balsamreach/power/follower.py
+++ b/src/balsamreach/power/follower.py
@@ -102,7 +102,7 @@
         """Apply rows that a peer read or wrote."""
         rows = [_from_wire(row) for row in message.rows]
         if self.apply(row for row in rows if row is not None):
-            self.net.spread(message, besides=member.incarnation)
+            self.net.tell_neighbours(message, exclude=member.incarnation)
         self._note_rows_received()
 
     def publish(self, key: str, version: int, value: RowValue) -> None:
@@ -132,7 +132,7 @@
         return holds
 
     def _send_to_neighbours(self, rows: Iterable[Row]) -> None:
-        self.net.spread(PowerRows(tuple(map(_to_wire, rows))))
+        self.net.tell_neighbours(PowerRows(tuple(map(_to_wire, rows))))
 
     def _send_to_new_neighbours(self) -> None:
         # Send only rows that were truly received. An empty message from a
--- a/src/balsamreach/power/manager.py
+++ b/src/balsamreach/power/manager.py
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class PowerParts:
+class PowerDependencies:
     """Dependencies of power management.
 
     Parameters
@@ -56,7 +56,7 @@
     them decides; the conditional commits prevent conflicts.
     """
 
-    parts: PowerParts
+    parts: PowerDependencies
     follower: PowerFollower
     deciders: dict[str, Decider] = attrs.field(factory=dict)
 
@@ -132,7 +132,7 @@
         self.follower.publish(row.key, stored.version, encode(row))
 
 
-def make_power(parts: PowerParts) -> PowerManager:
+def make_power(parts: PowerDependencies) -> PowerManager:
     """Create the manager and the follower that holds targets for it."""
     follower = PowerFollower(
         parts.cfg,
--- a/src/balsamreach/routing/quarantine.py
+++ b/src/balsamreach/routing/quarantine.py
@@ -172,7 +172,9 @@
         self.suspects.lift(fingerprint, at)
         _update_held_gauge(self)
         if self.net is not None:
-            self.net.spread(Suspicion(fingerprint, '', lifted=True, at=at))
+            self.net.tell_neighbours(
+                Suspicion(fingerprint, '', lifted=True, at=at)
+            )
         log_event(
             _logger,
             logging.INFO,
--- a/src/balsamreach/routing/rate_homes.py
+++ b/src/balsamreach/routing/rate_homes.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from balsamreach.peers.homes import heaviest
+from balsamreach.peers.rendezvous import highest_weight_member
 from balsamreach.routing import rate_groups
 from balsamreach.routing.demands import MILLION, RESERVE
 from balsamreach.routing.rate_groups import (
@@ -201,7 +201,7 @@
     def _root(self, group: TeamGroup) -> Member:
         members = self.messenger.net.members()
         staying = [member for member in members if not member.leaving]
-        root = heaviest(group.key, staying or members)
+        root = highest_weight_member(group.key, staying or members)
         return root or self.messenger.net.me
 
     def _group(self, team: int) -> TeamGroup:
--- a/src/balsamreach/routing/rate_messenger.py
+++ b/src/balsamreach/routing/rate_messenger.py
@@ -97,7 +97,7 @@
         known_addresses = {member.address for member in members}
         lost = [
             member
-            for member in self.net.departed()
+            for member in self.net.dead_members()
             if not member.leaving and member.address not in known_addresses
         ]
         total = len(members) + len(lost)
--- a/src/balsamreach/table/exchange.py
+++ b/src/balsamreach/table/exchange.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from balsamreach.peers.base import FETCH_GAPS, PeerNet
+from balsamreach.peers.base import LARGE_ANSWER_GAPS, PeerNet
 from balsamreach.services.base import Row
 from balsamreach.table.view import TableView, apply_copy
 from balsamreach.telemetry.metrics import Metrics
@@ -70,7 +70,7 @@
         """
         if not 0 < len(changed) <= MAX_BROADCAST_ROWS:
             return
-        self.net.spread(TableRows(since, version, _pack_rows(changed)))
+        self.net.tell_neighbours(TableRows(since, version, _pack_rows(changed)))
 
     async def catch_up(self, incarnation: str) -> bool:
         """Fetch the rows that another router has and this one lacks.
@@ -129,7 +129,7 @@
             if _needs_copy(view):
                 return await self._fetch_copy(incarnation, view)
             ask = TableAsk(since)
-            answer = await self.net.ask(incarnation, ask, FETCH_GAPS)
+            answer = await self.net.ask(incarnation, ask, LARGE_ANSWER_GAPS)
             if not isinstance(answer, TableRows) or not answer.version:
                 return False
             if answer.since > since:
@@ -191,7 +191,7 @@
         # Known rows are forwarded too. Without them the next router would
         # advance its version past a row that it never received.
         if applied:
-            self.net.spread(message, besides=member.incarnation)
+            self.net.tell_neighbours(message, exclude=member.incarnation)
         if gap:
             self.metrics.count('balsamreach_table_gaps_total')
             self._start_catch_up(member)
--- a/src/balsamreach/targets/leaving_marks.py
+++ b/src/balsamreach/targets/leaving_marks.py
@@ -50,7 +50,7 @@
     def mark(self, target: Target, incarnation: str, source: str) -> None:
         """Mark an incarnation as leaving; send a new mark to peers."""
         if self._apply(target, incarnation, source):
-            self.net.spread(TargetMark(target.name, incarnation))
+            self.net.tell_neighbours(TargetMark(target.name, incarnation))
 
     def mark_listed(self, hosts: Iterable[HostEntry]) -> None:
         """Mark the incarnations that the host list shows as leaving.
@@ -87,7 +87,7 @@
         if target is None:
             return InFlight(mark.target, 0, closed=False)
         if self._apply(target, mark.incarnation, FROM_PEER):
-            self.net.spread(mark, besides=member.incarnation)
+            self.net.tell_neighbours(mark, exclude=member.incarnation)
         return self.requests_in_flight(target, mark.incarnation)
 
     async def receive_ask(self, member: Member, ask: InFlightAsk) -> InFlight:
--- a/tests/failure_rig.py
+++ b/tests/failure_rig.py
@@ -312,7 +312,7 @@
         self.routers.append(router)
         net = router.parts.net
         link = await self.link(net.me.address)
-        net.me = net.keeper.membership.change_me(address=link.address)
+        net.me = net.link_manager.membership.change_me(address=link.address)
         self.seeds.append(link.address)
         return router
 
--- a/tests/fake_net.py
+++ b/tests/fake_net.py
@@ -9,15 +9,15 @@
 
 import attrs
 
-from balsamreach.peers.base import HubChoice, PeerNet, Taker
+from balsamreach.peers.base import Handler, HubSelector, PeerNet
 from balsamreach.peers.faults import (
     NO_ANSWER,
     NOT_CONNECTED,
     PEER_REFUSED,
     PeerFault,
 )
-from balsamreach.peers.homes import home_of
 from balsamreach.peers.hubs import pick_hubs
+from balsamreach.peers.rendezvous import home_in_zone
 from balsamreach.wire.base import Message
 from balsamreach.wire.membership import Member
 
@@ -169,12 +169,12 @@
 
 
 @attrs.define(eq=False)
-class FakeHubs(HubChoice):
+class FakeHubs(HubSelector):
     """The hubs that the real net would select."""
 
     fabric: FakeNet
 
-    def of(self, zone: str) -> tuple[Member, ...]:
+    def hubs_of(self, zone: str) -> tuple[Member, ...]:
         """Return a zone's hubs."""
         return pick_hubs(self._members(), zone, self.fabric.hubs_per_zone)
 
@@ -192,7 +192,7 @@
     """The net as one router sees it; all others are its neighbours."""
 
     fabric: FakeNet
-    takers: dict[type[Message], Taker] = attrs.field(factory=dict)
+    handlers: dict[type[Message], Handler] = attrs.field(factory=dict)
 
     def members(self) -> tuple[Member, ...]:
         """Return all members that were not killed."""
@@ -208,18 +208,18 @@
 
     def home(self, key: str) -> Member:
         """Return the key's home as the real net would."""
-        return home_of(key, self.members(), self.me.zone) or self.me
+        return home_in_zone(key, self.members(), self.me.zone) or self.me
 
-    def on(self, kind: type[Message], handler: Taker) -> None:
+    def on(self, kind: type[Message], handler: Handler) -> None:
         """Register the handler of a kind."""
-        assert kind not in self.takers, kind
-        self.takers[kind] = handler
+        assert kind not in self.handlers, kind
+        self.handlers[kind] = handler
 
     async def ask(
         self,
         incarnation: str,
         message: Message,
-        gaps: int = 1,
+        timeout_gaps: int = 1,
     ) -> Message | PeerFault:
         """Send a request to a reachable member."""
         if not self._reaches(incarnation):
@@ -233,10 +233,10 @@
         self.fabric.post(self.me, incarnation, message)
         return True
 
-    def spread(self, message: Message, besides: str = '') -> None:
-        """Send to all neighbours except ``besides``."""
+    def tell_neighbours(self, message: Message, exclude: str = '') -> None:
+        """Send to all neighbours except ``exclude``."""
         for member in self.neighbours():
-            if member.incarnation != besides:
+            if member.incarnation != exclude:
                 self.tell(member.incarnation, message)
 
     async def take(
@@ -245,7 +245,7 @@
         message: Message,
     ) -> Message | PeerFault:
         """Handle a message as if it came over a connection."""
-        handler = self.takers.get(type(message))
+        handler = self.handlers.get(type(message))
         answer = await handler(source, message) if handler else None
         return PEER_REFUSED if answer is None else answer
 
--- a/tests/peers_rig.py
+++ b/tests/peers_rig.py
@@ -126,8 +126,8 @@
     net._listener.stop()
     if net._maintenance is not None:
         net._maintenance.cancel()
-    net.keeper.stopping = True
-    await net.keeper.tasks.cancel()
+    net.link_manager.stopping = True
+    await net.link_manager.tasks.cancel()
 
 
 def names(net: TcpPeerNet) -> set[str]:
--- a/tests/power_world.py
+++ b/tests/power_world.py
@@ -7,7 +7,11 @@
 import attrs
 
 from balsamreach.config.reader import read_settings
-from balsamreach.power.manager import PowerManager, PowerParts, make_power
+from balsamreach.power.manager import (
+    PowerDependencies,
+    PowerManager,
+    make_power,
+)
 from balsamreach.power.rows import decode
 from balsamreach.services.base import Commit, HostEntry, HostList
 from balsamreach.services.faults import UNAVAILABLE, UNKNOWN
@@ -180,7 +184,7 @@
 
 
 @attrs.define(eq=False)
-class World:
+class PowerSimulation:
     """Simulated routers and the hosts of one service in one zone.
 
     ``aborted_requests`` counts requests that a power-off ended.
@@ -198,7 +202,7 @@
     rows: list[TargetRow] = attrs.field(init=False)
     client: FakeTargets = attrs.field(init=False)
     platform: MemoryPlatform = attrs.field(init=False)
-    switch: FakePlatform = attrs.field(init=False)
+    fake_platform: FakePlatform = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Create the hosts and the platform."""
@@ -219,7 +223,7 @@
         ]
         self.client = FakeTargets(self.clock, hosts)
         self.platform = MemoryPlatform.start(self.clock)
-        self.switch = FakePlatform(self.clock, hosts)
+        self.fake_platform = FakePlatform(self.clock, hosts)
 
     @property
     def hosts(self) -> list[FakeHost]:
@@ -237,7 +241,9 @@
         targets = Targets(warm_time=cfg.power.warm_time)
         targets.update(self.rows)
         net = self.net.join(name, zone)
-        self.switch.routers.append(HostEntry(net.me.address, 'router', zone))
+        self.fake_platform.routers.append(
+            HostEntry(net.me.address, 'router', zone)
+        )
         table = GatedTable(self.platform.table)
         watch = make_watch(
             WatchParts(
@@ -245,18 +251,18 @@
                 targets=targets,
                 client=self.client,
                 net=net,
-                hosts=self.switch,
+                hosts=self.fake_platform,
                 clock=self.clock,
                 rng=random.Random(1),
                 metrics=self.metrics,
             )
         )
         power = make_power(
-            PowerParts(
+            PowerDependencies(
                 cfg=cfg,
                 marks=watch.marks,
                 client=self.client,
-                hosts=self.switch,
+                hosts=self.fake_platform,
                 weights=self.platform.weights,
                 service=table,
                 clock=self.clock,
@@ -278,7 +284,7 @@
 
     async def round(self, seconds: float = 5) -> None:
         """Poll, decide and advance the clock."""
-        self.switch.bring_up()
+        self.fake_platform.bring_up()
         await self.poll()
         for router in self._running_routers():
             await self.step(router)
--- a/tests/table_fleet.py
+++ b/tests/table_fleet.py
@@ -200,5 +200,5 @@
     async def send_heartbeats(self) -> None:
         """Let every router send a heartbeat with its version to the others."""
         for station in self.stations:
-            station.net.spread(Heartbeat(station.view.version))
+            station.net.tell_neighbours(Heartbeat(station.view.version))
         await self.settle()
--- a/tests/test_budget_reclaiming.py
+++ b/tests/test_budget_reclaiming.py
@@ -134,7 +134,7 @@
         memory, it would lend tokens that were granted a second time.
         """
         nets = self.world.network.nets
-        grant_loan = nets['a'].takers[LoanAsk]
+        grant_loan = nets['a'].handlers[LoanAsk]
         killed = await self.replace_lender()
         self.assertEqual(await self.reclaim_and_audit(), 0)
         self.world.clock.seconds += 60
--- a/tests/test_catalogue_exchange.py
+++ b/tests/test_catalogue_exchange.py
@@ -326,6 +326,6 @@
         self.two = await self.rig.start('two', seed)
         router = Router(self.two, self.rig.clock)
         one.on(TableAsk, self.answer_late)
-        one.greeter.table_version = lambda: 6
+        one.local_status.table_version = lambda: 6
         await self.rig.until(lambda: router.view.version == 6)
         self.assertEqual(len(self.asked), 1)
--- a/tests/test_daemon_listeners.py
+++ b/tests/test_daemon_listeners.py
@@ -130,14 +130,14 @@
         second = await self.deployment.add_router('second')
         net = second.parts.net
         self.assertTrue(await until(net.neighbours))
-        link = net.keeper.links.every()[0]
+        link = net.link_manager.links.all_links()[0]
         self.files.renew()
         for router in (first, second):
             router.reload_tls()
         third = await self.deployment.add_router('third')
         connected = await until(lambda: len(third.parts.net.neighbours()) == 2)
         self.assertTrue(connected)
-        self.assertIn(link, net.keeper.links.every())
+        self.assertIn(link, net.link_manager.links.all_links())
 
 
 class CertificateCheckTest(unittest.TestCase):
--- a/tests/test_peers_background_tasks.py
+++ b/tests/test_peers_background_tasks.py
@@ -24,7 +24,7 @@
         one.on(InFlightAsk, self.record_trail)
         span = one.tracing.start_span('caller')
         with hops.following(hops.Trail(span, one.tracing)):
-            await one.keeper.connect(two.me)
+            await one.link_manager.connect(two.me)
         await rig.until(lambda: linked(two) == {'one'})
         await two.ask('one', InFlightAsk('engine-0'))
         self.assertEqual(self.trails, [None])
--- a/tests/test_peers_broadcast.py
+++ b/tests/test_peers_broadcast.py
@@ -38,7 +38,7 @@
         self.hubs = [
             hub.incarnation
             for zone in range(_ZONES)
-            for hub in nets['r0'].hubs.of(f'zone-{zone}')
+            for hub in nets['r0'].hubs.hubs_of(f'zone-{zone}')
         ]
 
     async def broadcast_from(self, name):
--- a/tests/test_peers_gossip.py
+++ b/tests/test_peers_gossip.py
@@ -43,7 +43,7 @@
 
     async def sync_all(self):
         for name in self.gossips:
-            await self.gossips[name].compare('r0')
+            await self.gossips[name].sync_with('r0')
             await self.net.settle()
         await self.flush()
 
@@ -53,7 +53,7 @@
             self.assertEqual(self.alive(name), sorted(self.gossips))
         self.net.sent.clear()
         await self.flush()
-        await self.gossips['r5'].compare('r3')
+        await self.gossips['r5'].sync_with('r3')
         await self.net.settle()
         self.assertEqual([type(sent) for sent in self.net.sent], [MembersAsk])
 
@@ -66,14 +66,14 @@
         await self.sync_all()
         self.net.kill('r7')
         gossip = self.gossips['r1']
-        gossip.membership.bury('r7')
-        gossip.tell(gossip.membership.find('r7'))
+        gossip.membership.mark_dead('r7')
+        gossip.queue_update(gossip.membership.find('r7'))
         self.net.cut(['r4'], [name for name in self.gossips if name != 'r4'])
         await self.flush()
         self.assertNotIn('r7', self.alive('r3'))
         self.assertIn('r7', self.alive('r4'))
         self.net.heal()
-        await self.gossips['r4'].compare('r2')
+        await self.gossips['r4'].sync_with('r2')
         self.assertNotIn('r7', self.alive('r4'))
 
     async def test_comparing_updates_both_sides(self):
@@ -83,7 +83,7 @@
         gossips[1].membership.merge(
             attrs.evolve(extra, incarnation='y', address='1.1.1.1:2'),
         )
-        self.assertTrue(await gossips[0].compare('r1'))
+        self.assertTrue(await gossips[0].sync_with('r1'))
         await self.net.settle()
         self.assertEqual(self.advertised('r0'), self.advertised('r1'))
         self.assertEqual(self.alive('r0'), ['r0', 'r1', 'x', 'y'])
@@ -98,7 +98,7 @@
         names = sorted(self.gossips)
         self.mark_dead(names[:4], names[4:])
         self.mark_dead(names[4:], names[:4])
-        await self.gossips['r0'].compare('r4')
+        await self.gossips['r0'].sync_with('r4')
         await self.net.settle(newest_first=True)
         await self.flush()
         for _ in range(3):
@@ -109,24 +109,24 @@
     def mark_dead(self, half, others):
         for name in half:
             for other in others:
-                self.gossips[name].membership.bury(other)
+                self.gossips[name].membership.mark_dead(other)
 
     async def compare_at_random(self, rng):
         for name, gossip in self.gossips.items():
             others = sorted(set(self.gossips) - {name})
-            await gossip.compare(rng.choice(others))
+            await gossip.sync_with(rng.choice(others))
             await self.net.settle()
         await self.flush()
 
     async def test_lost_request_is_reported(self):
         self.net.lost[MembersAsk] = 1
-        self.assertFalse(await self.gossips['r0'].compare('r1'))
+        self.assertFalse(await self.gossips['r0'].sync_with('r1'))
 
     async def test_update_is_not_sent_to_its_source(self):
         await self.sync_all()
         self.net.sent.clear()
         member = attrs.evolve(self.net.nets['r0'].me, revision=3)
-        self.gossips['r1'].learn((member,), 'r0')
+        self.gossips['r1'].merge_reports((member,), 'r0')
         self.gossips['r1'].flush()
         self.assertEqual(set(self.net.sent), {Members((member,))})
         self.assertEqual(len(self.net.sent), _ROUTERS - 2)
--- a/tests/test_peers_handshake.py
+++ b/tests/test_peers_handshake.py
@@ -9,13 +9,13 @@
 from tornado.iostream import IOStream
 
 from balsamreach.config.reader import read_settings
-from balsamreach.peers import counters
+from balsamreach.peers import metric_names
 from balsamreach.peers.connector import Connector
 from balsamreach.peers.faults import HELLO_REFUSED
+from balsamreach.peers.handlers import HandlerRegistry
 from balsamreach.peers.handshake import MAX_HELLO_BYTES, initiate_handshake
 from balsamreach.peers.link import Link, LinkContext
-from balsamreach.peers.takers import Takers
-from balsamreach.peers.tally import Tally
+from balsamreach.peers.peer_counters import PeerCounters
 from balsamreach.telemetry.metrics import Metrics
 from balsamreach.wire.codec import Envelope, decode, encode
 from balsamreach.wire.framing import frame, read_frame
@@ -55,8 +55,8 @@
         context = LinkContext(
             cfg=_CFG,
             clock=self.clock,
-            tally=Tally(self.metrics),
-            take=Takers().take,
+            counters=PeerCounters(self.metrics),
+            handle=HandlerRegistry().handle,
         )
         self.connector = Connector(context, lambda: _ME)
 
@@ -83,7 +83,7 @@
         refused = decode(await read_frame(self.far, MAX_HELLO_BYTES)).message
         self.assertEqual(refused.code, code)
         self.assertTrue(refused.reason)
-        counted = self.metrics.counted(counters.REFUSED, reason=code)
+        counted = self.metrics.counted(metric_names.REFUSED, reason=code)
         self.assertEqual(counted, 1)
         self.assertTrue(self.near.closed())
 
@@ -113,7 +113,9 @@
             await asyncio.sleep(0)
             self.clock.advance(_CFG.heartbeat)
         self.assertIsNone(await accepting)
-        counted = self.metrics.counted(counters.REFUSED, reason='no_greeting')
+        counted = self.metrics.counted(
+            metric_names.REFUSED, reason='no_greeting'
+        )
         self.assertEqual(counted, 1)
 
     async def test_refused_router_gets_the_reason(self):
--- a/tests/test_peers_hubs.py
+++ b/tests/test_peers_hubs.py
@@ -54,7 +54,7 @@
         zones = {member.zone for member in members}
         self.assertEqual(set(hubs.zones()), zones if expected else set())
         for zone in zones:
-            self.assertEqual(len(hubs.of(zone)), expected)
+            self.assertEqual(len(hubs.hubs_of(zone)), expected)
 
     def test_highest_bandwidth_is_preferred(self):
         """Guards against a small host that loses its peers as its link is full.
@@ -80,8 +80,8 @@
         one = self.hubs(members)
         other = self.hubs(tuple(reversed(members)))
         for zone in one.zones():
-            self.assertEqual(one.of(zone), other.of(zone))
-            self.assertEqual({hub.zone for hub in one.of(zone)}, {zone})
+            self.assertEqual(one.hubs_of(zone), other.hubs_of(zone))
+            self.assertEqual({hub.zone for hub in one.hubs_of(zone)}, {zone})
 
     def test_leaving_hub_is_replaced(self):
         members = _members(195)
@@ -95,6 +95,6 @@
     def test_change_of_members_updates_the_hubs(self):
         members = _members(195)
         hubs = self.hubs(members)
-        first = hubs.of('zone-1')[0]
-        hubs.membership.bury(first.incarnation)
-        self.assertNotIn(first, hubs.of('zone-1'))
+        first = hubs.hubs_of('zone-1')[0]
+        hubs.membership.mark_dead(first.incarnation)
+        self.assertNotIn(first, hubs.hubs_of('zone-1'))
--- a/tests/test_peers_link.py
+++ b/tests/test_peers_link.py
@@ -8,8 +8,8 @@
 from tornado.iostream import IOStream
 
 from balsamreach.config.reader import read_settings
-from balsamreach.peers import counters, inbound
-from balsamreach.peers.base import FETCH_GAPS
+from balsamreach.peers import inbound, metric_names
+from balsamreach.peers.base import LARGE_ANSWER_GAPS
 from balsamreach.peers.faults import (
     LINK_CLOSED,
     LINK_MALFORMED,
@@ -18,10 +18,10 @@
     NO_ANSWER,
     PEER_REFUSED,
 )
+from balsamreach.peers.handlers import HandlerRegistry
 from balsamreach.peers.link import Link, LinkContext
 from balsamreach.peers.outbox import Outbox
-from balsamreach.peers.takers import Takers
-from balsamreach.peers.tally import Tally
+from balsamreach.peers.peer_counters import PeerCounters
 from balsamreach.telemetry.metrics import Metrics
 from balsamreach.wire.codec import MOST_BYTES, Envelope, decode, encode
 from balsamreach.wire.framing import frame, read_frame
@@ -54,14 +54,14 @@
         self.handled = []
         self.handler_gate = asyncio.Event()
         self.handler_gate.set()
-        self.takers = Takers()
-        self.takers.on(InFlightAsk, self.handle_target)
-        self.takers.on(TargetMark, self.handle_target)
+        self.registry = HandlerRegistry()
+        self.registry.on(InFlightAsk, self.handle_target)
+        self.registry.on(TargetMark, self.handle_target)
         context = LinkContext(
             cfg=_CFG,
             clock=self.clock,
-            tally=Tally(self.metrics),
-            take=self.takers.take,
+            counters=PeerCounters(self.metrics),
+            handle=self.registry.handle,
         )
         self.link = Link(context, IOStream(near), _PEER, dialled=True)
         self.running = asyncio.create_task(self.link.run())
@@ -125,7 +125,7 @@
 
     async def test_late_large_answer(self):
         """Guards against dropping a complete answer that arrives late."""
-        asked, number = await self.ask('a', FETCH_GAPS)
+        asked, number = await self.ask('a', LARGE_ANSWER_GAPS)
         for _ in range(_PIECES):
             await self.exchange_heartbeat()
         await self.far.write(_framed(InFlight('a', 1), answers=number))
@@ -134,17 +134,17 @@
 
     async def test_large_answer_times_out(self):
         """Guards against waiting for ever on a link that stays alive."""
-        asked, _ = await self.ask('a', FETCH_GAPS)
+        asked, _ = await self.ask('a', LARGE_ANSWER_GAPS)
         start = self.clock.now()
         await self.send_heartbeats_until(asked.done)
         self.assertEqual(await asked, NO_ANSWER)
         waited = self.clock.now() - start
-        self.assertEqual(waited, FETCH_GAPS * _CFG.gap_timeout)
+        self.assertEqual(waited, LARGE_ANSWER_GAPS * _CFG.gap_timeout)
         self.assertFalse(self.running.done())
 
     async def test_silent_link_fails_a_request_for_a_large_answer(self):
         """Guards against waiting too long for the answer of a silent peer."""
-        asked, _ = await self.ask('a', FETCH_GAPS)
+        asked, _ = await self.ask('a', LARGE_ANSWER_GAPS)
         start = self.clock.now()
         while not asked.done():
             await self.settle()
@@ -188,7 +188,7 @@
         self.assertEqual(answer.answers, inbound.MAX_OPEN_REQUESTS + 1)
 
     async def test_failing_handler_does_not_end_the_link(self):
-        self.takers.on(Done, self.raise_error)
+        self.registry.on(Done, self.raise_error)
         await self.far.write(_framed(Done(), ask=1))
         self.assertEqual((await self.next_message()).message.code, 'failed')
         self.assertFalse(self.running.done())
@@ -208,7 +208,7 @@
         await self.settle()
 
     def dropped(self, reason):
-        return self.metrics.counted(counters.DROPPED, reason=reason)
+        return self.metrics.counted(metric_names.DROPPED, reason=reason)
 
 
 class LinkEndTest(LinkTest):
@@ -234,7 +234,7 @@
         await self.far.write(_framed(InFlightAsk('a'), ask=2))
         self.assertEqual((await self.next_message()).answers, 2)
         refused = self.metrics.counted(
-            counters.REFUSED,
+            metric_names.REFUSED,
             reason='wire_unknown_kind',
         )
         self.assertEqual(refused, 1)
@@ -283,7 +283,7 @@
 
     def heartbeats_sent(self):
         return self.metrics.counted(
-            counters.MESSAGES,
+            metric_names.MESSAGES,
             way='out',
             kind='Heartbeat',
         )
@@ -299,7 +299,7 @@
         self.clock.advance(10 * _CFG.gap_timeout)
         await self.settle()
         self.assertFalse(self.running.done())
-        self.assertEqual(self.metrics.counted(counters.OWN_PAUSES), 1)
+        self.assertEqual(self.metrics.counted(metric_names.OWN_PAUSES), 1)
 
     async def test_messages_before_a_release_are_handled(self):
         self.handler_gate.clear()
--- a/tests/test_peers_membership.py
+++ b/tests/test_peers_membership.py
@@ -107,8 +107,8 @@
 
     def test_dead_router_stays_dead_until_pruned(self):
         membership = _membership(_PEER)
-        self.assertTrue(membership.bury('peer'))
-        self.assertFalse(membership.bury('peer'))
+        self.assertTrue(membership.mark_dead('peer'))
+        self.assertFalse(membership.mark_dead('peer'))
         self.assertFalse(membership.merge(_PEER))
         self.assertIn(_DEAD, membership.advertised())
         membership.clock.seconds += PRUNE_DEAD_AFTER / 2 + 1
@@ -119,7 +119,7 @@
         self.assertIsNone(membership.find('peer'))
 
     def test_router_does_not_mark_itself_dead(self):
-        self.assertFalse(_membership().bury('me'))
+        self.assertFalse(_membership().mark_dead('me'))
 
 
 class DigestTest(unittest.TestCase):
--- a/tests/test_peers_net.py
+++ b/tests/test_peers_net.py
@@ -6,10 +6,10 @@
 import attrs
 from parameterized import parameterized
 
-from balsamreach.peers import counters
-from balsamreach.peers.base import FETCH_GAPS
+from balsamreach.peers import metric_names
+from balsamreach.peers.base import LARGE_ANSWER_GAPS
 from balsamreach.peers.faults import NOT_CONNECTED, PEER_REFUSED
-from balsamreach.peers.upkeep import IDLE_TIMEOUT
+from balsamreach.peers.maintenance import IDLE_TIMEOUT
 from balsamreach.services.base import HostEntry
 from balsamreach.wire.marks import InFlight, InFlightAsk
 from balsamreach.wire.membership import Heartbeat
@@ -67,7 +67,7 @@
         proxy = SwallowingProxy(host, int(port))
         await proxy.start()
         self.addAsyncCleanup(proxy.stop)
-        net.me = net.keeper.membership.change_me(address=proxy.address)
+        net.me = net.link_manager.membership.change_me(address=proxy.address)
         return net, proxy
 
     async def start_pair(self):
@@ -97,7 +97,7 @@
     async def test_heartbeats_carry_the_table_version(self):
         one, two = await self.start('one', 'two')
         one.on(Heartbeat, self.record_heartbeat)
-        two.greeter.table_version = lambda: 41
+        two.local_status.table_version = lambda: 41
         await self.rig.until(lambda: ('two', 41) in self.heartbeats)
 
     async def test_simultaneous_dials_leave_one_link(self):
@@ -113,9 +113,9 @@
         two.discovery.seeds = (one.me.address,)
         await self.rig.steps(5)
         for net in (one, two):
-            links = net.keeper.links.every()
+            links = net.link_manager.links.all_links()
             self.assertEqual([link.dialled for link in links], [net is one])
-            self.assertEqual(net.metrics.counted(counters.DEATHS), 0)
+            self.assertEqual(net.metrics.counted(metric_names.DEATHS), 0)
 
     async def test_single_request_link_is_not_persistent_and_is_released(self):
         """Guards against control traffic several times its necessary size.
@@ -138,9 +138,11 @@
         name = other.me.incarnation
         await self.assert_answers_seven(one, name)
         await self.rig.step()
-        self.assertIsNotNone(one.keeper.links.preferred(name))
+        self.assertIsNotNone(one.link_manager.links.preferred(name))
         self.assertNotIn(name, linked(one))
-        await self.rig.until(lambda: one.keeper.links.preferred(name) is None)
+        await self.rig.until(
+            lambda: one.link_manager.links.preferred(name) is None
+        )
         self.assertIn(name, names(one))
 
     @parameterized.expand((('asker', False), ('answerer', True)))
@@ -158,7 +160,7 @@
             asker.ask(
                 answerer.me.incarnation,
                 InFlightAsk('late'),
-                FETCH_GAPS,
+                LARGE_ANSWER_GAPS,
             ),
         )
         await self.rig.until(asking.done)
@@ -174,7 +176,7 @@
         await two.stop()
         for net in (one, three):
             await self.until_names(net, 'one', 'three')
-            self.assertEqual(net.metrics.counted(counters.DEATHS), 0)
+            self.assertEqual(net.metrics.counted(metric_names.DEATHS), 0)
 
 
 class FailureTest(NetTest):
@@ -194,14 +196,16 @@
         proxy.swallow()
         before = self.rig.clock.now()
         await self.rig.until(
-            lambda: one.metrics.counted(counters.LINKS_ENDED, reason=_SILENT),
+            lambda: one.metrics.counted(
+                metric_names.LINKS_ENDED, reason=_SILENT
+            ),
         )
         passed = self.rig.clock.now() - before
         self.assertLessEqual(passed, 2 * one.cfg.peers.gap_timeout)
         await self.until_linked(one, 'two')
         self.assertGreater(proxy.accepted, first)
         await self.assert_answers_seven(one, 'two')
-        self.assertEqual(one.metrics.counted(counters.DEATHS), 0)
+        self.assertEqual(one.metrics.counted(metric_names.DEATHS), 0)
 
     async def test_killed_router_is_dead_after_one_more_try(self):
         """A process is killed and its connections break at once.
@@ -212,9 +216,9 @@
         await crash(two)
         for net in (one, three):
             await self.until_names(net, 'one', 'three')
-        deaths = one.metrics.counted(counters.DEATHS)
+        deaths = one.metrics.counted(metric_names.DEATHS)
         self.assertGreaterEqual(
-            deaths + three.metrics.counted(counters.DEATHS),
+            deaths + three.metrics.counted(metric_names.DEATHS),
             1,
         )
 
@@ -236,7 +240,9 @@
         self.assertEqual(again.me.address, two.me.address)
         await self.until_names(one, 'one', 'two-again')
         await self.until_linked(again, 'one')
-        one.keeper.gossip.learn((attrs.evolve(two.me, dead=True),), 'x')
+        one.link_manager.gossip.merge_reports(
+            (attrs.evolve(two.me, dead=True),), 'x'
+        )
         await self.rig.steps(3)
         self.assertEqual(names(one), {'one', 'two-again'})
 
@@ -274,7 +280,7 @@
         for proxy in (near, far):
             proxy.swallow()
             proxy.refusing = True
-        for link in two.keeper.links.every():
+        for link in two.link_manager.links.all_links():
             link.release()
         await self.until_names(two, 'two')
         await self.until_names(one, 'one')
@@ -289,10 +295,10 @@
         two, proxy = await self.start_behind_proxy('two')
         one = await self.rig.start('one', f'peers.seeds={proxy.address}')
         await self.until_linked(one, 'two')
-        link = one.keeper.links.every()[0]
+        link = one.link_manager.links.all_links()[0]
         link.stream.close()
         self.assertTrue(link.dialled)
-        self.assertEqual(one.keeper.links.duplicates(), ())
+        self.assertEqual(one.link_manager.links.duplicates(), ())
         await self.until_linked(two, 'one')
 
     async def test_host_list_with_a_dead_and_without_a_live_router(self):
@@ -324,8 +330,12 @@
         until the router itself refutes it.
         """
         one, two = await self.start('one', 'two')
-        one.keeper.membership.bury('two')
-        one.keeper.gossip.tell(one.keeper.membership.find('two'))
+        one.link_manager.membership.mark_dead('two')
+        one.link_manager.gossip.queue_update(
+            one.link_manager.membership.find('two')
+        )
         self.assertEqual(names(one), {'one'})
         await self.until_names(one, 'one', 'two')
-        self.assertGreater(two.keeper.membership.me.revision, two.me.revision)
+        self.assertGreater(
+            two.link_manager.membership.me.revision, two.me.revision
+        )
--- a/tests/test_peers_tls.py
+++ b/tests/test_peers_tls.py
@@ -83,13 +83,13 @@
         two = await self.rig.start('two', seed, *self.write('two', _CA))
         await self.rig.until(lambda: linked(one) == {'two'})
         await self.rig.until(lambda: linked(two) == {'one'})
-        link = one.keeper.links.preferred('two')
+        link = one.link_manager.links.preferred('two')
         self.write('one', _OTHER_CA, _OTHER_CA)
         self.assertIsNone(one.reload_tls())
         new = self.write('three', _OTHER_CA, _OTHER_CA)
         await self.rig.start('three', seed, *new)
         await self.rig.until(lambda: linked(one) == {'two', 'three'})
-        self.assertIs(one.keeper.links.preferred('two'), link)
+        self.assertIs(one.link_manager.links.preferred('two'), link)
         self.assertIn('one', linked(two))
 
     async def test_reloaded_router_dials_with_the_new_files(self):
@@ -101,7 +101,7 @@
         new = self.write('new', _OTHER_CA, _OTHER_CA)
         renewed = await self.rig.start('new', *new)
         one = await self.rig.start('one', *self.write('one', _CA))
-        dial = one.keeper.connector.dial
+        dial = one.link_manager.connector.dial
         self.assertEqual(await dial(renewed.me.address), NOT_CONNECTED)
         self.write('one', _OTHER_CA, _OTHER_CA)
         self.assertIsNone(one.reload_tls())
@@ -138,7 +138,7 @@
         net = self.rig.make('one', *self.write('one', _CA))
         self.assertIsNone(net.reload_tls())
         host, port = server.sockets[0].getsockname()
-        dial = net.keeper.connector.dial(f'{host}:{port}')
+        dial = net.link_manager.connector.dial(f'{host}:{port}')
         dialling = asyncio.ensure_future(dial)
         await self.rig.until(dialling.done)
         self.assertEqual(dialling.result(), NOT_CONNECTED)
--- a/tests/test_placement_zone_loads.py
+++ b/tests/test_placement_zone_loads.py
@@ -43,14 +43,14 @@
         hubs = {
             hub.incarnation
             for zone in _ZONES
-            for hub in next(iter(self.fleet.values())).net.hubs.of(zone)
+            for hub in next(iter(self.fleet.values())).net.hubs.hubs_of(zone)
         }
         return [name for name in self.fleet if name not in hubs]
 
     def first_hub(self, name):
         """Return the first hub of a router's zone."""
         net = self.fleet[name].net
-        return net.hubs.of(net.me.zone)[0].incarnation
+        return net.hubs.hubs_of(net.me.zone)[0].incarnation
 
     async def run_rounds(self, count=3):
         for _ in range(count):
--- a/tests/test_platform_pages.py
+++ b/tests/test_platform_pages.py
@@ -10,7 +10,7 @@
 from tornado.testing import gen_test
 
 from balsamreach.catalogue.view import CatalogueView
-from balsamreach.peers.base import HubChoice
+from balsamreach.peers.base import HubSelector
 from balsamreach.placement.evacuations import Evacuations
 from balsamreach.platform.feed import FeedParts
 from balsamreach.platform.feeds import ConfigurationFeed
@@ -34,12 +34,12 @@
 
 
 @attrs.frozen
-class _FixedHubs(HubChoice):
+class _FixedHubs(HubSelector):
     """A choice of hubs that never changes."""
 
     hubs: tuple
 
-    def of(self, _zone):
+    def hubs_of(self, _zone):
         """Return the fixed hubs."""
         return self.hubs
 
@@ -59,7 +59,7 @@
         for number in range(_ROUTERS):
             self.join(f'r{number}')
         net = self.network.nets['r0']
-        hubs = [hub.incarnation for hub in net.hubs.of('zone-a')]
+        hubs = [hub.incarnation for hub in net.hubs.hubs_of('zone-a')]
         self.first = hubs[0]
         self.second = hubs[1]
         self.other = next(
@@ -139,7 +139,7 @@
         net.me = attrs.evolve(net.me, revision=7)
         feed = self.feeds[self.second].feed
         pages = feed.parts.pages
-        pages.net.hubs = _FixedHubs(net.hubs.of('zone-a'))
+        pages.net.hubs = _FixedHubs(net.hubs.hubs_of('zone-a'))
         net.me = attrs.evolve(net.me, revision=8)
         self.assertTrue(pages.reads_store())
 
--- a/tests/test_platform_reading.py
+++ b/tests/test_platform_reading.py
@@ -43,7 +43,7 @@
         for number in range(4):
             self.join(f'r{number}')
         net = self.network.nets['r0']
-        hubs = net.hubs.of('zone-a')
+        hubs = net.hubs.hubs_of('zone-a')
         names = [hub.incarnation for hub in hubs]
         self.hub = self.routers[names[0]]
         others = [name for name in self.routers if name not in names]
--- a/tests/test_power_decider.py
+++ b/tests/test_power_decider.py
@@ -6,7 +6,7 @@
 from balsamreach.power.faults import ROW_CONFLICT, ROW_UNAVAILABLE
 from balsamreach.power.rows import PowerRow, decode, encode
 from balsamreach.power.store import PowerStore
-from tests.power_world import SERVICE, ZONE, World
+from tests.power_world import SERVICE, ZONE, PowerSimulation
 
 _SETTINGS = (
     'power.idle=30s',
@@ -27,56 +27,58 @@
         self.start(up=6)
 
     def start(self, up, *overrides):
-        self.world = World(up=up, overrides=(*_SETTINGS, *overrides))
-        self.first = self.world.add_router('r0')
-        self.second = self.world.add_router('r1')
+        self.simulation = PowerSimulation(
+            up=up, overrides=(*_SETTINGS, *overrides)
+        )
+        self.first = self.simulation.add_router('r0')
+        self.second = self.simulation.add_router('r1')
 
     async def row(self):
-        store = PowerStore(self.world.platform.table)
+        store = PowerStore(self.simulation.platform.table)
         return (await store.read(SERVICE, ZONE)).row
 
     async def until(self, check, rounds=60):
         for _ in range(rounds):
             if check():
                 return
-            await self.world.round()
+            await self.simulation.round()
         self.fail('the condition was not met in time')
 
     def count_on(self):
-        return sum(host.up for host in self.world.hosts)
+        return sum(host.up for host in self.simulation.hosts)
 
     def targets_in_state(self, state):
         return self.first.targets_in_state(state)
 
     async def test_scale_down_waits_for_running_requests(self):
-        await self.world.rounds(2)
+        await self.simulation.rounds(2)
         for _ in range(12):
-            self.assertTrue(self.world.send(self.second))
-        await self.world.rounds(3)
-        busiest = max(self.world.hosts, key=lambda host: host.running)
-        while len(self.world.running) > 1:
-            self.world.finish_one()
-        last = self.world.running[0][1]
-        await self.world.rounds(30)
+            self.assertTrue(self.simulation.send(self.second))
+        await self.simulation.rounds(3)
+        busiest = max(self.simulation.hosts, key=lambda host: host.running)
+        while len(self.simulation.running) > 1:
+            self.simulation.finish_one()
+        last = self.simulation.running[0][1]
+        await self.simulation.rounds(30)
         self.assertTrue(last.up)
-        self.world.finish_all()
+        self.simulation.finish_all()
         await self.until(lambda: self.count_on() == 1)
         self.assertIsNotNone(busiest)
-        self.assertEqual(self.world.aborted_requests, 0)
+        self.assertEqual(self.simulation.aborted_requests, 0)
 
     async def test_tripled_demand_starts_hosts(self):
         self.start(up=2)
-        await self.world.rounds(3)
+        await self.simulation.rounds(3)
         self.assertEqual(len(self.targets_in_state('off')), 4)
         for _ in range(4):
-            self.world.send(self.first)
-        await self.world.rounds(3)
+            self.simulation.send(self.first)
+        await self.simulation.rounds(3)
         for _ in range(12):
-            self.world.send(self.second)
+            self.simulation.send(self.second)
         await self.until(lambda: self.count_on() == 6, rounds=10)
-        self.world.finish_all()
+        self.simulation.finish_all()
         await self.until(lambda: self.count_on() == 1)
-        self.assertEqual(self.world.aborted_requests, 0)
+        self.assertEqual(self.simulation.aborted_requests, 0)
 
     async def test_repeated_off_order_does_not_hit_a_restarted_host(self):
         """Guards against cut requests on a host that was just switched on.
@@ -85,17 +87,17 @@
         for the host again, and the host checks no fencing numbers. So no host
         is switched on until no order can be under way any more.
         """
-        self.world.switch.keep_off_orders = True
+        self.simulation.fake_platform.keep_off_orders = True
         await self.until(lambda: self.count_on() == 1)
         for _ in range(8):
-            self.world.send(self.first)
-        off_at = self.world.clock.now()
-        await self.world.rounds(8)
+            self.simulation.send(self.first)
+        off_at = self.simulation.clock.now()
+        await self.simulation.rounds(8)
         self.assertEqual(self.count_on(), 1)
-        self.world.switch.redeliver_kept()
+        self.simulation.fake_platform.redeliver_kept()
         await self.until(lambda: self.count_on() > 1)
-        self.assertGreater(self.world.clock.now() - off_at, 60)
-        self.assertEqual(self.world.aborted_requests, 0)
+        self.assertGreater(self.simulation.clock.now() - off_at, 60)
+        self.assertEqual(self.simulation.aborted_requests, 0)
 
     async def test_decider_paused_after_its_commit_gives_no_orders(self):
         """Guards against switching off a host that is in use again.
@@ -105,15 +107,15 @@
         outdated.
         """
         await self.until(lambda: len(self.targets_in_state('stopping')) == 5)
-        orders = len(self.world.switch.orders)
+        orders = len(self.simulation.fake_platform.orders)
         self.first.table.after.shut = True
-        paused = await self.world.step(self.first)
-        await self.world.clock.advance(60)
+        paused = await self.simulation.step(self.first)
+        await self.simulation.clock.advance(60)
         self.first.table.after.open()
         await paused
-        self.assertEqual(len(self.world.switch.orders), orders)
+        self.assertEqual(len(self.simulation.fake_platform.orders), orders)
         dropped = 'balsamreach_power_orders_dropped_total'
-        self.assertEqual(self.world.metrics.counted(dropped), 5)
+        self.assertEqual(self.simulation.metrics.counted(dropped), 5)
 
     async def test_commit_conflict_prevents_orders(self):
         """Guards against two deciders that order a host on and off in turn.
@@ -123,29 +125,29 @@
         """
         await self.until(lambda: len(self.targets_in_state('leaving')) == 5)
         self.first.table.before.shut = True
-        paused = await self.world.step(self.first)
+        paused = await self.simulation.step(self.first)
         other = self.second.power.make_decider(SERVICE)
         self.assertIsNone(await other.step())
         fence = other.latest_row.row.fence
-        orders = len(self.world.switch.orders)
+        orders = len(self.simulation.fake_platform.orders)
         self.first.table.before.open()
         await paused
-        self.assertEqual(len(self.world.switch.orders), orders)
+        self.assertEqual(len(self.simulation.fake_platform.orders), orders)
         row = await self.row()
         self.assertEqual((row.holder, row.fence), ('r1', fence))
         faults = 'balsamreach_power_faults_total'
         code = ROW_CONFLICT.code
-        self.assertEqual(self.world.metrics.counted(faults, code=code), 1)
+        self.assertEqual(self.simulation.metrics.counted(faults, code=code), 1)
 
     async def test_two_deciders_in_turn_cut_no_request(self):
         other = self.second.power.make_decider(SERVICE)
         for number in range(40):
             if number % 3 == 0:
-                self.world.send(self.second, choice=number)
+                self.simulation.send(self.second, choice=number)
             await other.step()
-            await self.world.round()
-            self.world.finish_one()
-        self.assertEqual(self.world.aborted_requests, 0)
+            await self.simulation.round()
+            self.simulation.finish_one()
+        self.assertEqual(self.simulation.aborted_requests, 0)
 
     async def test_unreachable_router_keeps_hosts_on(self):
         """Guards against cut requests of a zone that is cut off.
@@ -154,25 +156,25 @@
         ignores the order to leave, and all other routers report no requests. A
         router that can't be asked may still be sending.
         """
-        for host in self.world.hosts:
+        for host in self.simulation.hosts:
             host.obeys_leave = False
-        await self.world.rounds(2)
-        far = self.world.add_router('far', 'zone-b')
-        await self.world.rounds(2)
+        await self.simulation.rounds(2)
+        far = self.simulation.add_router('far', 'zone-b')
+        await self.simulation.rounds(2)
         await far.watch.poller.poll_once()
         await far.poll_all()
-        self.assertTrue(self.world.send(far))
-        served = self.world.running[0][1]
-        held_for_dead = self.world.net.nets.pop('far')
-        self.world.routers.remove(far)
-        await self.world.rounds(30)
+        self.assertTrue(self.simulation.send(far))
+        served = self.simulation.running[0][1]
+        held_for_dead = self.simulation.net.nets.pop('far')
+        self.simulation.routers.remove(far)
+        await self.simulation.rounds(30)
         self.assertEqual(self.count_on(), 6)
         self.assertTrue(served.up)
-        self.world.finish_all()
-        self.world.net.nets['far'] = held_for_dead
-        self.world.routers.append(far)
+        self.simulation.finish_all()
+        self.simulation.net.nets['far'] = held_for_dead
+        self.simulation.routers.append(far)
         await self.until(lambda: self.count_on() == 1)
-        self.assertEqual(self.world.aborted_requests, 0)
+        self.assertEqual(self.simulation.aborted_requests, 0)
 
     async def test_router_missing_from_the_list_still_counts(self):
         """Guards against cut requests of a router omitted by the host list.
@@ -181,30 +183,30 @@
         router was asked. It counts until the list has been without it for the
         whole settling time.
         """
-        for host in self.world.hosts:
+        for host in self.simulation.hosts:
             host.obeys_leave = False
         await self.until(lambda: len(self.targets_in_state('leaving')) == 5)
-        address = self.world.net.nets.pop('r1').me.address
-        self.world.switch.omitted.add(address)
-        self.world.routers.remove(self.second)
+        address = self.simulation.net.nets.pop('r1').me.address
+        self.simulation.fake_platform.omitted.add(address)
+        self.simulation.routers.remove(self.second)
         on = self.count_on()
-        await self.world.rounds(8)
+        await self.simulation.rounds(8)
         self.assertEqual(self.count_on(), on)
 
     async def test_unknown_router_in_the_list_keeps_hosts_on(self):
-        for host in self.world.hosts:
+        for host in self.simulation.hosts:
             host.obeys_leave = False
-        entry = self.world.switch.routers[0]
-        self.world.switch.routers.append(
+        entry = self.simulation.fake_platform.routers[0]
+        self.simulation.fake_platform.routers.append(
             type(entry)('10.9.9.9:1', 'router', 'zone-c'),
         )
-        await self.world.rounds(30)
+        await self.simulation.rounds(30)
         self.assertEqual(self.count_on(), 6)
 
     async def test_trusted_refusal_is_enough_with_a_router_cut_off(self):
-        await self.world.rounds(2)
-        self.world.net.cut(['r1'], ['r0'])
-        self.world.routers.remove(self.second)
+        await self.simulation.rounds(2)
+        self.simulation.net.cut(['r1'], ['r0'])
+        self.simulation.routers.remove(self.second)
         await self.until(lambda: self.count_on() == 1)
 
     async def test_host_that_never_starts_is_replaced(self):
@@ -214,12 +216,14 @@
         no longer counts as starting.
         """
         self.start(1, 'power.start_time=1ms')
-        self.world.switch.never_start.add(self.world.hosts[1].address)
-        await self.world.rounds(3)
+        self.simulation.fake_platform.never_start.add(
+            self.simulation.hosts[1].address
+        )
+        await self.simulation.rounds(3)
         for _ in range(3):
-            self.world.send(self.first)
-        await self.until(lambda: self.world.hosts[2].up)
-        self.assertFalse(self.world.hosts[1].up)
+            self.simulation.send(self.first)
+        await self.until(lambda: self.simulation.hosts[2].up)
+        self.assertFalse(self.simulation.hosts[1].up)
         self.assertIn('host-1', self.targets_in_state('starting'))
 
     async def test_outage_during_a_scale_down(self):
@@ -229,17 +233,17 @@
         The row tells how far each of them is, and a later step continues.
         """
         await self.until(lambda: len(self.targets_in_state('stopping')) == 5)
-        self.world.switch.down = True
-        self.world.platform.weather.down = True
+        self.simulation.fake_platform.down = True
+        self.simulation.platform.weather.down = True
         for _ in range(4):
-            self.world.send(self.first)
-        await self.world.rounds(20)
+            self.simulation.send(self.first)
+        await self.simulation.rounds(20)
         self.assertEqual(self.count_on(), 6)
-        self.assertEqual(self.world.hosts[5].running, 4)
-        self.world.switch.down = False
-        self.world.platform.weather.down = False
+        self.assertEqual(self.simulation.hosts[5].running, 4)
+        self.simulation.fake_platform.down = False
+        self.simulation.platform.weather.down = False
         await self.until(lambda: self.count_on() < 6)
-        self.assertEqual(self.world.aborted_requests, 0)
+        self.assertEqual(self.simulation.aborted_requests, 0)
 
     async def test_lost_answers_of_commits_and_orders(self):
         """Guards against a decider that gives up its own row or guesses.
@@ -249,23 +253,23 @@
         otherwise fencing numbers would jump and hosts hang, or orders would
         follow no commit.
         """
-        self.world.platform.weather.lose_answers = 3
-        self.world.switch.lose_answers = 2
+        self.simulation.platform.weather.lose_answers = 3
+        self.simulation.fake_platform.lose_answers = 2
         await self.until(lambda: self.count_on() == 1)
-        await self.world.rounds(3)
+        await self.simulation.rounds(3)
         self.assertEqual(len(self.targets_in_state('off')), 5)
         self.assertEqual((await self.row()).holder, 'r0')
         for code in (ROW_CONFLICT.code, ROW_UNAVAILABLE.code):
-            faults = self.world.metrics.counted(
+            faults = self.simulation.metrics.counted(
                 'balsamreach_power_faults_total',
                 code=code,
             )
             self.assertEqual(faults, 0, code)
-        self.assertEqual(self.world.aborted_requests, 0)
+        self.assertEqual(self.simulation.aborted_requests, 0)
 
     async def test_fencing_numbers_increase(self):
         await self.until(lambda: self.count_on() == 1)
-        fences = [fence for _, _, fence in self.world.switch.orders]
+        fences = [fence for _, _, fence in self.simulation.fake_platform.orders]
         self.assertEqual(fences, sorted(fences))
         self.assertTrue(fences)
 
@@ -276,28 +280,28 @@
         reaches neither the platform nor a peer, so it has no power rows yet.
         """
         await self.until(lambda: len(self.targets_in_state('stopping')) == 5)
-        self.world.platform.weather.down = True
-        fresh = self.world.add_router('fresh')
-        self.world.net.cut(['fresh'], ['r0', 'r1'])
+        self.simulation.platform.weather.down = True
+        fresh = self.simulation.add_router('fresh')
+        self.simulation.net.cut(['fresh'], ['r0', 'r1'])
         await fresh.power.follower.update_once()
         await fresh.watch.poller.poll_once()
-        self.assertFalse(self.world.send(fresh))
-        self.world.net.heal()
-        await self.world.poll()
-        able = [one.name for one in fresh.targets.usable(self.world.rows)]
+        self.assertFalse(self.simulation.send(fresh))
+        self.simulation.net.heal()
+        await self.simulation.poll()
+        able = [one.name for one in fresh.targets.usable(self.simulation.rows)]
         self.assertEqual(len(able), 1)
 
     async def test_operator_edits_are_not_overridden(self):
-        await self.world.rounds(2)
+        await self.simulation.rounds(2)
         for name in ('host-0', 'host-1'):
-            for router in self.world.routers:
+            for router in self.simulation.routers:
                 target = router.targets.by_name[name]
                 target.row = type(target.row)(
                     **{**_fields(target.row), 'state': 'off'},
                 )
-        await self.world.rounds(30)
-        self.assertTrue(self.world.hosts[0].up)
-        self.assertTrue(self.world.hosts[1].up)
+        await self.simulation.rounds(30)
+        self.assertTrue(self.simulation.hosts[0].up)
+        self.assertTrue(self.simulation.hosts[1].up)
         self.assertNotIn('host-0', (await self.row()).hosts)
 
 
--- a/tests/test_power_histories.py
+++ b/tests/test_power_histories.py
@@ -16,7 +16,7 @@
 from hypothesis import Phase, given, seed, settings
 from hypothesis import strategies as st
 
-from tests.power_world import World
+from tests.power_world import PowerSimulation
 
 #: Number of histories; raise it for a longer run, for example to 5000.
 _EXAMPLES = int(os.environ.get('BALSAMREACH_POWER_HISTORIES', '60'))
@@ -75,173 +75,179 @@
     """Runs one generated history."""
 
     def __init__(self, disobedient):
-        self.world = World(count=_HOSTS, up=_HOSTS, overrides=_SETTINGS)
-        self.world.switch.keep_off_orders = True
-        self.world.switch.delay = 4
-        for number, host in enumerate(self.world.hosts):
+        self.simulation = PowerSimulation(
+            count=_HOSTS, up=_HOSTS, overrides=_SETTINGS
+        )
+        self.simulation.fake_platform.keep_off_orders = True
+        self.simulation.fake_platform.delay = 4
+        for number, host in enumerate(self.simulation.hosts):
             host.obeys_leave = number not in disobedient
             host.reports_idle = number in disobedient
             host.checks_incarnation = number % 2 == 0
-        self.world.add_router('r0')
-        self.world.add_router('r1')
+        self.simulation.add_router('r0')
+        self.simulation.add_router('r1')
         self.second = None
         self.number = 1
-        self.weather = self.world.platform.weather
+        self.weather = self.simulation.platform.weather
 
     async def run(self, events):
         """Run all events."""
-        await self.world.rounds(2)
+        await self.simulation.rounds(2)
         for name, choice in events:
             await getattr(self, f'do_{name}')(choice)
-            assert self.world.aborted_requests == 0, name
+            assert self.simulation.aborted_requests == 0, name
         await self.do_resume(0)
-        ORDERS_SEEN.update(on for _, on, _ in self.world.switch.orders)
+        ORDERS_SEEN.update(
+            on for _, on, _ in self.simulation.fake_platform.orders
+        )
 
     async def do_round(self, choice):
-        await self.world.round()
+        await self.simulation.round()
 
     async def do_high_demand(self, choice):
         """Send requests for some rounds."""
         for _ in range(1 + choice // 2):
             for number in range(6):
-                self.world.send(self.world.routers[choice % 2], number)
-            await self.world.round()
+                self.simulation.send(
+                    self.simulation.routers[choice % 2], number
+                )
+            await self.simulation.round()
 
     async def do_low_demand(self, choice):
         """End all requests and run some rounds."""
-        self.world.finish_all()
-        await self.world.rounds(1 + choice)
+        self.simulation.finish_all()
+        await self.simulation.rounds(1 + choice)
 
     async def do_send(self, choice):
-        router = self.world.routers[choice % len(self.world.routers)]
-        self.world.send(router, choice)
+        router = self.simulation.routers[choice % len(self.simulation.routers)]
+        self.simulation.send(router, choice)
 
     async def do_finish_one(self, choice):
-        self.world.finish_one(choice)
+        self.simulation.finish_one(choice)
 
     async def do_finish_all(self, choice):
-        self.world.finish_all()
-        await self.world.rounds(3)
+        self.simulation.finish_all()
+        await self.simulation.rounds(3)
 
     async def do_step_second(self, choice):
         self.ensure_second_decider()
         task = asyncio.create_task(self.second.step())
-        await self.world.clock.advance(choice)
+        await self.simulation.clock.advance(choice)
         if not self._any_gate_shut():
             await task
 
     async def do_pause_before(self, choice):
-        router = self.world.routers[0]
+        router = self.simulation.routers[0]
         await self._pause(router.table.before, choice)
 
     async def do_pause_after(self, choice):
-        router = self.world.routers[0]
+        router = self.simulation.routers[0]
         await self._pause(router.table.after, choice)
 
     async def do_pause_order(self, choice):
         """Delay orders for less than the settling time."""
         await self.do_resume(choice)
-        self.world.switch.gate.shut = True
-        await self.world.rounds(1 + choice % 4)
+        self.simulation.fake_platform.gate.shut = True
+        await self.simulation.rounds(1 + choice % 4)
         await self.do_resume(choice)
 
     async def do_resume(self, choice):
-        for router in self.world.routers:
+        for router in self.simulation.routers:
             router.table.before.open()
             router.table.after.open()
-        self.world.switch.gate.open()
-        await self.world.clock.advance(0)
+        self.simulation.fake_platform.gate.open()
+        await self.simulation.clock.advance(0)
 
     async def do_lose_commit(self, choice):
         self.weather.lose_answers = choice % 3
-        await self.world.round()
+        await self.simulation.round()
 
     async def do_lose_order(self, choice):
-        self.world.switch.lose_answers = choice % 3
-        await self.world.round()
+        self.simulation.fake_platform.lose_answers = choice % 3
+        await self.simulation.round()
 
     async def do_deliver_late(self, choice):
         """Deliver again the orders given within the settling time."""
         self.send_everywhere()
-        self.world.switch.redeliver_kept(_SETTLE)
+        self.simulation.fake_platform.redeliver_kept(_SETTLE)
 
     async def do_table_down(self, choice):
         self.weather.down = True
-        await self.world.rounds(choice)
+        await self.simulation.rounds(choice)
         self.weather.down = False
 
     async def do_list_down(self, choice):
-        self.world.switch.down = True
-        await self.world.rounds(choice)
-        self.world.switch.down = False
+        self.simulation.fake_platform.down = True
+        await self.simulation.rounds(choice)
+        self.simulation.fake_platform.down = False
 
     async def do_cut(self, choice):
-        self.world.net.cut(['r0'], ['r1'])
-        await self.world.rounds(choice)
-        self.world.net.heal()
+        self.simulation.net.cut(['r0'], ['r1'])
+        await self.simulation.rounds(choice)
+        self.simulation.net.heal()
 
     async def do_restart_host(self, choice):
         """Restart an idle host, as its own watchdog would."""
-        host = self.world.hosts[choice % _HOSTS]
+        host = self.simulation.hosts[choice % _HOSTS]
         if host.up and not host.running:
             host.start += 1
             host.leaving = False
 
     async def do_restart_router(self, choice):
         """Restart the second router while nothing runs."""
-        if self.world.running:
+        if self.simulation.running:
             return
-        old = self.world.routers.pop()
+        old = self.simulation.routers.pop()
         self.second = None
-        self.world.net.kill(old.name)
-        self.world.net.heal()
+        self.simulation.net.kill(old.name)
+        self.simulation.net.heal()
         self.number += 1
-        self.world.add_router(f'r{self.number}')
+        self.simulation.add_router(f'r{self.number}')
 
     async def do_pause_long(self, choice):
         """Pause the first decider after a commit; the second takes over."""
-        world = self.world
+        simulation = self.simulation
         if self._any_gate_shut():
             return
-        first = world.routers[0]
+        first = simulation.routers[0]
         self.ensure_second_decider()
         first.table.after.shut = True
-        await world.step(first)
-        world.paused.add(first.name)
-        world.net.cut([first.name], [world.routers[1].name])
+        await simulation.step(first)
+        simulation.paused.add(first.name)
+        simulation.net.cut([first.name], [simulation.routers[1].name])
         for number in range(10 + choice):
             await self.second.step()
             if number > 2:
                 self.send_everywhere()
-            await world.round()
+            await simulation.round()
         self.send_everywhere()
         await self.do_resume(choice)
-        world.paused.clear()
-        world.net.heal()
+        simulation.paused.clear()
+        simulation.net.heal()
 
     def ensure_second_decider(self):
         """Make the second router a decider too."""
         if self.second is None:
-            router = self.world.routers[1]
+            router = self.simulation.routers[1]
             self.second = router.power.make_decider('llm')
 
     def send_everywhere(self):
         """Send requests from each router that is not paused."""
-        for router in self.world.routers:
+        for router in self.simulation.routers:
             for number in range(_HOSTS):
-                if router.name not in self.world.paused:
-                    self.world.send(router, number)
+                if router.name not in self.simulation.paused:
+                    self.simulation.send(router, number)
 
     def _any_gate_shut(self):
-        gates = [self.world.switch.gate]
-        for router in self.world.routers:
+        gates = [self.simulation.fake_platform.gate]
+        for router in self.simulation.routers:
             gates.extend((router.table.before, router.table.after))
         return any(gate.shut for gate in gates)
 
     async def _pause(self, gate, choice):
         gate.shut = True
-        await self.world.round()
-        await self.world.clock.advance(choice * 3)
+        await self.simulation.round()
+        await self.simulation.clock.advance(choice * 3)
 
 
 class HistoryTest(unittest.TestCase):
--- a/tests/test_relay_rotation.py
+++ b/tests/test_relay_rotation.py
@@ -6,7 +6,7 @@
 import attrs
 from parameterized import parameterized
 
-from balsamreach.peers.homes import weigh
+from balsamreach.peers.rendezvous import rendezvous_weight
 from balsamreach.relay.host_link import (
     CHUNK_OVERHEAD_BYTES,
     HEADER_BYTES,
@@ -84,7 +84,10 @@
 def _choose(hosts):
     """Return the host that the load balancer sends the team's callers to."""
     in_rotation = [host for host in hosts if host.failed_checks < 2] or hosts
-    return max(in_rotation, key=lambda host: weigh('team', str(host.number)))
+    return max(
+        in_rotation,
+        key=lambda host: rendezvous_weight('team', str(host.number)),
+    )
 
 
 def _simulate(seed, rate, *, rotates):
--- a/tests/test_routing_rates.py
+++ b/tests/test_routing_rates.py
@@ -181,7 +181,9 @@
 
         with (
             mock.patch.object(FakePeerNet, 'members', _members_of_zone),
-            mock.patch.object(FakePeerNet, 'departed', _members_of_other_zones),
+            mock.patch.object(
+                FakePeerNet, 'dead_members', _members_of_other_zones
+            ),
         ):
             await self.run_for(30, demand)
             admitted = await self.run_for(60, demand)
--- a/tests/test_sessions_table.py
+++ b/tests/test_sessions_table.py
@@ -54,9 +54,9 @@
         sent = ask('Quote')
         await self.session.say('quote', late.callers.address, sent)
         self.session.tell('it is found by the other router of its zone')
-        keeper = self.rig.routers[1].parts.net.keeper
-        made = await keeper.connector.dial(late.parts.net.me.address)
-        keeper.tasks.start(keeper.serve(made))
+        link_manager = self.rig.routers[1].parts.net.link_manager
+        made = await link_manager.connector.dial(late.parts.net.me.address)
+        link_manager.tasks.start(link_manager.serve(made))
         await wait(lambda: late.state == READY)
         self.session.write('in force', ', '.join(self.states()))
         await self.ask_all()
--- a/tests/test_table_exchange.py
+++ b/tests/test_table_exchange.py
@@ -258,7 +258,7 @@
 
     async def test_slow_rows_are_requested_once(self):
         """Guards against a second request while an answer is on its way."""
-        self.one.greeter.table_version = lambda: 6
+        self.one.local_status.table_version = lambda: 6
         await self.rig.until(lambda: self.view.version == 6)
         self.assertEqual(len(self.requests), 1)
 
--- a/tools/measure_gossip.py
+++ b/tools/measure_gossip.py
@@ -15,13 +15,13 @@
 import attrs
 
 from balsamreach.clock import Clock
-from balsamreach.peers.base import PeerNet, Taker
+from balsamreach.peers.base import Handler, PeerNet
 from balsamreach.peers.faults import NO_ANSWER, PeerFault
 from balsamreach.peers.gossip import Gossip
-from balsamreach.peers.homes import home_of
+from balsamreach.peers.maintenance import COMPARE_EVERY
 from balsamreach.peers.membership import Membership
 from balsamreach.peers.neighbours import Rings
-from balsamreach.peers.upkeep import COMPARE_EVERY
+from balsamreach.peers.rendezvous import home_in_zone
 from balsamreach.wire.base import Message
 from balsamreach.wire.codec import Envelope, encode
 from balsamreach.wire.framing import HEAD
@@ -111,7 +111,7 @@
     gossip: Gossip = attrs.field(init=False)
     linked: dict[str, Member] = attrs.field(factory=dict)
     inbox: list[tuple[Member, Message]] = attrs.field(factory=list)
-    takers: dict[type[Message], Taker] = attrs.field(factory=dict)
+    handlers: dict[type[Message], Handler] = attrs.field(factory=dict)
 
     def members(self) -> tuple[Member, ...]:
         """Return the routers known to be alive."""
@@ -123,24 +123,24 @@
 
     def home(self, key: str) -> Member:
         """Return the home of a key in this zone."""
-        return home_of(key, self.members(), self.me.zone) or self.me
+        return home_in_zone(key, self.members(), self.me.zone) or self.me
 
-    def on(self, kind: type[Message], taker: Taker) -> None:
+    def on(self, kind: type[Message], handler: Handler) -> None:
         """Register a message handler."""
-        self.takers[kind] = taker
+        self.handlers[kind] = handler
 
     async def ask(
         self,
         incarnation: str,
         message: Message,
-        gaps: int = 1,
+        timeout_gaps: int = 1,
     ) -> Message | PeerFault:
         """Call the handler of another router and return its answer."""
         net = self.fleet.nets.get(incarnation)
         if net is None:
             return NO_ANSWER
         self.fleet.count(message, ask=1)
-        answer = await net.takers[type(message)](self.me, message)
+        answer = await net.handlers[type(message)](self.me, message)
         assert answer is not None
         self.fleet.count(answer, ask=1)
         return answer
@@ -154,10 +154,10 @@
         net.inbox.append((self.me, message))
         return True
 
-    def spread(self, message: Message, besides: str = '') -> None:
+    def tell_neighbours(self, message: Message, exclude: str = '') -> None:
         """Send a message to all neighbours."""
         for member in self.neighbours():
-            if member.incarnation != besides:
+            if member.incarnation != exclude:
                 self.tell(member.incarnation, message)
 
     async def run_step(self) -> None:
@@ -165,11 +165,11 @@
         inbox = self.inbox
         self.inbox = []
         for member, message in inbox:
-            await self.takers[type(message)](member, message)
+            await self.handlers[type(message)](member, message)
         self.gossip.flush()
         if self.linked and self.fleet.rng.random() < _STEP_S / COMPARE_EVERY:
             other = self.fleet.rng.choice(tuple(self.linked))
-            await self.gossip.compare(other)
+            await self.gossip.sync_with(other)
 
 
 async def churn(fleet: Fleet, rng: random.Random) -> None:
@@ -181,20 +181,22 @@
     neighbours = tuple(removed.linked)
     if graceful:
         left_member = removed.membership.change_me(leaving=True, dead=True)
-        removed.gossip.tell(left_member)
+        removed.gossip.queue_update(left_member)
         removed.gossip.flush()
     else:
         for name in neighbours:
             net = fleet.nets[name]
-            net.membership.bury(removed.me.incarnation)
+            net.membership.mark_dead(removed.me.incarnation)
             dead = net.membership.find(removed.me.incarnation)
-            net.gossip.tell(dead or removed.me)
+            net.gossip.queue_update(dead or removed.me)
     fleet.add_router()
     fleet.choose_neighbours()
     newest = tuple(fleet.nets.values())[-1]
     for other in tuple(newest.linked):
-        fleet.nets[other].gossip.learn((newest.me,), newest.me.incarnation)
-        await newest.gossip.compare(other)
+        fleet.nets[other].gossip.merge_reports(
+            (newest.me,), newest.me.incarnation
+        )
+        await newest.gossip.sync_with(other)
 
 
 def add_routers(fleet: Fleet, size: int) -> None:
--- a/tools/measure_links.py
+++ b/tools/measure_links.py
@@ -18,10 +18,10 @@
 from balsamreach.clock import SystemClock
 from balsamreach.config.reader import read_settings
 from balsamreach.config.settings import Settings
+from balsamreach.peers.handlers import HandlerRegistry
 from balsamreach.peers.link import Link, LinkContext
 from balsamreach.peers.membership import Membership
-from balsamreach.peers.takers import Takers
-from balsamreach.peers.tally import Tally
+from balsamreach.peers.peer_counters import PeerCounters
 from balsamreach.telemetry.metrics import Metrics
 from balsamreach.wire.base import Message
 from balsamreach.wire.marks import InFlight, InFlightAsk
@@ -81,14 +81,14 @@
 
 def make_links(cfg: Settings, handlers: CountingHandlers) -> tuple[Link, Link]:
     """Return both ends of a link over a socket pair."""
-    takers = Takers()
-    takers.on(InFlightAsk, handlers.answer)
-    takers.on(RunNote, handlers.take)
+    registry = HandlerRegistry()
+    registry.on(InFlightAsk, handlers.answer)
+    registry.on(RunNote, handlers.take)
     context = LinkContext(
         cfg=cfg.peers,
         clock=SystemClock(),
-        tally=Tally(Metrics()),
-        take=takers.take,
+        counters=PeerCounters(Metrics()),
+        handle=registry.handle,
     )
     near, far = socket.socketpair()
     peer = make_member(1, random.Random(1))
