--- a/bench/rates_net.py
+++ b/bench/rates_net.py
@@ -12,7 +12,7 @@
 from balsamreach.wire.codec import Envelope, decode, encode
 from balsamreach.wire.framing import HEAD
 from balsamreach.wire.membership import Member
-from tools.measure_gossip import SetClock
+from tools.measure_gossip import SimulatedClock
 
 ZONE = 34
 _MAX_PEERS = 16
@@ -36,7 +36,7 @@
     routers: int
     seed: int
     decodes: bool = False
-    clock: SetClock = attrs.field(factory=SetClock)
+    clock: SimulatedClock = attrs.field(factory=SimulatedClock)
     nets: dict[str, 'SimulatedNet'] = attrs.field(factory=dict)
     sent: Counter[str] = attrs.field(factory=Counter)
     octets: Counter[str] = attrs.field(factory=Counter)
--- a/bench/slopes_spread.py
+++ b/bench/slopes_spread.py
@@ -11,7 +11,7 @@
 from balsamreach.telemetry.metrics import Metrics
 from bench import table_size
 from bench.slopes_kinds import Measure, Size
-from tools.measure_gossip import Fleet, load
+from tools.measure_gossip import Fleet, add_routers
 
 _FLEETS = (8, 32, 128)
 _STEPS = 8
@@ -29,7 +29,7 @@
 
 async def _of_fleet(routers: int) -> Mapping[str, float]:
     fleet = Fleet()
-    load(fleet, routers)
+    add_routers(fleet, routers)
     limits = [_limits(fleet, net) for net in fleet.nets.values()]
     for one in limits:
         one.tick()
@@ -64,7 +64,7 @@
     reached = sum(one.view.version == row.version for one in exchanges)
     return {
         'edit_reached_share': reached / routers,
-        'edit_bytes': fleet.octets['TableRows'] / routers,
+        'edit_bytes': fleet.sent_bytes['TableRows'] / routers,
     }
 
 
