--- a/src/balsamreach/daemon/parts.py
+++ b/src/balsamreach/daemon/parts.py
@@ -139,7 +139,7 @@
             metrics=net.metrics,
         ),
     )
-    net.greeter.table_version = table.follower.heartbeat_version
+    net.local_status.table_version = table.follower.heartbeat_version
     return table
 
 
--- a/tests/table_fleet.py
+++ b/tests/table_fleet.py
@@ -200,5 +200,5 @@
     async def send_heartbeats(self) -> None:
         """Let every router send a heartbeat with its version to the others."""
         for node in self.nodes:
-            node.net.spread(Heartbeat(node.view.version))
+            node.net.tell_neighbours(Heartbeat(node.view.version))
         await self.settle()
--- a/tests/test_sessions_table.py
+++ b/tests/test_sessions_table.py
@@ -56,7 +56,7 @@
         sent = chat_request('Quote')
         await self.session.send('quote', restarted.callers.address, sent)
         self.session.add_step('it is found by the other router of its zone')
-        link_manager = self.deployment.routers[1].parts.net.keeper
+        link_manager = self.deployment.routers[1].parts.net.link_manager
         conn = await link_manager.connector.dial(restarted.parts.net.me.address)
         link_manager.tasks.start(link_manager.serve(conn))
         await wait_until(lambda: restarted.state == READY)
