--- a/bench/scenarios/__init__.py
+++ b/bench/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""The scenarios, one module each with a coroutine ``run``."""
+"""Benchmark scenarios; each module has a coroutine ``run``."""
--- a/bench/scenarios/common.py
+++ b/bench/scenarios/common.py
@@ -1,4 +1,4 @@
-"""What the scenarios with callers share: the fleet and the audit."""
+"""Setup, measurement and audit shared by the scenarios with callers."""
 
 import asyncio
 from typing import Any
@@ -29,14 +29,24 @@
 
 @attrs.define
 class Setup:
-    """The processes and rows that a scenario starts from.
+    """Processes, table rows and measurements of one scenario run.
 
     Parameters
     ----------
     run : Run
-        The run.
+        The scenario run.
     prepaid : dict of str to int
-        Budget by team.
+        Prepaid tokens by team.
+    engines : list of Process
+        Stand-in engines.
+    desk : Process or None
+        Stand-in plain service.
+    meter : Meter
+        Measures CPU time and control traffic.
+    progress : Progress
+        Prints the progress table.
+    probe : Probe or None
+        Compares direct and routed requests; set by `begin`.
     """
 
     run: Run
@@ -48,17 +58,26 @@
     probe: Probe | None = None
 
     def __attrs_post_init__(self) -> None:
-        """Set up what looks on."""
+        """Create the meter and the progress table."""
         self.meter = Meter(self.run.fleet)
         self.progress = Progress(self.run)
 
     @property
     def targets(self) -> list[Process]:
-        """All targets."""
+        """All engines and the plain service."""
         return [*self.engines, self.desk]
 
     def load(self, rate: float, **options: Any) -> Load:
-        """Return load on all routers."""
+        """Create a load on all routers and add it to the progress table.
+
+        Parameters
+        ----------
+        rate : float
+            Requests per second.
+        options : Any
+            Other parameters of `Load`; by default all teams have equal
+            shares.
+        """
         shares = dict.fromkeys(self.prepaid, 1.0)
         given = {'teams': shares, 'rate': rate} | options
         load = Load(self.run.rng, list(self.run.fleet.routers), **given)
@@ -66,29 +85,42 @@
         return load
 
     async def begin(self) -> None:
-        """Begin to measure."""
+        """Start the meter, the progress table and the probe."""
         await self.meter.begin()
         self.progress.start()
         self.probe = Probe(self.run, self.engines[-1])
         self.probe.start()
 
     async def kill(self, router: Process) -> None:
-        """Kill a router."""
+        """Read the counters of a router, then kill it."""
         self.run.say(f'{router.name} is killed')
         await self.meter.note(router)
         await router.kill()
 
     async def end(self) -> None:
-        """Stop measuring; the rest is for the audit."""
+        """Stop the probe, the progress table and the meter."""
         await self.probe.stop()
         await self.progress.stop()
         await self.meter.end()
 
     async def report(self, outcomes: list[Outcome], **more: Any) -> Report:
-        """Let the routers leave and compare what is recorded with it."""
+        """Shut the routers down and audit their recorded spend.
+
+        Parameters
+        ----------
+        outcomes : list of Outcome
+            Outcomes of all requests of the load.
+        more : Any
+            Further figures for the report.
+
+        Returns
+        -------
+        Report
+            Figures, baseline and series of the run.
+        """
         fleet = self.run.fleet
         await self.end()
-        self.run.say('routers leave')
+        self.run.say('routers shut down')
         alive = [router for router in fleet.routers if router.alive]
         await asyncio.gather(*(router.leave() for router in alive))
         if self.run.sabotage:
@@ -127,7 +159,27 @@
     engines: int = 2,
     **settings: Any,
 ) -> Setup:
-    """Start targets, fill the table and start a router for each zone."""
+    """Start targets, write the table rows and start one router per zone.
+
+    Parameters
+    ----------
+    run : Run
+        The scenario run.
+    zones : tuple of str
+        Availability zones of the routers; engines are assigned to them in
+        turn.
+    prepaid : dict of str to int, optional
+        Prepaid tokens by team; three teams with ample budgets by default.
+    engines : int
+        Number of engines.
+    settings : Any
+        Router settings, with ``__`` for the dot in a name.
+
+    Returns
+    -------
+    Setup
+        The started processes; nothing is measured yet.
+    """
     setup = Setup(run, prepaid or dict.fromkeys(_TEAMS, ENOUGH))
     fleet = run.fleet
     for number in range(engines):
@@ -140,14 +192,17 @@
     await fleet.put(_desk_row(setup.desk))
     await fleet.put(*(team(name, most) for name, most in setup.prepaid.items()))
     await fleet.put(team(probe.TEAM))
-    run.say(f'{len(zones)} routers start')
+    run.say(f'starting {len(zones)} routers')
     for zone in zones:
         await fleet.router(zone, **settings)
     return setup
 
 
 async def warm(setup: Setup) -> None:
-    """Let every router draw for every team, and begin to measure."""
+    """Send a request of every team to every router, then start measuring.
+
+    Each router draws its first budget before the measurement begins.
+    """
     callers = Callers()
     for router in setup.run.fleet.routers:
         for name in setup.prepaid:
@@ -157,12 +212,13 @@
 
 
 async def wait_for_bills(setup: Setup, outcomes: list[Outcome]) -> None:
-    """Wait until the bills of a killed router are recorded by another.
+    """Stop measuring and wait until the bills of killed routers are recorded.
 
-    Nobody promises when; that they come at all is for the audit to see.
+    Other routers record them, without a deadline. So this returns after a
+    number of tries in any case, and the audit reports missing bills.
     """
     await setup.end()
-    setup.run.say('bills of the killed routers are waited for')
+    setup.run.say('waiting for the bills of killed routers')
     table = setup.run.fleet.table
     for _ in range(setup.run.scale(_BILL_TRIES, _BILL_TRIES // 4)):
         books = await read_books(table)
@@ -172,7 +228,15 @@
 
 
 async def weather(run: Run, **settings: Any) -> None:
-    """Change how the platform behaves."""
+    """Change the behaviour of the stand-in platform.
+
+    Parameters
+    ----------
+    run : Run
+        The scenario run; records the outage if ``down`` is given.
+    settings : Any
+        Fields of the platform's control interface, e.g. ``down``.
+    """
     if 'down' in settings:
         change = run.lose_platform if settings['down'] else run.regain_platform
         change()
@@ -192,7 +256,7 @@
 
 
 async def _overspend(run: Run, prepaid: dict[str, int]) -> None:
-    """Record spend that nobody paid for, as a faulty router would."""
+    """Record spend above the prepaid tokens, as a faulty router would."""
     writes = tuple(
         Write(
             allotment_key('sabotage', name),
--- a/bench/scenarios/crash.py
+++ b/bench/scenarios/crash.py
@@ -1,4 +1,4 @@
-"""Routers are killed under open streams; their callers ask elsewhere."""
+"""Routers are killed with open streams; callers retry at other routers."""
 
 import asyncio
 
@@ -8,9 +8,9 @@
 
 
 async def run(run: Run) -> Report:
-    """Kill one router after the other and start new ones in their place."""
+    """Kill routers one by one and start a replacement for each."""
     zones = ('zone-a',) * run.scale(4, 2)
-    # Bills wait for a while, so that each kill meets some.
+    # A long flush interval leaves unrecorded bills at each kill.
     setup = await set_up(run, zones, budget__flush_interval='5s')
     await warm(setup)
     load = setup.load(rate=60, singles=0.2, words=40)
--- a/bench/scenarios/demand.py
+++ b/bench/scenarios/demand.py
@@ -1,4 +1,4 @@
-"""Demand steps up to three times of what it was."""
+"""Demand rises to three times the initial rate in one step."""
 
 from bench.probe import quantiles
 from bench.report import Report
@@ -9,14 +9,14 @@
 
 
 async def run(run: Run) -> Report:
-    """Compare before the step with after it."""
+    """Compare latencies before and after the step."""
     setup = await set_up(run)
     await warm(setup)
     rate = 50
     before = setup.load(rate=rate, prefix='before', words=20)
     await before.run(run.scale(300, 10))
     calm = await before.outcomes()
-    run.say('demand steps up')
+    run.say('demand rises')
     after = setup.load(rate=rate * _STEP, prefix='after', words=20)
     await after.run(run.scale(900, 30))
     pressed = await after.outcomes()
--- a/bench/scenarios/double.py
+++ b/bench/scenarios/double.py
@@ -1,4 +1,4 @@
-"""Two faults at once: the platform goes down and a router is killed."""
+"""Two faults at once: a router is killed during a platform outage."""
 
 import asyncio
 
@@ -8,8 +8,8 @@
 
 
 async def run(run: Run) -> Report:
-    """Kill a router while its bills can't be recorded, then heal."""
-    # Bills wait for a while, so that the kill meets some.
+    """Kill a router whose bills can't be recorded, then end the outage."""
+    # A long flush interval leaves unrecorded bills at the kill.
     zones = ('zone-a',) * 3
     setup = await set_up(run, zones, budget__flush_interval='5s')
     await warm(setup)
--- a/bench/scenarios/flood.py
+++ b/bench/scenarios/flood.py
@@ -1,4 +1,4 @@
-"""One team floods the routers while others go on as ever."""
+"""One team floods the routers while others send at a constant rate."""
 
 import asyncio
 
@@ -12,12 +12,12 @@
 
 
 async def run(run: Run) -> Report:
-    """Compare the quiet teams before and during the flood."""
+    """Compare latencies of the quiet teams before and during the flood."""
     setup = await set_up(run, engines=1)
     await warm(setup)
     shares = dict.fromkeys(_QUIET, 1.0)
     before = setup.load(rate=10, teams=shares, prefix='before')
-    run.say('quiet teams alone')
+    run.say('only quiet teams send')
     await before.run(run.scale(80, 5))
     calm = await before.outcomes()
     during = setup.load(rate=10, teams=shares, prefix='during')
@@ -28,7 +28,7 @@
         retries=False,
         words=30,
     )
-    run.say(f'{_FLOOD} floods')
+    run.say(f'{_FLOOD} floods the routers')
     flooding = asyncio.create_task(flood.run(run.scale(4000, 40)))
     await during.run(run.scale(80, 5))
     await flooding
--- a/bench/scenarios/leaving.py
+++ b/bench/scenarios/leaving.py
@@ -1,4 +1,4 @@
-"""A target is marked as leaving, and a router shuts down, both under load."""
+"""Under load, a target is marked as leaving and a router shuts down."""
 
 import asyncio
 import time
@@ -17,7 +17,7 @@
 
 
 async def run(run: Run) -> Report:
-    """Mark an engine, look for late work, and let a router leave."""
+    """Mark an engine as leaving, count its late work, shut a router down."""
     setup = await set_up(run)
     await warm(setup)
     load = setup.load(rate=60, words=40)
@@ -30,15 +30,15 @@
     in_force_s = await _time_last_work(engine)
     at_mark = await _runs(engine)
     going = run.fleet.routers[0]
-    run.say(f'{going.name} leaves')
+    run.say(f'{going.name} shuts down')
     load.routers.remove(going)
     await setup.meter.note(going)
     await going.leave()
     await sending
     outcomes = await load.outcomes()
     late = await _runs(engine) - at_mark
-    # Nothing else fails in this scenario, so whoever was cut off was cut
-    # off by the shutdown or by the target's leaving.
+    # Nothing else fails in this scenario, so every cut stream was cut by the
+    # shutdown or by the leaving target.
     cut = sum(outcome.cuts for outcome in outcomes)
     report = await setup.report(outcomes, late_work=late, cut_by_shutdown=cut)
     report.figures['in_force_p99_s'] = in_force_s
@@ -47,7 +47,7 @@
 
 
 async def _time_last_work(engine: Process) -> float:
-    """Return seconds until the last new work, as far as it is looked at."""
+    """Return seconds until the last new work seen within `_SECONDS`."""
     began = time.monotonic()
     last_s = 0.0
     runs = await _runs(engine)
--- a/bench/scenarios/partition.py
+++ b/bench/scenarios/partition.py
@@ -11,16 +11,17 @@
 
 _TEAMS = {'team-a': 60_000, 'team-b': 40_000}
 _TOP_UP = 60_000
-#: Several times the largest request, as the setting's page asks for. With the
-#: default, made for requests of thousands of tokens, an account of this size
-#: gives each router only what the request at hand needs.
+#: Several times the largest request, as the documentation of the setting
+#: recommends. The default is meant for requests of thousands of tokens; with
+#: it, an account of this size grants each router only what the current request
+#: needs.
 _LEAST_DRAW = 400
-#: Half seconds in which routers learn what their teams spend, before the cut.
+#: Half seconds before the cut, in which routers learn their teams' spend.
 _RUN_IN_HALVES = 24
 
 
 async def run(run: Run) -> Report:
-    """Cut one zone off, top up on the other side, heal and audit."""
+    """Cut one zone off, top a team up, reconnect the zone and audit."""
     setup = await set_up(
         run,
         ('zone-a',),
@@ -29,7 +30,7 @@
     )
     link = Link(run.fleet.platform.address)
     run.fleet.platform_url = f'http://{await link.open()}'
-    # It knows no router of the other zone, as if cut off from it.
+    # Without seeds it knows no router of the other zone, as if cut off from it.
     lonely = await run.fleet.router(
         'zone-b',
         peers__seeds='',
@@ -43,11 +44,11 @@
     link.cut = True
     run.lose_platform(lonely.name)
     await asyncio.sleep(run.scale(8, 1) / 2)
-    run.say('team-a is topped up on the other side')
+    run.say('team-a is topped up')
     prepaid = _TEAMS['team-a'] + _TOP_UP
     await run.fleet.put(team('team-a', prepaid))
     await sending
-    run.say('the network heals')
+    run.say('the network is back')
     link.cut = False
     run.regain_platform()
     outcomes = await load.outcomes()
--- a/bench/scenarios/platform.py
+++ b/bench/scenarios/platform.py
@@ -1,4 +1,4 @@
-"""The platform is down, then slow, then loses answers to writes."""
+"""The platform is down, then slow, then loses responses to writes."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 async def run(run: Run) -> Report:
-    """Serve through all three."""
+    """Send load through all three faults."""
     setup = await set_up(run)
     await warm(setup)
     load = setup.load(rate=60, singles=0.1)
@@ -21,7 +21,7 @@
     run.say('the platform is slow')
     await weather(run, down=False, delay_s=1)
     await asyncio.sleep(step_s)
-    run.say('the platform loses answers')
+    run.say('the platform loses responses')
     await weather(run, delay_s=0, lose_answers=run.scale(20, 3))
     await sending
     outcomes = await load.outcomes()
--- a/bench/scenarios/relay.py
+++ b/bench/scenarios/relay.py
@@ -1,7 +1,8 @@
-"""What relaying one token costs, beside a process that only copies bytes.
+"""Cost of relaying one token, compared with a plain byte-copying proxy.
 
-Direct, pump and router take turns, so that other work on the machine meets
-all three alike; the figures are medians over the rounds.
+Direct connections, the proxy (``pump``) and the router are measured in turn,
+so that other work on the machine affects all three alike. The figures are
+medians over the rounds.
 """
 
 import asyncio
@@ -29,16 +30,16 @@
 
 @attrs.frozen
 class Cost:
-    """What one way of the streams was seen to cost.
+    """Cost of one path of the streams in one round.
 
     Parameters
     ----------
     chunk_us : float
-        CPU microseconds of the relay for each chunk.
+        CPU time per chunk, in microseconds.
     p50_ms, p99_ms : float
-        How long chunks were on their way.
+        Median and 99th percentile of the latency of chunks.
     whole, short, refused : int
-        Streams that came whole, did not, or were refused.
+        Numbers of complete, incomplete and refused streams.
     """
 
     chunk_us: float
@@ -51,20 +52,20 @@
 
 @attrs.define
 class Rounds:
-    """The costs of one way, round by round."""
+    """Costs of one path, one entry per round."""
 
     costs: list[Cost] = attrs.field(factory=list)
 
     def median(self, name: str) -> float:
-        """Return the median of a cost."""
+        """Return the median of a cost over the rounds."""
         return statistics.median(getattr(cost, name) for cost in self.costs)
 
     def total(self, name: str) -> int:
-        """Return the sum of a count."""
+        """Return the sum of a count over the rounds."""
         return sum(getattr(cost, name) for cost in self.costs)
 
     def added(self, name: str, direct: 'Rounds') -> list[float]:
-        """Return by how much it was above the direct way in each round."""
+        """Return the cost above that of the direct path, for each round."""
         return [
             getattr(cost, name) - getattr(base, name)
             for cost, base in zip(self.costs, direct.costs, strict=True)
@@ -91,7 +92,7 @@
     await router.leave()
     requests = await _audit(run, report, (full, half))
     metered = meter.figures(requests)
-    # Streams of this length make few requests a core; that says nothing.
+    # With streams this long, requests per core is not a meaningful figure.
     del metered['requests_per_core_s']
     report.figures |= metered
     return report
@@ -129,9 +130,10 @@
             str(_PACE_S),
         )
         engines.append(engine)
-        # A router feels its way to what a target can take. A burst of this
-        # size on few targets would wait for that, which is not measured
-        # here, so each engine stands for many.
+        # A router raises the load on a target step by step until it knows
+        # the target's capacity. A burst of this size on few targets would
+        # wait for that, which this scenario doesn't measure, so each engine
+        # has many rows.
         for part in range(_ROWS):
             row = engine_row(f'engine-{number}-{part}', engine.address)
             await run.fleet.put(row)
@@ -190,7 +192,7 @@
             rounds[name].costs.append(cost)
             run.say(
                 f'round {number + 1}: {streams:>4} streams, {name:<7}'
-                f'{cost.chunk_us:8.1f} us a chunk, p50 {cost.p50_ms:6.2f} ms,'
+                f'{cost.chunk_us:8.1f} us per chunk, p50 {cost.p50_ms:6.2f} ms,'
                 f' p99 {cost.p99_ms:7.2f} ms, {cost.refused} refused',
             )
     return rounds
@@ -211,8 +213,8 @@
         )
         for number in range(_READERS)
     ]
-    # Connecting and the first tokens are left out; from then on the engines
-    # pace the streams, so the number of chunks is known.
+    # The ramp leaves out connecting and the first tokens. After it the engines
+    # send at a fixed rate, so the number of chunks is known.
     await asyncio.sleep(ramp_s)
     before = sum(process.cpu_s() for process in way)
     await asyncio.sleep(window_s)
--- a/bench/scenarios/skew.py
+++ b/bench/scenarios/skew.py
@@ -1,4 +1,4 @@
-"""Uneven teams come to the end of their budgets at uneven routers."""
+"""Teams of unequal size exhaust their budgets at unequally loaded routers."""
 
 from bench.baselines import even_split
 from bench.report import Report
@@ -10,12 +10,12 @@
 
 
 async def run(run: Run) -> Report:
-    """Ask for more than the teams have paid for, mostly at one router."""
+    """Request more than the prepaid tokens, mostly at one router."""
     zones = ('zone-a',) * run.scale(4, 2)
     setup = await set_up(run, zones, _TEAMS, budget__least_draw=200)
     await setup.begin()
     load = setup.load(rate=80, teams=_SHARES, retries=False)
-    # The first router gets half of all requests.
+    # The first router gets about half of all requests.
     load.routers = run.fleet.routers[:1] * len(zones) + run.fleet.routers
     await load.run(run.scale(2400, 40))
     outcomes = await load.outcomes()
--- a/bench/scenarios/steady.py
+++ b/bench/scenarios/steady.py
@@ -1,4 +1,4 @@
-"""Nothing fails: what the router adds, and how soon an edit is in force."""
+"""Without faults: added latency, and the time until an edit takes effect."""
 
 import asyncio
 import time
@@ -18,11 +18,11 @@
 
 
 async def run(run: Run) -> Report:
-    """Send load, compare with direct calls, and edit the table."""
+    """Send load, compare with direct requests, and edit the table."""
     setup = await set_up(run)
     await warm(setup)
     load = setup.load(rate=100, singles=0.2)
-    run.say('load with edits')
+    run.say('load with table edits')
     edits = asyncio.create_task(_edit(setup, run.scale(10, 1)))
     await load.run(run.scale(1500, 20))
     outcomes = await load.outcomes()
@@ -34,7 +34,7 @@
 
 
 async def _edit(setup: Setup, count: int) -> list[float]:
-    """Pause and reopen a team; return the times until all routers obey."""
+    """Pause and resume a team; return seconds until all routers apply it."""
     row = team('edited')
     await setup.run.fleet.put(row)
     taken = []
--- a/tests/bench/__init__.py
+++ b/tests/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the bench, run apart since they take a while."""
+"""Slow tests of the benchmark scenarios, run separately."""
--- a/tests/bench/test_bench_scenarios.py
+++ b/tests/bench/test_bench_scenarios.py
@@ -1,4 +1,4 @@
-"""Smoke form of every scenario of the bench, judged on counts alone."""
+"""Smoke run of every benchmark scenario; checks counts, not timings."""
 
 import json
 import os
@@ -22,7 +22,8 @@
     'leaving': {'in_force_p99_s', 'late_work', 'cut_by_shutdown'},
     'relay': {'chunk_cpu_us', 'pump_cpu_us'},
 }
-#: Relayed streams are read as bytes, from a team without an end to its budget.
+#: Keys that a scenario does not report. `relay` reads streams as plain bytes,
+#: for a team with an unlimited budget.
 _ABSENT = {
     'relay': {
         'false_refusals',
@@ -51,7 +52,7 @@
 
 
 class ScenarioTest(unittest.TestCase):
-    """All scenarios, a few at a time."""
+    """Runs all scenarios, `_AT_A_TIME` in parallel, and checks the reports."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -81,7 +82,7 @@
         self.assertRegex(done.stderr, 'steady +sent +open +answered')
 
     def test_overspend_fails_the_run(self) -> None:
-        """A promise that is broken on purpose is found and named."""
+        """A run with tampered spend fails and names the broken promise."""
         done = self.runs[_SABOTAGED]
         self.assertEqual(done.returncode, 1)
         self.assertIn('overspend_tokens', done.stderr)
