--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the router as plain processes and measures what its users measure."""
+"""Benchmarks of the router, as processes or in virtual time."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Command line: ``python -m bench [SCENARIO ...] --seed N``."""
+"""Command line of the scenarios: ``python -m bench [SCENARIO ...]``."""
 
 import asyncio
 import importlib
@@ -33,11 +33,13 @@
 @click.command()
 @click.argument('names', nargs=-1, type=click.Choice(SCENARIOS))
 @click.option('--seed', default=1, show_default=True)
-@click.option('--smoke', is_flag=True, help='A few requests only.')
-@click.option('--sabotage', is_flag=True, help='Overspend, to see it found.')
+@click.option('--smoke', is_flag=True, help='Send only a few requests.')
+@click.option(
+    '--sabotage', is_flag=True, help='Record an overspend, which must be found.'
+)
 @click.option('--out', default=_OUT, type=click.Path(path_type=Path))
 def main(names: tuple[str, ...], out: Path, **options: Any) -> None:
-    """Run scenarios, print their figures and write them as JSON."""
+    """Run scenarios, print their figures, write JSON files and plots."""
     broken = []
     for name in names or SCENARIOS:
         report = asyncio.run(run_scenario(name, **options))
@@ -51,9 +53,18 @@
 
 
 async def run_scenario(name: str, **options: Any) -> Report:
-    """Run one scenario, bounded in time, and end its processes."""
+    """Run one scenario within `_LONGEST_S` seconds and end its processes.
+
+    Parameters
+    ----------
+    name : str
+        Module name in `bench.scenarios`.
+    options : Any
+        Other parameters of `Run`.
+    """
     scenario = importlib.import_module(f'bench.scenarios.{name}')
-    # Ended without a word, the harness would leave its processes behind.
+    # SIGTERM would end this process without stopping its child processes, so
+    # it cancels the task instead.
     task = asyncio.current_task()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     fleet = await start_fleet()
--- a/bench/audit.py
+++ b/bench/audit.py
@@ -1,4 +1,4 @@
-"""Compares what callers got with what the platform's table recorded."""
+"""Compares callers' outcomes with the spend recorded in the table."""
 
 from collections import Counter
 from typing import Any
@@ -28,10 +28,10 @@
 
     Parameters
     ----------
-    prepaid, settled : Counter
+    prepaid, settled, billed : Counter
         Tokens by team.
     bills : dict
-        Tokens of each recorded bill by its key.
+        Tokens of each recorded bill, by row key.
     """
 
     prepaid: Counter[str] = attrs.field(factory=Counter)
@@ -40,15 +40,15 @@
     bills: dict[str, int] = attrs.field(factory=dict)
 
     def overspend(self) -> int:
-        """Return the tokens spent beyond what was prepaid, over all teams."""
+        """Return the tokens spent beyond the prepaid ones, over all teams."""
         return sum((self.settled - self.prepaid).values())
 
     def room(self, team: str) -> int:
-        """Return what a team has left at the end; it never had less."""
+        """Return a team's tokens left at the end, the minimum of the run."""
         return self.prepaid[team] - self.settled[team]
 
     def doubled(self) -> int:
-        """Return the tokens that were counted more often than billed."""
+        """Return the tokens settled beyond the recorded bills."""
         return sum((self.settled - self.billed).values())
 
 
@@ -81,7 +81,7 @@
 
 
 def figures_of(outcomes: list[Outcome], books: Books) -> dict[str, Any]:
-    """Return the figures that every scenario with callers has."""
+    """Return the figures reported by every scenario with callers."""
     whole = [outcome for outcome in outcomes if outcome.right]
     missing = [outcome for outcome in whole if not _is_billed(outcome, books)]
     told = [outcome for outcome in outcomes if outcome.refused]
@@ -103,7 +103,14 @@
     outcomes: list[Outcome],
     targets: list[Process],
 ) -> dict[str, int]:
-    """Return how often requests ran at the targets that are left."""
+    """Return figures on how often requests ran at the running targets.
+
+    Returns
+    -------
+    dict of str to int
+        The maximum number of runs of a non-idempotent request, and the number
+        of requests that ran although the caller was told otherwise.
+    """
     runs: Counter[str] = Counter()
     for target in targets:
         control = await fetch(f'http://{target.address}/control')
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,4 +1,4 @@
-"""Simple ways of keeping budgets, replayed over the requests of a run."""
+"""Simple budget policies, replayed over the requests of a run."""
 
 from collections import Counter
 from typing import Any
@@ -12,7 +12,7 @@
     prepaid: dict[str, int],
     routers: int,
 ) -> dict[str, Any]:
-    """Replay a budget that is split evenly among routers at the start."""
+    """Replay budgets that are split evenly among routers at the start."""
     left: Counter[tuple[str, str]] = Counter()
     spent: Counter[str] = Counter()
     refusals = 0
@@ -36,10 +36,11 @@
     prepaid: dict[str, int],
     outages: list[Outage],
 ) -> dict[str, Any]:
-    """Replay a counter at the platform that each request has to ask.
+    """Replay a counter at the platform that every request has to update.
 
-    A router that can't reach it can admit nothing meanwhile. One write a
-    request is the least: it settles what was reserved with the next one.
+    A router admits nothing while it can't reach the platform. One write per
+    request is the minimum: each write settles the previous request and
+    reserves tokens for the next one.
     """
     spent: Counter[str] = Counter()
     refusals = 0
--- a/bench/budget_policies.py
+++ b/bench/budget_policies.py
@@ -1,4 +1,4 @@
-"""Ways to keep a budget: the product's and two baselines."""
+"""Budget policies: the one of the router and two baselines."""
 
 import abc
 import asyncio
@@ -24,15 +24,15 @@
 
 
 class Net(FakeNet):
-    """Joins routers; an answer takes a millisecond."""
+    """Fake peer network with a delay of 1 ms per answer."""
 
     async def answer(self, source, incarnation, message):
-        """Carry a message there and its answer back."""
+        """Deliver a request after the delay and return its answer."""
         await asyncio.sleep(_PEER_S)
         return await super().answer(source, incarnation, message)
 
     async def carry(self) -> None:
-        """Deliver what is told, again and again."""
+        """Deliver one-way messages periodically, until cancelled."""
         while True:
             await asyncio.sleep(_PEER_S * 100)
             await self.settle()
@@ -41,16 +41,16 @@
 
 @attrs.define(eq=False)
 class Policy(abc.ABC):
-    """Admits and bills requests at all routers.
+    """Budget policy that admits and bills requests at all routers.
 
     Parameters
     ----------
     platform : MemoryPlatform
-        Holds the accounts.
+        Platform with the accounts.
     gates : list of Gate
-        Each router's way to it.
+        Connection to the platform, by router.
     seed : int
-        Seed of its randomness.
+        Seed of the random numbers.
     """
 
     platform: MemoryPlatform
@@ -59,43 +59,49 @@
 
     @abc.abstractmethod
     async def reserve(self, number: int, call: Call) -> object:
-        """Return what was set aside for call ``number``, or a fault."""
+        """Reserve tokens for a call; return the reservation or a fault."""
 
     @abc.abstractmethod
     async def bill(self, number: int, call: Call, held: object) -> None:
-        """Bill a call that has ended."""
+        """Bill a call that has ended, with the reservation ``held``."""
 
     @abc.abstractmethod
     def idle(self) -> int:
-        """Return the tokens that routers hold for no request."""
+        """Return the tokens that routers hold without a request."""
 
     async def funded(self, team: str, tokens: int) -> None:
-        """Take notice of a top-up that the account has already."""
+        """Handle a payment that has been added to the account already."""
         return
 
     async def serve(self) -> None:
-        """Do what is due beside requests, until cancelled."""
+        """Run background work until cancelled."""
         await asyncio.Event().wait()
 
     def cut(self, routers: list[int]) -> None:
-        """Take notice that routers are cut off from all others."""
+        """Handle the start of a partition between routers and all others."""
         return
 
     def heal(self) -> None:
-        """Take notice that the cut is over."""
+        """Handle the end of the partition."""
         return
 
 
 @attrs.define(eq=False)
 class Escrow(Policy):
-    """The product's budgets."""
+    """The budgets of the router.
+
+    Parameters
+    ----------
+    cfg : BudgetSettings
+        Settings of the budgets.
+    """
 
     cfg: BudgetSettings
     net: Net = attrs.field(factory=Net)
     routers: list[Budgets] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
-        """Start the routers, half of them in each of two zones."""
+        """Create the routers, half of them in each of two zones."""
         for number, gate in enumerate(self.gates):
             zone = 'zone-a' if number < len(self.gates) / 2 else 'zone-b'
             peer = self.net.join(f'r{number}', zone)
@@ -120,7 +126,7 @@
         router.bill(held, Bill(call.team, str(number), call.used))
 
     def idle(self) -> int:
-        """Return the routers' own tokens that are not set aside."""
+        """Return the granted tokens of the routers that are not reserved."""
         return sum(
             ledger.own
             for router in self.routers
@@ -128,7 +134,7 @@
         )
 
     async def serve(self) -> None:
-        """Run all routers; they began at different times."""
+        """Run all routers, each started with a random delay."""
         late = random.Random(self.seed)
         spans = [late.uniform(0, self.cfg.flush_interval) for _ in self.routers]
         await asyncio.gather(
@@ -137,30 +143,30 @@
         )
 
     def cut(self, routers: list[int]) -> None:
-        """Cut the net between these routers and the others."""
+        """Disconnect these routers from the others."""
         away = [f'r{number}' for number in routers]
         names = [router.incarnation for router in self.routers]
         self.net.cut(away, [name for name in names if name not in away])
 
     def heal(self) -> None:
-        """Join the net again."""
+        """Reconnect all routers."""
         self.net.heal()
 
 
 @attrs.define(eq=False)
 class Central(Policy):
-    """A conditional write at the account for each reserve and settle."""
+    """Conditional write to the account for each reservation and bill."""
 
     def idle(self) -> int:
-        """Return 0: no router holds anything."""
+        """Return 0, since routers hold no tokens."""
         return 0
 
     async def reserve(self, number: int, call: Call) -> object:
-        """Take the worst case from the account."""
+        """Take the maximum usage of the call from the account."""
         return await self._take(call, call.tokens) or call
 
     async def bill(self, number: int, call: Call, held: object) -> None:
-        """Give the rest back; an outage is waited out."""
+        """Return the unused tokens; retry each second during an outage."""
         fault = await self._take(call, call.used - call.tokens)
         while fault is not None:
             await asyncio.sleep(1)
@@ -191,10 +197,10 @@
 
 @attrs.define(eq=False)
 class Static(Policy):
-    """An even split of each payment over all routers, never changed.
+    """Fixed, even split of each payment over all routers.
 
-    Its bills are counted as recorded in as few writes as the product's: one
-    for each router and flush interval.
+    Its bills count as recorded in as few writes as those of the router's
+    policy: one for each router and flush interval.
     """
 
     cfg: BudgetSettings
@@ -202,13 +208,13 @@
     waiting: set[int] = attrs.field(factory=set)
 
     async def funded(self, team: str, tokens: int) -> None:
-        """Split a payment; a cut-off router sees its part at the end."""
+        """Split a payment; a disconnected router gets its part afterwards."""
         await asyncio.gather(
             *(self._fund(number, team, tokens) for number in self._all()),
         )
 
     async def reserve(self, number: int, call: Call) -> object:
-        """Take from the router's own part."""
+        """Take the maximum usage of the call from the router's part."""
         part = (call.router, call.team)
         if self.left.get(part, 0) < call.tokens:
             return EXHAUSTED
@@ -216,16 +222,16 @@
         return call
 
     async def bill(self, number: int, call: Call, held: object) -> None:
-        """Give the rest back to the router's own part."""
+        """Return the unused tokens to the router's part."""
         self.left[call.router, call.team] += call.tokens - call.used
         self.waiting.add(call.router)
 
     def idle(self) -> int:
-        """Return what is left of all parts."""
+        """Return the tokens left in all parts."""
         return sum(self.left.values())
 
     async def serve(self) -> None:
-        """Count one write for each router that has bills."""
+        """Count one write per interval for each router with bills."""
         while True:
             await asyncio.sleep(self.cfg.flush_interval)
             for number in tuple(self.waiting):
--- a/bench/budget_runs.py
+++ b/bench/budget_runs.py
@@ -1,4 +1,4 @@
-"""Runs a policy under one load and one set of faults, and counts."""
+"""Runs of a budget policy under a load and faults, with their figures."""
 
 import asyncio
 import random
@@ -29,24 +29,25 @@
 
 @attrs.frozen
 class Scenario:
-    """One load and what goes wrong under it.
+    """Load and faults of a run.
 
     Parameters
     ----------
     load : Load
-        What callers ask for.
+        Requests of the callers.
     fund : float
-        Payments before the start, as a multiple of the whole demand.
+        Payments before the start, as a multiple of the total demand.
     top_up : float
-        The same of a payment in the middle of the trouble.
+        Payments during the fault, as a multiple of the total demand.
     begin, end : float
-        Part of the length at which the trouble begins and ends.
+        Start and end of the fault, as fractions of the load's length.
     cuts : bool
-        Whether half the routers are cut off from the rest and the platform.
+        Whether the fault disconnects half the routers from the others and
+        from the platform.
     down : bool
-        Whether the platform is down for all.
+        Whether the fault is an outage of the platform for all routers.
     losing : float
-        Share of commits whose answer is lost.
+        Share of commits whose answer is lost, during the whole run.
     """
 
     load: Load
@@ -61,7 +62,7 @@
 
 @attrs.define
 class Tally:
-    """What was counted in one run."""
+    """Counts of one run."""
 
     requests: int = 0
     refused: int = 0
@@ -75,7 +76,7 @@
 
 @attrs.define(eq=False)
 class Run:
-    """One policy under one scenario."""
+    """Run of one policy under one scenario."""
 
     scenario: Scenario
     calls: list[Call]
@@ -90,7 +91,7 @@
     splits: list[asyncio.Task] = attrs.field(factory=list)
 
     async def measure(self) -> dict[str, float | int]:
-        """Go through all calls and return the figures."""
+        """Make all calls and return the figures, with those of the audit."""
         await self._pay(self.scenario.fund)
         self.platform.weather.delay_s = _DELAY_S
         beside = [
@@ -181,14 +182,14 @@
             paid = int(tokens * times)
             self.prepaid[team] = self.prepaid.get(team, 0) + paid
             await self._top_up(team, paid)
-            # A part of a payment may wait for a cut to end.
+            # A part of a payment may be delayed until a partition ends.
             split = asyncio.create_task(self.policy.funded(team, paid))
             self.splits.append(split)
         await asyncio.sleep(0)
 
     async def _top_up(self, team: str, paid: int) -> None:
-        # An operator pays at once and past all counters; without delays
-        # these calls let no other task run between them.
+        # A payment takes no time and isn't counted. Without delays, no other
+        # task runs between these calls.
         table = self.platform.table
         before = attrs.evolve(self.platform.weather)
         self._conditions(0, down=False, losing=0)
@@ -281,11 +282,11 @@
     scenario : Scenario
         Load and faults.
     cfg : BudgetSettings
-        Sizes, for the policies that take any.
+        Settings of the policies that use them.
     policy : str
         One of ``POLICIES``.
     seed : int
-        Seed of all randomness.
+        Seed of all random numbers.
     """
     platform = MemoryPlatform.start(LoopClock())
     gates = [Gate(platform.table) for _ in range(scenario.load.routers)]
@@ -302,7 +303,8 @@
 
 
 async def _halve(run: Run) -> None:
-    # At the start all routers draw for all teams for the first time.
+    # In the first half all routers make their first draws for all teams, so
+    # the second half is also counted separately.
     await asyncio.sleep(run.scenario.load.length / 2)
     run.tally.half = (run.tally.requests, run.platform.weather.writes)
 
--- a/bench/budget_trace.py
+++ b/bench/budget_trace.py
@@ -1,4 +1,4 @@
-"""Seeded calls of teams on routers, the same for every policy of a run."""
+"""Random calls of teams to routers, equal for every policy by the seed."""
 
 import random
 
@@ -12,14 +12,14 @@
 
 @attrs.frozen
 class Load:
-    """What the callers ask for.
+    """Size and rate of the requests.
 
     Parameters
     ----------
     routers, teams : int
-        How many there are.
+        Numbers of routers and teams.
     rate : float
-        Requests a second at a router, on average over the routers.
+        Mean requests per second and router.
     length : float
         Seconds from the first to the last request.
     """
@@ -37,17 +37,17 @@
     Parameters
     ----------
     at : float
-        Second of its arrival.
+        Time of arrival, in seconds.
     router : int
-        Where it arrives.
+        Number of the router at which it arrives.
     team : str
-        Who pays.
+        Team that pays.
     tokens : int
-        Worst case that is reserved.
+        Maximum usage, which is reserved.
     used : int
-        What it turns out to use.
+        Tokens that it uses.
     runs : float
-        Seconds that it runs.
+        Duration in seconds.
     """
 
     at: float
@@ -59,15 +59,16 @@
 
 
 def draw_calls(load: Load, seed: int) -> list[Call]:
-    """Draw Poisson arrivals, skewed over teams and over routers.
+    """Return calls with Poisson arrivals, skewed over teams and routers.
 
     Parameters
     ----------
     load : Load
-        Sizes. A team's demand falls with its rank (Zipf's law), and so does
-        the part of it at each router, in an order of the team's own.
+        Size and rate. The demand of teams follows Zipf's law, and so does the
+        distribution of each team's demand over the routers, with a random
+        order of routers for each team.
     seed : int
-        Seed of all that is drawn.
+        Seed of the random numbers.
     """
     rng = random.Random(seed)
     ranks = _zipf(load.teams)
@@ -84,7 +85,7 @@
 
 
 def demand(calls: list[Call], until: float) -> dict[str, int]:
-    """Return the tokens that each team would use until a time."""
+    """Return the tokens that each team's calls before a time use."""
     sums: dict[str, int] = {}
     for call in calls:
         if call.at < until:
--- a/bench/budgets.py
+++ b/bench/budgets.py
@@ -1,4 +1,4 @@
-"""Measure budgets in virtual time: ``python -m bench.budgets --seed 1``.
+"""Benchmark of budgets in virtual time: ``python -m bench.budgets --seed 1``.
 
 Prints a table for each scenario and writes build/bench/budgets.json.
 """
@@ -55,7 +55,12 @@
     multiple=True,
     type=click.Choice(tuple(SCENARIOS)),
 )
-@click.option('--set', 'overrides', multiple=True, help='Key of [budget].')
+@click.option(
+    '--set',
+    'overrides',
+    multiple=True,
+    help='KEY=VALUE of a setting in [budget].',
+)
 @click.option('--no-baselines', is_flag=True)
 def main(
     seeds: tuple[int, ...],
@@ -80,7 +85,7 @@
 
 
 def settings(posture: str, *overrides: str) -> BudgetSettings:
-    """Return the shipped settings with a posture and changes."""
+    """Return the default budget settings with a posture and overrides."""
     changes = (f'budget.{one}' for one in overrides)
     cfg = read_settings(
         None,
--- a/bench/callers.py
+++ b/bench/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the routers: what they ask, what they get, what they retry."""
+"""Simulated callers: requests, outcomes and retries."""
 
 import asyncio
 import json
@@ -27,9 +27,9 @@
     Parameters
     ----------
     team, key : str
-        Who asks, and the name of the request.
+        Team of the caller, and idempotency key of the request.
     words : int
-        Length of the answer asked for.
+        Number of words in the requested answer.
     single : bool
         Whether it goes to a plain service and must not run twice.
     """
@@ -41,16 +41,16 @@
 
     @property
     def prompt(self) -> str:
-        """Text that no other request has."""
+        """Prompt, unique to this request."""
         return f'{self.team} {self.key} words={self.words}'
 
     @property
     def most_tokens(self) -> int:
-        """Tokens that the request can use at most, about."""
+        """Approximate maximum of tokens that the request can use."""
         return 3 * (len(self.prompt) + self.words)
 
     def request(self, router: Process) -> HTTPRequest:
-        """Return the request to send to a router."""
+        """Return the HTTP request to a router."""
         path = '/services/desk/confirmations' if self.single else _CHAT
         return HTTPRequest(
             f'http://{router.address}{path}',
@@ -66,7 +66,7 @@
         )
 
     def is_answered_by(self, body: bytes) -> bool:
-        """Return whether a body is the whole answer to this request."""
+        """Return whether a body is the complete answer to this request."""
         if self.single:
             return self.prompt in json.loads(body)['body']
         events = body.decode().split('\n\n')
@@ -88,28 +88,33 @@
 
 @attrs.define
 class Outcome:
-    """What a caller got in the end.
+    """Final result of a request.
 
     Parameters
     ----------
     ask : Ask
-        What was asked.
+        The request.
     router : str
-        Name of the router asked last.
+        Name of the last router tried.
     status : int
         HTTP status; 0 if the connection broke.
     code, ran : str
-        Of a refusal.
+        Error code of a refusal, and whether the request ran (``no`` if not).
     right : bool
-        Whether the whole answer to this very request came.
+        Whether the complete answer to this request arrived.
     cut : bool
-        Whether a connection that stood broke before the answer was whole.
+        Whether an open connection broke, or sent an error, before the answer
+        was complete.
     unreached : bool
-        Whether there was no connection at all.
+        Whether the connection was refused.
     tries : int
-        How often it was asked.
+        Number of tries.
     cuts : int
-        How many of the tries were cut.
+        Number of tries that were cut.
+    began_at : float
+        Start of the first try on the monotonic clock.
+    took_s : float
+        Duration of the last try, in seconds.
     """
 
     ask: Ask
@@ -127,18 +132,18 @@
 
     @property
     def not_run(self) -> bool:
-        """Whether the caller was told that the request was not run."""
+        """Whether the router reported that the request was not run."""
         return self.ran == 'no'
 
     @property
     def refused(self) -> bool:
-        """Whether the caller was told of a reason in place of an answer."""
+        """Whether the caller got an error code instead of a full answer."""
         return bool(self.code)
 
 
 @attrs.define
 class Callers:
-    """Sends requests for the scenarios."""
+    """HTTP client that sends requests for the scenarios."""
 
     _client: SimpleAsyncHTTPClient = attrs.field(
         factory=lambda: SimpleAsyncHTTPClient(
@@ -148,7 +153,7 @@
     )
 
     async def ask(self, ask: Ask, router: Process) -> Outcome:
-        """Send a request once."""
+        """Send a request once and return its outcome."""
         outcome = Outcome(ask, router.name, began_at=time.monotonic())
         try:
             await self._fetch(outcome, ask.request(router))
@@ -166,10 +171,10 @@
         routers: list[Process],
         tries: int = 4,
     ) -> Outcome:
-        """Send a request to one router after the other until one answers.
+        """Send a request to the routers in turn until one answers.
 
-        A broken connection is retried elsewhere under the same key, as a
-        refusal is that says that the request was not run.
+        A broken connection, or a refusal that reports the request as not run,
+        is retried at the next router with the same idempotency key.
         """
         outcome = await self.ask(ask, routers[0])
         for number in range(1, tries):
@@ -186,7 +191,7 @@
 
     async def _fetch(self, outcome: Outcome, request: HTTPRequest) -> None:
         reply = await self._client.fetch(request, raise_error=False)
-        # The client's own code for a connection that broke.
+        # Tornado's client reports a broken connection or a timeout as 599.
         if reply.code == 599:
             outcome.cut = True
             return
@@ -202,7 +207,7 @@
     outcome.right = outcome.ask.is_answered_by(body)
     error = _error_of(body)
     if error is not None:
-        # An error event in place of the rest: broken, and said so.
+        # The router broke the stream off and sent an error event instead.
         outcome.cut = True
         outcome.code = error['code']
         outcome.ran = error['ran']
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of one run: platform, targets and routers."""
+"""Processes of one run: platform, targets and routers."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 SECRET = 'bench-key'
 OPERATOR = 'bench-operator'
 ENOUGH = 1_000_000_000
-#: Stands for the dot of a setting's name in an argument's name.
+#: Replaces the dot of a setting's name in keyword arguments.
 _DOT = '__'
 _MOST_SEEDS = 8
 _READY_TRIES = 400
@@ -28,20 +28,28 @@
 
 
 def secret_of(team: str) -> str:
-    """Return the key of a team."""
+    """Return the API key of a team."""
     return f'{SECRET}-{team}'
 
 
 @attrs.define(eq=False)
 class Fleet:
-    """Starts processes as a scenario asks for them and ends all.
+    """Starts the processes of a scenario and stops all of them.
 
     Parameters
     ----------
+    platform : Process
+        Stand-in platform.
     platform_url : str
-        Where routers find the platform, maybe through a link.
+        URL of the platform for routers, possibly through a `Link`.
+    table : HttpTableService
+        Client of the platform's table service.
+    processes : list of Process
+        All processes, in the order of their start.
+    routers : list of Process
+        Routers, including ended ones.
     router_module : str
-        What is run as a router.
+        Python module that is run as a router.
     """
 
     platform: Process
@@ -62,13 +70,21 @@
         return await self.start('service', *arguments)
 
     async def start(self, name: str, *arguments: str) -> Process:
-        """Start any process of the run."""
+        """Start a Python module as a process of the run."""
         process = await start(name, *arguments)
         self.processes.append(process)
         return process
 
     async def router(self, zone: str = 'zone-a', **settings: Any) -> Process:
-        """Start a router and wait until it has read the table."""
+        """Start a router and wait until it is ready.
+
+        Parameters
+        ----------
+        zone : str
+            Availability zone of the router.
+        settings : Any
+            Settings, with ``__`` for the dot in a name.
+        """
         name = f'router-{len(self.routers)}'
         seeds = [router.started['peers'] for router in self.routers]
         known = {'peers.seeds': ','.join(seeds[-_MOST_SEEDS:])}
@@ -85,8 +101,8 @@
     async def replace(self, dead: Process, zone: str = 'zone-a') -> Process:
         """Start a router on the addresses of one that was killed.
 
-        That the addresses can be bound again is the proof by which a
-        successor may close what the dead one held.
+        Being able to bind the addresses proves that the killed router has
+        ended, so its successor may close the allotments that it held.
         """
         names = ('callers', 'operators', 'peers')
         ports = {
@@ -96,7 +112,7 @@
         return await self.router(zone, **ports)
 
     async def put(self, *rows: TeamRow | TargetRow) -> None:
-        """Write rows of the table as an operator would."""
+        """Write table rows through the editor, as an operator would."""
         editor = Editor(self.table, SystemClock())
         for row in rows:
             fields = encode(row)
@@ -108,7 +124,7 @@
             assert not isinstance(outcome, TableFault), outcome
 
     async def stop(self) -> None:
-        """End every process, routers first."""
+        """Stop all processes, routers first."""
         routers = [router.leave() for router in self.routers]
         await asyncio.gather(*routers)
         others = [process.leave() for process in reversed(self.processes)]
@@ -116,7 +132,7 @@
 
 
 async def start_fleet() -> Fleet:
-    """Start the platform; everything else is added by the scenario."""
+    """Start the platform; the scenario starts all other processes."""
     platform = await start('platform', 'balsamreach', 'standin', 'platform')
     url = f'http://{platform.address}'
     fleet = Fleet(platform, url, HttpTableService(PlatformClient(url)))
@@ -125,13 +141,13 @@
 
 
 def team(name: str, prepaid: int = ENOUGH, **fields: Any) -> TeamRow:
-    """Return the row of a team whose key is known."""
+    """Return the row of a team with the key from `secret_of`."""
     hashes = (hash_key(secret_of(name)),)
     return TeamRow(name=name, prepaid=prepaid, key_hashes=hashes, **fields)
 
 
 def engine_row(name: str, address: str, **fields: Any) -> TargetRow:
-    """Return the row of an engine of the one model."""
+    """Return the row of an engine that serves ``model-a``."""
     given = {
         'zone': 'zone-a',
         'service': 'llm',
@@ -142,7 +158,7 @@
 
 
 async def fetch(url: str, secret: str = '', body: Any = None) -> Any:
-    """Call a JSON interface; None where it can't be reached or refuses."""
+    """Call a JSON interface; return None if it is unreachable or refuses."""
     request = HTTPRequest(
         url,
         method='GET' if body is None else 'POST',
@@ -157,7 +173,10 @@
 
 
 async def wait_until(check: Any, tries: int = _READY_TRIES) -> bool:
-    """Ask a coroutine function again and again until it returns true."""
+    """Await a coroutine function until it returns true.
+
+    Returns False if it does not within the number of tries.
+    """
     for _ in range(tries):
         if await check():
             return True
--- a/bench/links.py
+++ b/bench/links.py
@@ -1,4 +1,4 @@
-"""TCP links between processes that can be cut as a network is."""
+"""TCP proxies that simulate network failures between processes."""
 
 import asyncio
 import contextlib
@@ -11,18 +11,20 @@
 
 @attrs.define(eq=False)
 class Link:
-    """Carries connections to one address until it is cut.
+    """TCP proxy to one address whose traffic can be dropped.
 
     Parameters
     ----------
     to : str
-        ``ip:port`` it leads to.
+        ``ip:port`` of the destination.
     cut : bool
-        Whether bytes are swallowed. Connections stay open and nothing is
+        Whether bytes are dropped. Connections stay open and nothing is
         refused, as in a network that drops packets.
     cut_there, cut_back : bool
-        The same for one way only: what is sent by those who connect, or by
-        the one they connect to.
+        Whether only bytes to the destination, or only bytes from it, are
+        dropped.
+    address : str
+        ``ip:port`` that the proxy listens on.
     """
 
     to: str
@@ -40,13 +42,13 @@
         return self.address
 
     def heal(self) -> None:
-        """Carry bytes both ways again, on connections to come."""
+        """Forward bytes both ways again, on new connections."""
         self.cut = False
         self.cut_there = False
         self.cut_back = False
 
     def close(self) -> None:
-        """Take no more connections."""
+        """Accept no more connections."""
         if self._server is not None:
             self._server.close()
 
@@ -65,7 +67,7 @@
             self._copy(reader, there[1], lambda: self.cut_there),
             self._copy(there[0], writer, lambda: self.cut_back),
         )
-        # The end of the run cancels what the cut left waiting.
+        # Copies that a cut has suspended are cancelled at the end of the run.
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.gather(*ways, return_exceptions=True)
 
@@ -77,8 +79,8 @@
     ) -> None:
         try:
             while received := await reader.read(_READ):
-                # What was swallowed would be a hole in the stream, so a
-                # connection that lost bytes never carries any again.
+                # The dropped bytes would be a gap in the stream, so a
+                # connection that lost bytes never forwards any again.
                 if self.cut or loses():
                     await asyncio.sleep(3600)
                 writer.write(received)
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Open-loop load: requests come at their times, whatever the answers do."""
+"""Open-loop load: requests are sent at a rate regardless of answers."""
 
 import asyncio
 import random
@@ -11,22 +11,26 @@
 
 @attrs.define
 class Load:
-    """A stream of requests from several teams to several routers.
+    """Requests of several teams to several routers at random times.
 
     Parameters
     ----------
     rng : random.Random
         Draws times, teams and routers.
     routers : list of Process
-        Routers to call; a scenario may change it meanwhile.
+        Routers to call; a scenario may change the list during the run.
     teams : dict of str to float
-        Teams with their shares of the requests.
+        Relative shares of the requests by team.
     rate : float
-        Requests a second.
+        Mean requests per second.
     retries : bool
-        Whether callers ask again elsewhere until they are told.
+        Whether callers retry at other routers.
     singles : float
         Share of requests to a plain service that must not run twice.
+    words : int
+        Number of words in each requested answer.
+    prefix : str
+        Prefix of the idempotency keys.
     """
 
     rng: random.Random
@@ -47,7 +51,7 @@
             await asyncio.sleep(self.rng.expovariate(self.rate))
 
     def counts(self) -> tuple[int, int, int, int, int]:
-        """Return how many were sent, are open, answered, refused and cut."""
+        """Return the counts sent, open, answered, refused and cut."""
         done = [task.result() for task in self._tasks if task.done()]
         return (
             len(self._tasks),
@@ -58,7 +62,7 @@
         )
 
     async def outcomes(self) -> list[Outcome]:
-        """Wait for all answers."""
+        """Wait for all requests and return their outcomes."""
         return list(await asyncio.gather(*self._tasks))
 
     def _send(self) -> None:
--- a/bench/meter.py
+++ b/bench/meter.py
@@ -1,4 +1,4 @@
-"""Reads what routers spend on control while a scenario runs."""
+"""Measures CPU time and control traffic of routers during a scenario."""
 
 import time
 from typing import Any
@@ -16,16 +16,16 @@
 
 @attrs.frozen
 class Reading:
-    """What one router had spent at a moment.
+    """Counters of one router at one time.
 
     Parameters
     ----------
     at : float
-        The moment.
+        Time of the reading on the monotonic clock.
     cpu_s : float
-        CPU seconds.
+        CPU time in seconds.
     peer_bytes : float
-        Bytes of its messages with other routers, both ways.
+        Bytes sent to and received from other routers.
     """
 
     at: float
@@ -35,15 +35,17 @@
 
 @attrs.define
 class Meter:
-    """Compares the end of the load with its beginning.
+    """Measures the difference of counters between two times.
 
-    A router that is killed has to be noted before; one that starts
-    meanwhile counts from its start.
+    The last counters of a router have to be read with `note` before it is
+    killed; a router that starts in between counts from its start.
 
     Parameters
     ----------
     fleet : Fleet
-        The processes.
+        Processes of the run.
+    ended : bool
+        Whether the last readings have been taken.
     """
 
     fleet: Fleet
@@ -59,11 +61,11 @@
         self._platform.append(await self._read_platform())
 
     async def note(self, router: Process) -> None:
-        """Take the last reading of a router that will not be there."""
+        """Take the last reading of a router that is about to end."""
         self._last[router] = await read(router)
 
     async def end(self) -> None:
-        """Take the last readings; what comes later isn't counted."""
+        """Take the last readings, once; later traffic isn't counted."""
         if self.ended:
             return
         self.ended = True
@@ -72,7 +74,13 @@
         self._platform.append(await self._read_platform())
 
     def figures(self, requests: int) -> dict[str, float]:
-        """Return what a second of a router, and requests, took."""
+        """Return traffic per router second and costs per request.
+
+        Parameters
+        ----------
+        requests : int
+            Number of requests of the run.
+        """
         seconds = max(self._sum('at'), _LEAST)
         first, last = self._platform
         moved = last['bytes_moved'] - first['bytes_moved']
@@ -104,7 +112,7 @@
 
 
 async def read(router: Process) -> Reading:
-    """Read a router's counters and CPU time."""
+    """Read a router's byte counters and CPU time."""
     url = f'http://{router.started["operators"]}/metrics'
     reply = await AsyncHTTPClient().fetch(url)
     peer_bytes = sum(
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -1,4 +1,4 @@
-"""Draws latency, refusals and time in force of a scenario as one picture."""
+"""Plots of latency, refusals and edit propagation of a scenario."""
 
 import math
 from collections import Counter
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class _Panel:
-    """One diagram of the picture."""
+    """One diagram of the figure."""
 
     axes: Axes
     series: Series
@@ -52,7 +52,7 @@
 
 
 def draw(report: Report, directory: Path) -> Path:
-    """Draw a report's series beside its JSON and return the path."""
+    """Write a plot of a report's series as PNG and return the path."""
     directory.mkdir(parents=True, exist_ok=True)
     path = directory / f'{report.scenario}.png'
     series = report.series
--- a/bench/power.py
+++ b/bench/power.py
@@ -1,4 +1,4 @@
-"""Measures scaling by demand on a virtual clock against two baselines.
+"""Compares power management with two baselines on a virtual clock.
 
 Run with ``python -m bench.power --seed 1``.
 """
@@ -36,12 +36,12 @@
 
 
 def _step(now: int) -> float:
-    """Demand of three times from 300 s to 900 s."""
+    """Return the request rate: three times as high from 300 s to 900 s."""
     return _PEAK_RATE if 300 <= now < 900 else _RATE
 
 
 def _swing(now: int) -> float:
-    """Demand that changes by three times each minute."""
+    """Return the request rate: three times as high every other minute."""
     return _PEAK_RATE if now // 60 % 2 else _RATE
 
 
@@ -50,7 +50,7 @@
 
 @attrs.define
 class Tally:
-    """What one run came to."""
+    """Results of one run."""
 
     policy: str
     shape: str
@@ -64,7 +64,7 @@
     waited: list[int] = attrs.field(factory=list)
 
     def row(self) -> dict[str, float | int | str]:
-        """Return the figures to print."""
+        """Return the figures to print, with waits as their 95th percentile."""
         shown = attrs.asdict(self)
         waited = sorted(shown.pop('waited'))
         shown['wait_p95_s'] = waited[int(len(waited) * _P95)]
@@ -73,7 +73,7 @@
 
 @attrs.define(eq=False)
 class Run:
-    """One run of a policy under a shape of demand."""
+    """One run of a policy under one demand curve."""
 
     policy: str
     shape: str
@@ -86,7 +86,7 @@
     calm_since: int = -1
 
     def __attrs_post_init__(self) -> None:
-        """Put up the world."""
+        """Create the hosts, the power switch and two routers."""
         self.tally = Tally(self.policy, self.shape)
         up = _HOSTS if self.policy == 'static' else _SLOTS
         self.world = World(count=_HOSTS, up=up, overrides=_SETTINGS)
@@ -95,7 +95,7 @@
         self.world.add_router('r1')
 
     async def run(self) -> Tally:
-        """Go through all seconds."""
+        """Simulate all seconds and return the results."""
         await self.world.rounds(1)
         for now in range(_LENGTH):
             self._second(now)
@@ -180,7 +180,7 @@
             await self._threshold()
 
     async def _threshold(self) -> None:
-        """Add or remove one host by present use alone."""
+        """Switch one host on or off, by the current use alone."""
         on = [host for host in self.world.hosts if host.up]
         use = sum(host.running for host in on) / (_SLOTS * len(on))
         off = [host for host in self.world.hosts if not host.up]
@@ -200,7 +200,7 @@
 
 
 def main() -> None:
-    """Run all policies under all shapes and print one line each."""
+    """Run each policy under each demand curve and print a line of JSON."""
     logging.disable(logging.CRITICAL)
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seed', type=int, default=1)
--- a/bench/probe.py
+++ b/bench/probe.py
@@ -1,4 +1,4 @@
-"""Small requests sent directly and through a router, by turns."""
+"""Added latency: small requests sent directly and through a router."""
 
 import asyncio
 import contextlib
@@ -19,16 +19,16 @@
 
 @attrs.define
 class Probe:
-    """Measures, under the load of a run, what a router adds to a request.
+    """Measures the latency that a router adds, under the load of a run.
 
     Parameters
     ----------
     run : Run
-        Draws the router asked.
+        Scenario run whose routers are called in turn.
     engine : Process
-        The target that is asked directly.
+        Target that is called directly.
     direct, routed : list of float
-        Seconds that answers took, pair by pair.
+        Latencies in seconds; equal positions belong to one pair of requests.
     """
 
     run: Run
@@ -39,11 +39,11 @@
     _task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start sending pairs of requests."""
         self._task = asyncio.create_task(self._ask_on())
 
     async def stop(self) -> None:
-        """Ask no more."""
+        """Stop sending."""
         if self._task is None:
             return
         self._task.cancel()
@@ -52,7 +52,7 @@
         self._task = None
 
     def figures(self) -> tuple[dict[str, float], dict[str, float]]:
-        """Return figures of the router's way and of the direct one."""
+        """Return figures of routed and of direct requests, in milliseconds."""
         direct, routed = quantiles(self.direct), quantiles(self.routed)
         added = {
             'added_p50_ms': routed[0] - direct[0],
@@ -73,7 +73,7 @@
         by_target = await self._callers.ask(direct, self.engine)
         routed = Ask(TEAM, f'routed-{number}', words=1)
         by_router = await self._callers.ask(routed, router)
-        # Refused and broken ones would pass for quick answers.
+        # Refused and broken requests would count as fast answers.
         if by_target.right and by_router.right:
             self.direct.append(by_target.took_s)
             self.routed.append(by_router.took_s)
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Starts and ends the processes of a run and reads their CPU time."""
+"""Child processes of a run, with their CPU time and memory."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 _END_S = 20
 _TICKS = os.sysconf('SC_CLK_TCK')
 _PAGE = os.sysconf('SC_PAGE_SIZE')
-#: Fields 14 and 15 of /proc/PID/stat, counted after the command's name.
+#: Positions of fields 14, 15 and 24 of /proc/PID/stat after the command name.
 _UTIME = 11
 _STIME = 12
 _RSS = 21
@@ -24,16 +24,16 @@
 
 @attrs.define(eq=False)
 class Process:
-    """One process of a run.
+    """A child process of a run.
 
     Parameters
     ----------
     name : str
-        What the harness calls it.
+        Name in the benchmark's output.
     started : dict
-        The JSON of its first line.
+        JSON object from the first line of its output.
     began_at : float
-        The moment of that line.
+        Time of that line on the monotonic clock.
     """
 
     name: str
@@ -43,39 +43,39 @@
 
     @property
     def address(self) -> str:
-        """``ip:port`` it listens on."""
+        """``ip:port`` that it listens on."""
         return self.started.get('address') or self.started['callers']
 
     @property
     def pid(self) -> int:
-        """Id of the process."""
+        """Process id."""
         return self._child.pid
 
     @property
     def alive(self) -> bool:
-        """Whether it has not ended."""
+        """Whether it is running."""
         return self._child.returncode is None
 
     def cpu_s(self) -> float:
-        """CPU seconds it has used so far, its threads included."""
+        """Return the CPU time of all its threads so far, in seconds."""
         fields = self._stat()
         return (int(fields[_UTIME]) + int(fields[_STIME])) / _TICKS
 
     def memory(self) -> int:
-        """Bytes of it that are in memory."""
+        """Return its resident memory in bytes."""
         return int(self._stat()[_RSS]) * _PAGE
 
     async def next_line(self) -> bytes:
-        """Return the next line it prints, empty once it has ended."""
+        """Return the next line of its output, empty once it has ended."""
         assert self._child.stdout is not None
         return await self._child.stdout.readline()
 
     async def kill(self) -> None:
-        """End it as a crash would."""
+        """Kill it with SIGKILL, as in a crash."""
         await self._end(signal.SIGKILL)
 
     async def leave(self) -> None:
-        """Let it shut down; kill it where it doesn't."""
+        """Shut it down with SIGTERM; kill it after `_END_S` seconds."""
         await self._end(signal.SIGTERM)
 
     def signal(self, number: int) -> None:
@@ -98,7 +98,10 @@
 
 
 async def start(name: str, *arguments: str) -> Process:
-    """Start a Python module as a process and wait for its first line."""
+    """Start a Python module as a process and wait for its first line.
+
+    Exits the benchmark if no line arrives within `_START_S` seconds.
+    """
     paths = (str(_ROOT / 'src'), str(_ROOT))
     child = await asyncio.create_subprocess_exec(
         sys.executable,
--- a/bench/progress.py
+++ b/bench/progress.py
@@ -1,4 +1,4 @@
-"""A table of what the callers have met so far, printed as a run goes on."""
+"""Progress table of a run: counts of requests so far."""
 
 import asyncio
 import contextlib
@@ -16,14 +16,14 @@
 
 @attrs.define
 class Progress:
-    """Prints a line of the table from time to time.
+    """Prints a line of the table every `_STEP_S` seconds.
 
     Parameters
     ----------
     run : Run
-        The run.
+        The scenario run.
     loads : list of Load
-        Its callers; a scenario adds to them.
+        Loads to count; a scenario adds to the list.
     """
 
     run: Run
@@ -31,12 +31,12 @@
     _task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Print the head of the table and begin."""
+        """Print the table header and start printing lines."""
         self._print('', _COLUMNS)
         self._task = asyncio.create_task(self._go_on())
 
     async def stop(self) -> None:
-        """Print the last line."""
+        """Stop and print the last line."""
         if self._task is None:
             return
         self._task.cancel()
--- a/bench/pump.py
+++ b/bench/pump.py
@@ -1,4 +1,4 @@
-"""The least a relay can do: a process that copies bytes both ways."""
+"""Minimal TCP proxy that copies bytes, a baseline for relaying."""
 
 import asyncio
 import json
@@ -6,7 +6,7 @@
 
 
 class _Side(asyncio.Protocol):
-    """One of the two connections; writes what it gets to the other."""
+    """One of two paired connections; writes received bytes to the other."""
 
     def __init__(self) -> None:
         self.peer: _Side | None = None
@@ -18,7 +18,7 @@
         self.transport = transport
 
     def data_received(self, received: bytes) -> None:
-        """Copy bytes."""
+        """Write bytes to the peer, or keep them until there is one."""
         if self.peer is None:
             self._early.append(received)
         else:
@@ -30,14 +30,14 @@
             self.peer.transport.close()
 
     def join(self, peer: '_Side') -> None:
-        """Send to a peer from now on."""
+        """Set the peer and write the bytes received before."""
         self.peer = peer
         for received in self._early:
             peer.transport.write(received)
 
 
 class _Front(_Side):
-    """The connection of a caller; it opens the one to the target."""
+    """Connection of a caller; opens the one to the target."""
 
     def __init__(self, address: str) -> None:
         super().__init__()
@@ -58,7 +58,7 @@
 
 
 async def main() -> None:
-    """Serve until ended; the argument is the target's address."""
+    """Serve until terminated; the command argument is the target's address."""
     server = await asyncio.get_running_loop().create_server(
         lambda: _Front(sys.argv[1]),
         '127.0.0.1',
--- a/bench/rates.py
+++ b/bench/rates.py
@@ -1,4 +1,4 @@
-"""Measure rates over the fleet: ``python -m bench.rates --seed 1``.
+"""Benchmark of fleet-wide rate limits: ``python -m bench.rates --seed 1``.
 
 Everything runs in one process and in virtual time. Prints a table of errors
 and one of costs, and all rows as JSON at the end.
@@ -25,17 +25,17 @@
     'sizes',
     multiple=True,
     type=int,
-    help='Sizes of the fleet; by default 8 and 34 for errors, and 8, 32, '
+    help='Number of routers; by default 8 and 34 for errors, and 8, 32, '
     '128 and 910 for costs.',
 )
-@click.option('--scenario', default='', help='Part of scenarios names.')
+@click.option('--scenario', default='', help='Substring of scenario names.')
 def main(
     seeds: tuple[int, ...],
     only: str | None,
     sizes: tuple[int, ...],
     scenario: str,
 ) -> None:
-    """Compare shares from homes with words from all to all."""
+    """Compare rate shares from home routers with all-to-all messages."""
     rows = []
     if only != 'cost':
         rows += _errors(sizes or (8, 34), seeds, scenario)
@@ -63,7 +63,7 @@
 
 
 def _ways(routers: int) -> tuple[str, ...]:
-    # Words from all to all take hours there.
+    # All-to-all messages would take hours in larger fleets.
     return (_HOMES,) if routers > _BOTH else tuple(rates_scenarios.WAYS)
 
 
--- a/bench/rates_baseline.py
+++ b/bench/rates_baseline.py
@@ -1,6 +1,6 @@
-"""The way of rates before homes: each router's words go to all others.
+"""Rate limits by flooding: each router's demand goes to all others.
 
-Kept as the baseline of ``bench.rates``.
+This is the baseline of ``bench.rates``.
 """
 
 from collections import OrderedDict
@@ -17,25 +17,26 @@
 from balsamreach.wire.membership import Member
 from balsamreach.wire.rates import TeamUse, Uses
 
-#: Shortest time between two messages on use.
+#: Minimum seconds between two demand messages of a router.
 _INTERVAL = 1.0
-#: Messages a second that a router takes in from all others together.
+#: Maximum messages per second that a router receives from all others.
 _MOST_MESSAGES = 16
 _MOST_TEAMS = 40_000
 _MOST_TOLD = 256
 _FEWEST_TOLD = 8
-#: A router's word counts for this many intervals.
+#: Intervals after which the demand reported by a router expires.
 _FRESH_INTERVALS = 5
-#: Weight of the newest window in the smoothed demand.
+#: Weight of the last window in the smoothed demand.
 _SMOOTH = 0.5
 _LEAST_DEMAND = 0.5
 
 
 @attrs.define
 class Demands:
-    """Sums over routers, kept up with each message.
+    """Demand of the other routers, summed by team.
 
-    A request then needs one look-up, whatever the number of routers.
+    The sums are updated with each message, so that a request needs one
+    look-up regardless of the number of routers.
     """
 
     _heard: OrderedDict[str, tuple[float, Uses]] = attrs.field(
@@ -44,11 +45,11 @@
     _sums: dict[str, int] = attrs.field(factory=dict)
 
     def __len__(self) -> int:
-        """Return how many routers' words count now."""
+        """Return the number of routers whose demand is known."""
         return len(self._heard)
 
     def put(self, uses: Uses, now: float, interval: float) -> bool:
-        """Take a message; False if it is old news."""
+        """Store a demand message; return False if it is not newer."""
         known = self._heard.get(uses.incarnation)
         if known is not None and known[1].window >= uses.window:
             return False
@@ -59,7 +60,7 @@
         return True
 
     def expire(self, now: float) -> None:
-        """Let go of routers that have been silent for too long."""
+        """Remove the demand of routers whose last message has expired."""
         silent = [
             incarnation
             for incarnation, (expires, _uses) in self._heard.items()
@@ -69,7 +70,7 @@
             self._drop(incarnation)
 
     def of_team(self, team: str) -> int:
-        """Return the demand of a team at all other routers."""
+        """Return the sum of a team's demand at all other routers."""
         return self._sums.get(team, 0)
 
     def _drop(self, incarnation: str) -> None:
@@ -88,7 +89,7 @@
 
 @attrs.define
 class FloodedRates:
-    """The two rates of one team and its demand on this router."""
+    """Token buckets of one team and its demand at this router."""
 
     requests: Bucket
     tokens: Bucket
@@ -96,11 +97,11 @@
     _smoothed: float = 0
 
     def demand(self) -> float:
-        """Return the requests wanted in a window, smoothed."""
+        """Return the smoothed number of requests per window."""
         return max(self._smoothed, self.wanted)
 
     def close_window(self) -> None:
-        """Begin the next window."""
+        """Update the smoothed demand and begin the next window."""
         self._smoothed += (self.wanted - self._smoothed) * _SMOOTH
         if self._smoothed < _LEAST_DEMAND:
             self._smoothed = 0
@@ -109,18 +110,21 @@
 
 @attrs.define
 class FloodedLimits:
-    """Holds teams to the limits of their rows.
+    """Enforces the limits of team rows.
 
-    Concurrency holds for this router alone. Rates hold over the fleet:
-    each router takes the part of the rate that its share of the demand is,
-    and counts an even share for each router it hears nothing from.
+    The concurrency limit applies to this router alone. Rate limits apply to
+    the fleet: each router uses the part of the rate that is its share of the
+    demand, and leaves an even share to each router that it has no message
+    from.
 
     Parameters
     ----------
     clock : Clock
-        Time of the rates.
+        Clock of the rates.
     net : PeerNet or None
-        Other routers; None for a router on its own.
+        Peer network; None for a single router.
+    running : dict of str to int
+        Requests in progress by team.
     """
 
     clock: Clock
@@ -136,14 +140,14 @@
             self.net.on(Uses, self.take)
 
     def enter(self, team: TeamRow, tokens: int) -> RoutingFault | None:
-        """Count a request in, or return why the team must wait.
+        """Admit a request, or return the fault why the team must wait.
 
         Parameters
         ----------
         team : TeamRow
-            The team.
+            Row of the team.
         tokens : int
-            Worst case of the request's tokens.
+            Maximum tokens of the request.
         """
         running = self.running.get(team.name, 0)
         if team.concurrency and running >= team.concurrency:
@@ -156,7 +160,7 @@
         return refusal
 
     def leave(self, team: TeamRow, reserved: int, used: int) -> None:
-        """Count a request out and give back the tokens it did not use."""
+        """End a request and return its unused tokens to the rate limit."""
         running = self.running.get(team.name, 0) - 1
         if running > 0:
             self.running[team.name] = running
@@ -167,22 +171,22 @@
             rates.tokens.give_back(reserved - used)
 
     def interval(self) -> float:
-        """Return the seconds between two messages on use.
+        """Return the seconds between two demand messages.
 
-        It grows with the fleet, so that the messages of all routers
-        together cost each router the same.
+        The interval grows with the fleet, so that each router receives at
+        most `_MOST_MESSAGES` per second from all others together.
         """
         members = len(self.net.members()) if self.net is not None else 1
         return max(_INTERVAL, members / _MOST_MESSAGES)
 
     def tick(self) -> None:
-        """Tell neighbours once in each interval."""
+        """Send the demand to neighbours if an interval has passed."""
         if self.clock.now() - self._told_at >= self.interval():
             self._told_at = self.clock.now()
             self.tell()
 
     def tell(self) -> None:
-        """Tell neighbours this router's demand; called at each interval."""
+        """Send this router's demand to neighbours; called at each interval."""
         if self.net is None:
             return
         self._window += 1
@@ -192,7 +196,7 @@
         )
 
     async def take(self, sender: Member, message: Message) -> None:
-        """Take a router's demand and spread what is news."""
+        """Store a router's demand; forward it to neighbours if it is new."""
         if not isinstance(message, Uses) or self.net is None:
             return
         if message.incarnation == self.net.me.incarnation:
@@ -202,7 +206,7 @@
             self.net.spread(message, besides=sender.incarnation)
 
     def share(self, team: str) -> float:
-        """Return this router's part of a team's rate over the fleet."""
+        """Return this router's fraction of a team's fleet-wide rate."""
         if self.net is None:
             return 1
         members = max(1, len(self.net.members()))
@@ -210,18 +214,18 @@
         others = self._heard.of_team(team)
         rates = self._rates.get(team)
         own = rates.demand() if rates else 0
-        # A router that cannot be heard may be serving the team too. Its even
-        # share is left to it, so that two sides of a network partition do
-        # not both use the whole rate; the metrics would show the sum of the
-        # team's requests at twice its row. One request more for each router
-        # lets a quiet one start at once.
+        # A router without messages may be serving the team too. An even share
+        # is left to it, since otherwise both sides of a network partition
+        # would use the whole rate, and the metrics would show the team's
+        # requests at twice the limit of its row. The demand of each router
+        # counts one request more, so that an idle one can start at once.
         return heard / members * (own + 1) / (own + others + heard)
 
     def _reaches_all(self) -> bool:
-        # In a small fleet everyone is linked to everyone. Passed on there,
-        # each word would arrive once over every link; it would show as bytes
-        # to peers that grow with the square of the routers. Where a single
-        # pair is cut off, each leaves the other an even share meanwhile.
+        # In a small fleet every router is linked to every other. A forwarded
+        # message would arrive once over every link, so the bytes to peers
+        # would grow with the square of the routers. If a single pair is
+        # disconnected, each leaves the other an even share meanwhile.
         if self.net is None:
             return True
         return len(self.net.neighbours()) + 1 >= len(self.net.members())
--- a/bench/rates_cost.py
+++ b/bench/rates_cost.py
@@ -1,4 +1,4 @@
-"""What words on rates cost a daemon, by size of the fleet."""
+"""Cost of rate limit messages per router, by fleet size."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
 from bench.rates_net import Fabric
 from bench.rates_scenarios import WAYS
 
-#: Teams of each load, and by how much each passes its limits.
+#: For each load, the number of teams and their demand by their limits.
 LOADS: Mapping[str, tuple[int, float]] = {
     '12 teams at 2x': (12, 2),
     '400 teams at 0.1x': (400, 0.1),
@@ -20,7 +20,7 @@
 _STEP = 0.25
 _SETTLE = 20
 _SECONDS = 20
-#: So many routers speak for all where words are flooded.
+#: Number of routers that stand for all where messages are flooded.
 _SAMPLE = 16
 _LARGE = 17
 _PER_ROUTER = 60
@@ -29,16 +29,16 @@
 
 @attrs.define(eq=False)
 class Cost:
-    """One fleet under one load.
+    """Measurement of one fleet under one load.
 
     Parameters
     ----------
     way : str
-        How rates are told.
+        Implementation of rate limits, a key of `WAYS`.
     load : str
-        The load.
+        Key of `LOADS`.
     fabric : Fabric
-        The fleet.
+        Simulated network of the fleet.
     """
 
     way: str
@@ -66,7 +66,7 @@
         }
 
     async def run(self) -> Mapping[str, object]:
-        """Return the figures of a daemon."""
+        """Run the load and return the figures per router."""
         flooded = self.way != 'homes' and self.fabric.routers > _LARGE
         found = await (self._sample() if flooded else self._span())
         return {
@@ -87,10 +87,10 @@
         return self._figures(_SECONDS, 1)
 
     async def _sample(self) -> Mapping[str, float]:
-        """Let some speak once; each word costs the same as any other."""
+        """Let some routers send once, since each message costs the same."""
         self._ask(random.Random(self.fabric.seed))
         speaking = list(self.limits.values())[:_SAMPLE]
-        # What a moment admits says nothing.
+        # Admissions at a single point in time are not meaningful.
         self.wanted = 0
         self.admitted = 0
         await self._tell(speaking)
@@ -148,7 +148,7 @@
 
 
 def _ask_often(limits: Any, row: TeamRow, count: int) -> int:
-    """Return how many of so many requests are admitted."""
+    """Try a number of requests and return how many are admitted."""
     refusals = [limits.enter(row, 1) for _ in range(count)]
     admitted = refusals.count(None)
     for _ in range(admitted):
@@ -157,6 +157,6 @@
 
 
 def measure(load: str, way: str, routers: int, seed: int) -> dict[str, object]:
-    """Return a daemon's cost under a load."""
+    """Return the cost per router under a load."""
     cost = Cost(way, load, Fabric(routers, seed, decodes=True))
     return dict(asyncio.run(cost.run()))
--- a/bench/rates_net.py
+++ b/bench/rates_net.py
@@ -1,4 +1,4 @@
-"""Routers in one process and in virtual time, for measuring rates."""
+"""Simulated peer network in virtual time, for the rate benchmarks."""
 
 from collections import Counter, deque
 
@@ -21,16 +21,17 @@
 
 @attrs.define(eq=False)
 class Fabric:
-    """Carries messages, and counts the bytes that each router sends.
+    """Delivers messages and counts those that each router sends.
 
     Parameters
     ----------
     routers : int
-        Routers of the fleet, in zones of 34.
+        Number of routers, in zones of about 34.
     seed : int
-        Seed of their incarnations.
+        Seed of the routers' incarnations.
     decodes : bool
-        Whether each message is encoded and decoded, as on a link.
+        Whether each message is encoded and decoded, as on a link; bytes are
+        only counted then.
     """
 
     routers: int
@@ -59,7 +60,7 @@
         self.see()
 
     def see(self) -> None:
-        """Let everyone know who is alive on its side, and who is gone."""
+        """Update each router's members and links after a cut or a death."""
         for net in self.nets.values():
             name = net.me.incarnation
             side = self.sides.get(name, 0)
@@ -75,7 +76,7 @@
             self._link(group)
 
     def post(self, source: Member, name: str, message: Message) -> None:
-        """Send a message; cuts and deaths swallow it."""
+        """Queue a message; drop it if the receiver is cut off or dead."""
         self.sent[source.incarnation] += 1
         if self.decodes:
             packed = encode(Envelope(message))
@@ -91,17 +92,20 @@
             self._waiting.append((source, name, message))
 
     def forget(self) -> None:
-        """Count from now on."""
+        """Reset the counts of messages and bytes."""
         self.sent.clear()
         self.octets.clear()
 
     def links_each(self) -> list[int]:
-        """Return how many routers each has sent to or heard of."""
+        """Return the number of routers that each exchanged messages with."""
         ends = Counter(name for link in self.links for name in link)
         return list(ends.values())
 
     async def deliver(self) -> None:
-        """Deliver what waits and what that causes, some steps far."""
+        """Deliver queued messages and those sent in response.
+
+        Stops after `_MOST_HOPS` rounds.
+        """
         for _ in range(_MOST_HOPS):
             if not self._waiting:
                 return
@@ -128,7 +132,7 @@
 
 @attrs.define(eq=False)
 class SimulatedNet(PeerNet):
-    """One router's net."""
+    """Peer network of one router."""
 
     fabric: Fabric
     linked: dict[str, Member] = attrs.field(factory=dict)
@@ -138,18 +142,18 @@
     _homes: dict[str, Member] = attrs.field(factory=dict)
 
     def know(self, alive: list[Member], every: list[Member]) -> None:
-        """Hold these to be alive, and the others to be dead."""
+        """Set the members; all other routers count as dead."""
         names = {member.incarnation for member in alive}
         self._alive = tuple(alive)
         self._gone = tuple(one for one in every if one.incarnation not in names)
         self._homes = {}
 
     def members(self) -> tuple[Member, ...]:
-        """Return the routers held to be alive."""
+        """Return the routers that count as alive."""
         return self._alive
 
     def departed(self) -> tuple[Member, ...]:
-        """Return the routers held to be dead."""
+        """Return the routers that count as dead."""
         return self._gone
 
     def neighbours(self) -> tuple[Member, ...]:
@@ -157,14 +161,14 @@
         return tuple(self.linked.values())
 
     def home(self, key: str) -> Member:
-        """Return a key's home in the zone."""
+        """Return the home router of a key in the own zone."""
         if key not in self._homes:
             local = pick_local(self._alive, self.me.zone)
             self._homes[key] = heaviest(key, local) or self.me
         return self._homes[key]
 
     def on(self, kind: type[Message], taker: Taker) -> None:
-        """Name a taker."""
+        """Register the handler of a message type."""
         self.takers[kind] = taker
 
     async def ask(
@@ -173,7 +177,7 @@
         message: Message,
         gaps: int = 1,
     ) -> Message | PeerFault:
-        """Answer nothing; rates ask nobody."""
+        """Return `NO_ANSWER`, since rate limits send no requests."""
         return NO_ANSWER
 
     def tell(self, incarnation: str, message: Message) -> bool:
@@ -182,7 +186,7 @@
         return True
 
     def spread(self, message: Message, besides: str = '') -> None:
-        """Send to the linked routers."""
+        """Send a message to all linked routers but one."""
         for name in tuple(self.linked):
             if name != besides:
                 self.tell(name, message)
--- a/bench/rates_scenarios.py
+++ b/bench/rates_scenarios.py
@@ -1,4 +1,4 @@
-"""How far a team's enforced rate strays from its row's, by scenario."""
+"""Error of a team's enforced rate against its row, by scenario."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 STEP = 0.25
 _MINUTE = 60
 _SHORT = 10
-#: Seconds until a dead or cut-off router is held to be dead.
+#: Seconds until a dead or disconnected router counts as dead.
 _NOTICED = 3
 _BEGIN = 120
 _END = 300
@@ -28,18 +28,20 @@
 
 @attrs.frozen
 class Scenario:
-    """Demand of one team, and what happens to the fleet meanwhile.
+    """Demand of one team and a fault of the fleet.
 
     Parameters
     ----------
     demand : float
-        Requests a second, as a multiple of the limit.
+        Request rate, as a multiple of the limit.
     through : int
-        Routers that the demand comes through, spread over them; 0 for all.
+        Number of routers that get the requests; 0 for all.
     event : str
-        What happens after two minutes: empty, ``step`` (demand begins),
-        ``cut`` (into halves, one with the first router) or ``death`` (of
-        the home of the first router's zone).
+        Event after two minutes: empty, ``step`` (demand begins), ``cut``
+        (partition into halves) or ``death`` (of a home router in the first
+        router's zone).
+    limit : int
+        Requests per minute of the team; by default 30 per router.
     """
 
     demand: float
@@ -70,9 +72,9 @@
     Parameters
     ----------
     scenario : Scenario
-        What happens.
+        Demand and event.
     way : str
-        How rates are told.
+        Implementation of rate limits, a key of `WAYS`.
     fabric : Fabric
         The fleet.
     """
@@ -86,7 +88,7 @@
     admitted: list[int] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
-        # Enough that each router's part is not a fraction of a request.
+        # Enough that a router's part isn't a fraction of a request.
         limit = self.scenario.limit or 30 * self.fabric.routers
         self.row = TeamRow(name='team-00001', requests_per_minute=limit)
         make = WAYS[self.way]
@@ -96,7 +98,7 @@
         }
 
     async def run(self) -> Mapping[str, float]:
-        """Run to the end and return the errors."""
+        """Run the scenario and return the errors."""
         rng = random.Random(self.fabric.seed)
         starts = {name: rng.random() * _SHORT for name in self.limits}
         steps = round(_END / STEP)
@@ -165,7 +167,7 @@
         return found | {'refused though within': self._refused(begin)}
 
     def _most(self, begin: int, seconds: int) -> float:
-        """Return the most admitted in a span, as a multiple of the rate."""
+        """Return the maximum admitted in a span, as a multiple of the limit."""
         span = round(seconds / STEP)
         allowed = self.row.requests_per_minute / _MINUTE * seconds
         return max(
@@ -181,21 +183,21 @@
         )
 
     def _ratio(self, begin: int, end: int) -> float:
-        """Return admitted requests over those that the limit allows."""
+        """Return the ratio of admitted requests to those wanted and allowed."""
         seconds = (end - begin) * STEP
         allowed = self.row.requests_per_minute / _MINUTE * seconds
         wanted = sum(self.wanted[begin:end])
         return sum(self.admitted[begin:end]) / max(1, min(wanted, allowed))
 
     def _refused(self, begin: int) -> float:
-        """Return the part refused of what the limit would have allowed."""
+        """Return the fraction refused of the requests that the limit allows."""
         return max(0, 1 - self._ratio(begin, len(self.wanted)))
 
 
 def measure(
     name: str, way: str, routers: int, seed: int
 ) -> Mapping[str, object]:
-    """Return the errors of one scenario."""
+    """Run one scenario and return a row of its errors."""
     trial = Trial(SCENARIOS[name], way, Fabric(routers, seed))
     errors = asyncio.run(trial.run())
     head = {'scenario': name, 'routers': routers, 'way': way}
--- a/bench/readers.py
+++ b/bench/readers.py
@@ -1,7 +1,8 @@
-"""Reads many stamped streams at once, run as a process.
+"""Process that reads many timestamped streams concurrently.
 
-It is told on the command line where, how many and how long, and prints one
-line of JSON when it begins and one with the latencies when it is done.
+Its command arguments are address, number of streams, tokens per stream and
+API key. It prints one line of JSON at the start and one with the latencies at
+the end.
 """
 
 import asyncio
@@ -19,7 +20,7 @@
 _ACCEPTED = b'HTTP/1.1 200'
 _EVENT_END = b'}\n\n'
 _DONE = b'data: [DONE]'
-#: This part of a stream's tokens is left out at its beginning and end.
+#: Divisor of a stream's tokens; that many are left out at either end.
 _EDGE = 5
 _LONGEST_US = 60_000_000
 _NS_PER_US = 1000
@@ -27,7 +28,7 @@
 
 @attrs.define
 class Tally:
-    """What all streams of the process met."""
+    """Counts and latencies of all streams of the process."""
 
     latencies: HdrHistogram = attrs.field(
         factory=lambda: HdrHistogram(1, _LONGEST_US, 3),
@@ -38,7 +39,7 @@
     refused: int = 0
 
     def take(self, stamps: list[bytes]) -> None:
-        """Note how long stamped tokens were on their way."""
+        """Record the latencies of tokens, from their timestamps in ns."""
         now = time.monotonic_ns()
         for stamp in stamps:
             late_us = (now - int(stamp)) // _NS_PER_US
@@ -46,7 +47,7 @@
             self.chunks += 1
 
     def as_json(self) -> dict[str, Any]:
-        """Return counts and quantiles in milliseconds."""
+        """Return counts, and latency quantiles in milliseconds."""
         quantile = self.latencies.get_value_at_percentile
         return {
             'chunks': self.chunks,
@@ -78,21 +79,22 @@
         transport.write(self._request)
 
     def data_received(self, received: bytes) -> None:
-        """Take in tokens; close after the end mark."""
+        """Record tokens; close the connection after the end marker."""
         if not self._begun:
             self._begun = True
             self._accepted = received.startswith(_ACCEPTED)
             if not self._accepted:
                 self._tally.refused += 1
                 self._transport.close()
-        # A chunk cut in two by the network would hide its stamp.
+        # The timestamp of an event that arrives in two parts would be missed,
+        # so an incomplete event is kept for the next call.
         received = self._tail + received
         cut = received.rfind(_EVENT_END) + 1
         self._tail = received[cut:]
         stamps = _STAMP.findall(received, 0, cut)
         self._left -= len(stamps)
-        # All streams begin and end together, which callers don't; the
-        # tokens near either end would tell of that burst alone.
+        # Unlike those of real callers, all streams start and end together,
+        # so tokens near either end would only measure that burst.
         if self._edge < self._left < self._tokens - self._edge:
             self._tally.take(stamps)
         if _DONE in received:
@@ -100,7 +102,7 @@
             self._transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Count an answer without end mark as short."""
+        """Count an answer without end marker as short."""
         self._note(whole=False)
 
     def _note(self, *, whole: bool) -> None:
@@ -112,7 +114,7 @@
 
 
 def make_request(secret: str, tokens: int) -> bytes:
-    """Return the bytes of one streaming request."""
+    """Return the bytes of one streaming chat request."""
     body = json.dumps(
         {
             'model': 'model-a',
@@ -135,7 +137,7 @@
     tokens: int,
     secret: str,
 ) -> Tally:
-    """Read a number of streams at once to their ends."""
+    """Read a number of streams concurrently to their ends."""
     tally = Tally()
     request = make_request(secret, tokens)
     ip, port = address.split(':')
@@ -150,7 +152,7 @@
 
 
 async def main() -> None:
-    """Read as told and print the latencies."""
+    """Read the streams and print the latencies."""
     address, streams, tokens, secret = sys.argv[1:]
     _print({'address': address})
     tally = await read_all(address, int(streams), int(tokens), secret)
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""What a scenario found, and which promises it saw broken."""
+"""Report of a scenario: its figures and the broken promises."""
 
 import json
 from pathlib import Path
@@ -8,17 +8,17 @@
 
 from bench.series import Series
 
-#: Keys that must be zero in every run, by the promise behind them.
+#: Figures that must be zero in every run, with the promise that each checks.
 PROMISES = {
     'overspend_tokens': "a team's spend stays within its prepaid budget",
     'double_bills': 'each request is billed once',
     'missing_bills': 'each request is billed',
-    'wrong_answers': 'a caller gets its own whole answer',
-    'ran_though_refused': 'what is called not run was not run',
+    'wrong_answers': 'a caller gets the complete answer to its own request',
+    'ran_though_refused': 'a request reported as not run was not run',
     'cut_by_shutdown': 'a graceful shutdown cuts off no request',
-    'late_work': 'a leaving target gets no new work after seconds',
+    'late_work': 'a leaving target gets no new work after a few seconds',
 }
-#: Keys of every scenario whose callers ask for answers.
+#: Figures of every scenario whose callers send requests.
 COMMON_KEYS = (
     'overspend_tokens',
     'false_refusals',
@@ -44,15 +44,15 @@
     Parameters
     ----------
     scenario : str
-        Its name.
+        Name of the scenario.
     seed : int
-        Seed of its randomness.
+        Seed of its random numbers.
     figures : dict
-        Figures by the keys that the documents use.
+        Figures by the keys used in the documentation.
     baseline : dict
-        The same of the baseline in the same run.
+        Figures of the baseline in the same run.
     series : Series
-        What is drawn.
+        Data for the plot.
     """
 
     scenario: str
@@ -62,7 +62,7 @@
     series: Series = attrs.field(factory=Series)
 
     def broken(self) -> list[str]:
-        """Return the promises that the run saw broken."""
+        """Return a message for each promise that the run found broken."""
         found = [
             f'{promise}: {key} = {self.figures[key]}'
             for key, promise in PROMISES.items()
@@ -74,7 +74,7 @@
         return found
 
     def as_json(self) -> dict[str, Any]:
-        """Return everything that the file holds."""
+        """Return the content of the JSON file."""
         head = {'scenario': self.scenario, 'seed': self.seed}
         return head | self.figures | {'baseline': self.baseline}
 
@@ -87,7 +87,7 @@
         return path
 
     def table(self) -> str:
-        """Return the figures as lines of a table."""
+        """Return the figures as a table for printing."""
         keys = [*self.figures, *(self.baseline.keys() - self.figures.keys())]
         lines = [f'{self.scenario:<28}{"measured":>14}{"baseline":>14}']
         for key in keys:
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -1,4 +1,4 @@
-"""Measure the routing decisions in virtual time: ``python -m bench.routing``.
+"""Benchmarks of routing in virtual time: ``python -m bench.routing``.
 
 Prints one table per scenario and seed, and all rows as JSON at the end.
 """
@@ -29,7 +29,7 @@
 @click.option('--seed', 'seeds', multiple=True, type=int, default=(1,))
 @click.option('--only', multiple=True, type=click.Choice(tuple(_ALL)))
 def main(seeds: tuple[int, ...], only: tuple[str, ...]) -> None:
-    """Run the scenarios with each seed."""
+    """Run the benchmarks with each seed."""
     every = []
     for name in only or _ALL:
         for seed in seeds:
@@ -43,7 +43,7 @@
 
 
 def print_table(rows: list[dict]) -> None:
-    """Print rows that have the same keys."""
+    """Print rows with equal keys as a table."""
     names = list(rows[0])
     lines = [names, *([_shown(row[name]) for name in names] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
--- a/bench/routing_cache.py
+++ b/bench/routing_cache.py
@@ -1,4 +1,4 @@
-"""Cache events of the fake targets, late and with gaps."""
+"""Delayed and incomplete cache events of fake targets."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 @attrs.define
 class _Client(TargetClient):
-    """Reads the caches of fake targets, by address."""
+    """Target client that reads the caches of fake targets."""
 
     caches: Mapping[str, Any]
     lag: float
@@ -35,7 +35,7 @@
         *,
         fresh: bool = False,
     ) -> LoadReport | TargetFault:
-        """Refuse: the fleet tells loads."""
+        """Not supported; the fleet delivers load reports itself."""
         raise NotImplementedError
 
     async def cache_events(
@@ -43,7 +43,7 @@
         address: str,
         since: int,
     ) -> CacheEvents | TargetFault:
-        """Return the events up to some seconds ago."""
+        """Return the events that are at least ``lag`` seconds old."""
         now = asyncio.get_running_loop().time()
         told = self.caches[address].cache.events(since, now - self.lag)
         return CacheEvents(
@@ -55,27 +55,27 @@
         )
 
     async def order(self, address: str, order: Order) -> TargetFault | None:
-        """Refuse: nobody gives orders here."""
+        """Not supported; the benchmarks send no orders."""
         raise NotImplementedError
 
 
 @attrs.frozen
 class CacheTelling:
-    """How cache events reach the routers.
+    """Delay and loss of cache events on their way to the routers.
 
     Parameters
     ----------
     lag : float
-        Seconds after which an event is told.
+        Delay of events in seconds.
     lost : float
-        Share of events never told.
+        Share of lost events.
     """
 
     lag: float = 0
     lost: float = 0
 
     def make_cache(self, blocks: int, seed: str) -> PrefixCache:
-        """Return a cache that tells its events so."""
+        """Return a cache that loses this share of its events."""
         rng = random.Random(seed)
         return PrefixCache(
             blocks,
@@ -89,7 +89,7 @@
         targets: Targets,
         caching: Iterable[Any],
     ) -> CacheFollower:
-        """Return a router's follower of all targets."""
+        """Return a router's cache follower for all targets."""
         caches = {one.address: one for one in caching}
         client = _Client(caches, self.lag)
         return CacheFollower(cfg, targets, client, LoopClock(), Metrics())
--- a/bench/routing_chats.py
+++ b/bench/routing_chats.py
@@ -1,4 +1,4 @@
-"""Conversations of a scenario, drawn from a seed."""
+"""Random multi-turn conversations as a load."""
 
 import random
 
@@ -6,7 +6,8 @@
 from bench.routing_fleet import BLOCK, Work
 from bench.routing_works import DECODE, Traffic
 
-#: Conversations share few instructions and grow from turn to turn.
+#: Each conversation starts with one of a few system prompts and grows with each
+#: turn.
 _SYSTEMS = 4
 _SYSTEM_BLOCKS = 12
 _TURN_BLOCKS = 6
@@ -15,7 +16,7 @@
 
 
 def make_chats(traffic: Traffic, routers: int, seed: int) -> list[Work]:
-    """Return conversations, whose turns reach the routers at random."""
+    """Return the turns of conversations, each at a random router."""
     rng = random.Random(f'{seed}-{traffic.team}')
     works = []
     started = 0.0
--- a/bench/routing_cpu.py
+++ b/bench/routing_cpu.py
@@ -1,4 +1,4 @@
-"""Processor time of one placement at 10,000 targets."""
+"""CPU time per placement with 10,000 targets."""
 
 import asyncio
 import random
@@ -22,7 +22,7 @@
 
 
 def measure_cpu(seed: int) -> list[dict]:
-    """Time placements of all policies that a fleet may be set to."""
+    """Measure placements for each of three policies."""
     return [
         asyncio.run(_measure(policy, seed))
         for policy in ('two_choices', 'affinity', 'least_requests')
@@ -84,7 +84,7 @@
     rng: random.Random,
     models: int = MODELS,
 ) -> None:
-    """Place requests for so many models, a thousand in progress at most."""
+    """Place requests for a number of models, with 1000 in progress at most."""
     held = []
     for number in range(placements):
         ask = Ask(
--- a/bench/routing_fleet.py
+++ b/bench/routing_fleet.py
@@ -1,4 +1,4 @@
-"""Fake targets and routers for measuring routing in virtual time."""
+"""Fake targets and routers for the routing benchmarks."""
 
 import asyncio
 import random
@@ -27,18 +27,18 @@
 
 @attrs.define(eq=False)
 class FakeTarget:
-    """Slots, a first-come queue and a prefix cache.
+    """Target with slots, a FIFO queue and a prefix cache.
 
     Parameters
     ----------
     name : str
         Name of its row.
     slots : int
-        Requests run at once.
+        Maximum number of concurrent requests.
     cache_blocks : int
-        Blocks its cache holds.
+        Capacity of its cache in blocks.
     fails : str
-        How it fails: empty, ``refuses`` or ``errors``.
+        Kind of failure: empty, ``refuses`` or ``errors``.
     """
 
     name: str
@@ -57,11 +57,11 @@
 
     @property
     def address(self) -> str:
-        """Where it would listen; its name ends in its number."""
+        """Unique address, from the number at the end of its name."""
         return f'127.0.0.1:{9000 + int(self.name.rpartition("-")[2])}'
 
     def report(self, now: float) -> LoadReport:
-        """Return its load now."""
+        """Return its current load."""
         return LoadReport(
             running=self.running,
             queued=len(self._queue),
@@ -71,7 +71,7 @@
         )
 
     async def serve(self, outcome: 'Outcome', slot: Slot) -> Verdict:
-        """Run one request."""
+        """Run one request and return the verdict."""
         if self.fails == 'refuses':
             return Verdict.REFUSED
         if self.fails == 'errors':
@@ -138,7 +138,7 @@
 
 @attrs.define
 class Outcome:
-    """What became of one request."""
+    """Result of one request; times in seconds since its arrival."""
 
     work: Work
     first: float = 0
@@ -150,18 +150,26 @@
 
 @attrs.define(eq=False)
 class Fleet:
-    """Targets and routers joined by lagging reports.
+    """Targets and routers that get delayed load reports.
 
     Parameters
     ----------
     targets : list of FakeTarget
-        The targets.
+        Fake targets.
     policy : str
-        Setting ``[routing] policy``.
+        Value of the setting ``[routing] policy``.
     lag : float
-        Age of reports as they arrive, in seconds.
+        Delay of load reports in seconds.
     seed : int
-        Seed of the routers' randomness.
+        Seed of the routers' random numbers.
+    routers : int
+        Number of routers.
+    weights : dict of str to float
+        Weights of targets by name; 1 by default.
+    options : tuple of str
+        Further settings of the routers.
+    events : CacheTelling or None
+        Delivery of cache events, if routers follow them.
     """
 
     targets: list[FakeTarget]
@@ -177,7 +185,7 @@
     events: CacheTelling | None = None
 
     def start(self) -> list[asyncio.Task]:
-        """Make the routers and start what runs by itself."""
+        """Create the routers and return their background tasks."""
         cfg = read_settings(
             None,
             (
@@ -211,7 +219,7 @@
         return tasks
 
     async def run(self, work: Work) -> Outcome:
-        """Run one request from its arrival to its end."""
+        """Run one request, starting at its time of arrival."""
         loop = asyncio.get_running_loop()
         await asyncio.sleep(work.at - loop.time())
         outcome = Outcome(work)
@@ -285,7 +293,7 @@
 
 
 async def run_all(fleet: Fleet, works: list[Work]) -> list[Outcome]:
-    """Run every request of a scenario and return what became of them."""
+    """Run all requests of a scenario and return their outcomes."""
     background = fleet.start()
     outcomes = await asyncio.gather(*(fleet.run(work) for work in works))
     for task in background:
--- a/bench/routing_hedges.py
+++ b/bench/routing_hedges.py
@@ -1,4 +1,4 @@
-"""Measures hedges by real attempts at fake targets, one of them slow."""
+"""Benchmark of hedged requests with fake targets, one of them slow."""
 
 import asyncio
 import itertools
@@ -25,7 +25,7 @@
 MODEL = 'model-a'
 _TARGETS = 8
 _REQUESTS = 6000
-#: Requests a second; the targets' slots are used to a quarter and to 0.7.
+#: Requests per second, which use 0.25 and 0.7 of the targets' slots.
 _RATES = (40.0, 110.0)
 _SLOTS = 4
 _USUAL = 0.1
@@ -37,7 +37,7 @@
 
 @attrs.define(eq=False)
 class _Engines(Upstream):
-    """Streams that take longer for their first event at one target."""
+    """Fake engines; one target takes longer for the first event."""
 
     rng: random.Random
     slow: str
@@ -47,7 +47,7 @@
     _slots: dict[str, asyncio.Semaphore] = attrs.field(factory=dict)
 
     async def send(self, attempt: Attempt, intake: Intake) -> None:
-        """Answer a request; a cancel needs no answer."""
+        """Answer a request; a cancellation needs no answer."""
         if attempt.call.method == 'DELETE' or not intake.before_send():
             return
         self.sent += 1
@@ -63,7 +63,7 @@
             self._busy[name] -= 1
 
     async def report(self, targets: Targets) -> None:
-        """Tell each target's load again and again."""
+        """Report the load of each target periodically."""
         while True:
             now = asyncio.get_running_loop().time()
             for name, target in targets.by_name.items():
@@ -91,22 +91,22 @@
 
 @attrs.define(eq=False)
 class _Caller(Output):
-    """Notes when its first byte came."""
+    """Output that records the time of its first byte."""
 
     status: int = 0
     first_at: float = 0
 
     def start(self, status: int, headers: dict[str, str]) -> None:
-        """Take the head, with the first bytes behind it."""
+        """Record status and time; the first bytes follow at once."""
         self.status = status
         self.first_at = asyncio.get_running_loop().time()
 
     def write(self, chunk: bytes) -> None:
-        """Drop the body."""
+        """Discard the body."""
 
 
 def measure_hedges(seed: int) -> list[dict]:
-    """Compare the time to the first byte with and without hedges."""
+    """Compare the time to first byte with and without hedging."""
     return [
         run_virtually(_measure(hedge, slow, rate, seed))
         for rate, slow, hedge in itertools.product(
--- a/bench/routing_hints.py
+++ b/bench/routing_hints.py
@@ -1,4 +1,4 @@
-"""Measures what cache events add to prefix affinity."""
+"""Benchmark of cache events for prefix affinity."""
 
 from bench.routing_cache import CacheTelling
 from bench.routing_chats import make_chats
@@ -20,12 +20,12 @@
     CacheTelling(lag=10, lost=0.5),
     CacheTelling(lag=185),
 )
-#: Prompts with the blocks that an engine's cache holds.
+#: Kinds of prompts: the load function and the cache size in blocks.
 _WORKS = {'prefixes': (make_works, 512), 'chats': (make_chats, 2048)}
 
 
 def measure_hints(seed: int) -> list[dict]:
-    """Compare cache hits with and without cache events, late or lost."""
+    """Compare cache hits without, with late and with lost cache events."""
     return [
         _hints(prompts, events, seed)
         for prompts in _WORKS
--- a/bench/routing_loop.py
+++ b/bench/routing_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose time jumps to the next timer, and a clock on it."""
+"""Event loop in virtual time, which skips to the next timer."""
 
 import asyncio
 import selectors
@@ -12,15 +12,15 @@
         self.now = 0.0
 
     def select(self, timeout=None):
-        """Let the wait pass at once; nothing real is waited for."""
+        """Advance the time by the timeout without waiting."""
         if timeout is None:
-            raise RuntimeError('every task waits for another: deadlock')
+            raise RuntimeError('deadlock: all tasks wait and no timer is set')
         self.now += max(timeout, 0)
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs hours in seconds, with the same order of events each time."""
+    """Event loop in virtual time with a deterministic order of events."""
 
     def __init__(self) -> None:
         self._jumping = _JumpingSelector()
@@ -32,7 +32,7 @@
 
 
 class LoopClock(Clock):
-    """The time of the running loop."""
+    """Clock that shows the time of the running loop."""
 
     def now(self) -> float:
         """Return the loop's time."""
@@ -48,6 +48,6 @@
 
 
 def run_virtually(main):
-    """Run a coroutine on a virtual loop and return what it returns."""
+    """Run a coroutine in virtual time and return its result."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(main)
--- a/bench/routing_scenarios.py
+++ b/bench/routing_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios that measure choice, overload, fairness, retries and shares."""
+"""Benchmarks of target choice, overload, fairness, retries and shares."""
 
 from collections import Counter
 
@@ -27,7 +27,7 @@
 
 
 def quantile(numbers: list[float], share: float) -> float:
-    """Return the number that a share of all stays below."""
+    """Return the quantile of numbers at a fraction from 0 to 1."""
     ordered = sorted(numbers)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
@@ -42,7 +42,7 @@
 
 
 def measure_choice(seed: int) -> list[dict]:
-    """Compare policies at equal load: cache hits and first token."""
+    """Compare cache hits and time to first token of policies."""
     rate = 0.75 * capacity(TARGETS, SLOTS)
     rows = []
     for lag in (0.0, 2.0):
@@ -68,7 +68,7 @@
 
 
 def measure_overload(seed: int) -> list[dict]:
-    """Compare useful work at twice the capacity with that at capacity."""
+    """Compare throughput at several loads with the best near capacity."""
     rows = []
     for load in (0.9, 1.0, 1.1, 2.0, 3.0):
         rate = load * capacity(TARGETS, SLOTS)
@@ -93,7 +93,7 @@
 
 
 def _limits(fleet: Fleet) -> float:
-    """Return the mean over targets of all routers' limits together."""
+    """Return the mean per target of the sum of all routers' limits."""
     pools = [node[0].admission.picker.pools for node in fleet.nodes]
     limits = [
         state.limit.limit for pool in pools for state in pool.states.values()
@@ -102,7 +102,7 @@
 
 
 def measure_fairness(seed: int) -> list[dict]:
-    """Compare a quiet team's latency alone and beside a flood."""
+    """Compare a quiet team's latency with and without a flooding team."""
     rows = [
         _beside(name, flood, seed)
         for name, flood in (('alone', 0), ('half', 0.5), ('flood', 2.0))
--- a/bench/routing_works.py
+++ b/bench/routing_works.py
@@ -1,4 +1,4 @@
-"""Requests of the scenarios, drawn from a seed."""
+"""Random requests with shared prompt prefixes as a load."""
 
 import itertools
 import random
@@ -16,18 +16,20 @@
 
 @attrs.frozen
 class Traffic:
-    """A stream of requests of one team.
+    """Parameters of the requests of one team.
 
     Parameters
     ----------
     team : str
-        Its name.
+        Name of the team.
     rate : float
-        Requests a second.
+        Mean requests per second.
     seconds : float
-        How long it lasts.
+        Duration of the load.
     deadline : float
-        Seconds each request may take.
+        Maximum duration of a request in seconds.
+    idempotent_share : float
+        Share of idempotent requests.
     """
 
     team: str
@@ -67,6 +69,6 @@
 
 
 def capacity(targets: int, slots: int) -> float:
-    """Return the requests a second that targets manage without a cache."""
+    """Return the requests per second that targets serve without a cache."""
     blocks = SHARED_BLOCKS + OWN_BLOCKS
     return targets * slots / (OVERHEAD + PREFILL * blocks + DECODE)
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,4 +1,4 @@
-"""What every scenario is given."""
+"""Context of a scenario run and its platform outages."""
 
 import math
 import random
@@ -12,14 +12,14 @@
 
 @attrs.define
 class Outage:
-    """A time in which routers could not reach the platform.
+    """Period in which routers could not reach the platform.
 
     Parameters
     ----------
     since, until : float
-        Its ends on the monotonic clock.
+        Start and end on the monotonic clock.
     routers : frozenset of str
-        Names of the routers cut off; empty for all of them.
+        Names of the disconnected routers; empty for all routers.
     """
 
     since: float
@@ -27,7 +27,7 @@
     routers: frozenset[str] = frozenset()
 
     def meets(self, router: str, at: float) -> bool:
-        """Return whether a router was cut off at a moment."""
+        """Return whether a router was disconnected at a time."""
         named = not self.routers or router in self.routers
         return named and self.since <= at < self.until
 
@@ -39,15 +39,21 @@
     Parameters
     ----------
     name : str
-        The scenario.
+        Name of the scenario.
     seed : int
-        Seed of all its randomness.
+        Seed of all its random numbers.
     smoke : bool
-        Whether only a few requests are made, for the tests.
+        Whether only a few requests are sent, for the tests.
     fleet : Fleet
-        Its processes.
+        Processes of the run.
     sabotage : bool
-        Whether the recorded spend is tampered with before it is audited.
+        Whether an overspend is recorded before the audit, which must find it.
+    rng : random.Random
+        Random numbers from the seed.
+    outages : list of Outage
+        Platform outages so far.
+    began : float
+        Start on the monotonic clock.
     """
 
     name: str
@@ -60,26 +66,26 @@
     began: float = attrs.field(factory=time.monotonic)
 
     def __attrs_post_init__(self) -> None:
-        """Seed the randomness."""
+        """Create the random number generator."""
         self.rng = random.Random(self.seed)
 
     def scale(self, full: int, small: int) -> int:
-        """Return a count for this kind of run."""
+        """Return ``small`` for a smoke run, else ``full``."""
         return small if self.smoke else full
 
     def lose_platform(self, *routers: str) -> None:
-        """Note that routers, or all, can't reach the platform from now on."""
+        """Record the start of an outage for the named routers, or for all."""
         self.outages.append(Outage(self.now(), routers=frozenset(routers)))
 
     def regain_platform(self) -> None:
-        """Note that the platform can be reached again."""
+        """Record the end of the last outage."""
         self.outages[-1].until = self.now()
 
     def now(self) -> float:
-        """Return the moment on the clock of all figures."""
+        """Return the time on the monotonic clock."""
         return time.monotonic()
 
     def say(self, text: str) -> None:
-        """Print progress."""
+        """Print a progress message to stderr."""
         passed = self.now() - self.began
         sys.stderr.write(f'[{passed:6.1f} s] {self.name}: {text}\n')
--- a/bench/scenarios/crash.py
+++ b/bench/scenarios/crash.py
@@ -10,7 +10,7 @@
 async def run(run: Run) -> Report:
     """Kill routers one by one and start a replacement for each."""
     zones = ('zone-a',) * run.scale(4, 2)
-    # A long flush interval leaves unrecorded bills at each kill.
+    # Bills are recorded late, so that some are unrecorded at each kill.
     setup = await set_up(run, zones, budget__flush_interval='5s')
     await warm(setup)
     load = setup.load(rate=60, singles=0.2, words=40)
--- a/bench/scenarios/double.py
+++ b/bench/scenarios/double.py
@@ -9,7 +9,7 @@
 
 async def run(run: Run) -> Report:
     """Kill a router whose bills can't be recorded, then end the outage."""
-    # A long flush interval leaves unrecorded bills at the kill.
+    # Bills are recorded late, so that some are unrecorded at the kill.
     zones = ('zone-a',) * 3
     setup = await set_up(run, zones, budget__flush_interval='5s')
     await warm(setup)
--- a/bench/series.py
+++ b/bench/series.py
@@ -1,4 +1,4 @@
-"""What a scenario met over time, for its plot."""
+"""Data for the plot of a scenario."""
 
 import attrs
 
@@ -8,22 +8,22 @@
 
 @attrs.define
 class Series:
-    """Everything that is drawn.
+    """Values that a plot shows.
 
     Parameters
     ----------
     began : float
         Start of the run on the monotonic clock.
     outcomes : list of Outcome
-        What callers got.
+        Outcomes of all requests.
     direct_s, routed_s : list of float
-        Seconds that small requests took directly and through a router.
+        Latencies of small requests, direct and through a router, in seconds.
     in_force_s : list of float
-        Seconds until edits were in force.
+        Seconds until each edit was in force.
     outages : list of Outage
-        Times without the platform.
+        Platform outages.
     ways : dict of str to dict
-        Latencies in ms by quantile, of each way of a relayed stream.
+        Latencies in ms by quantile, for each path of a relayed stream.
     """
 
     began: float = 0
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,6 +1,6 @@
-"""Measures what one more of anything costs: ``python -m bench.slopes --all``.
+"""Marginal costs in CPU, memory and traffic: ``python -m bench.slopes --all``.
 
-The figures of docs/CAPACITY.md are worked out from these slopes.
+The figures of docs/CAPACITY.md are computed from these slopes.
 """
 
 import json
@@ -42,12 +42,13 @@
 
 @click.command()
 @click.argument('names', nargs=-1, type=click.Choice(tuple(_MEASURES)))
-@click.option('--all', 'everything', is_flag=True, help='Every measurement.')
+@click.option('--all', 'everything', is_flag=True, help='Run all measurements.')
 @click.option('--runs', default=_RUNS, show_default=True)
-@click.option('--smoke', is_flag=True, help='Small sizes, for the tests.')
+@click.option('--smoke', is_flag=True, help='Use small sizes, for the tests.')
 def main(names: tuple[str, ...], **options: Any) -> None:
     """Measure slopes by name, print a table, write build/bench/slopes.json."""
-    # A line for each allotment taken over would bury the figures.
+    # There would be a log line for each allotment taken over, which would hide
+    # the figures.
     logging.disable()
     wanted = tuple(_MEASURES) if options['everything'] else names
     found: dict[str, Any] = {}
--- a/bench/slopes_budgets.py
+++ b/bench/slopes_budgets.py
@@ -1,4 +1,4 @@
-"""What budgets ask of the table service, in virtual time."""
+"""Load of budgets on the table service, in virtual time."""
 
 import asyncio
 import random
@@ -27,7 +27,7 @@
 _FLEETS = (2, 4, 8, 16)
 _DRAWERS = (1, 4, 16, 64)
 _CROWDS = (64, 256, 910)
-#: Draw exactly what a request needs.
+#: Settings with which a draw gets exactly what a request needs.
 _NO_STOCK = (
     'budget.draw_ahead=0s',
     'budget.partition_cover=0s',
@@ -37,17 +37,17 @@
 
 @attrs.define
 class CountingTable:
-    """A table service that counts the conflicts it answers with."""
+    """Wrapper of a table service that counts conflicts."""
 
     table: MemoryTableService
     conflicts: int = 0
 
     def __getattr__(self, name: str) -> Any:
-        """Leave everything else to the table."""
+        """Return any other attribute of the table service."""
         return getattr(self.table, name)
 
     async def commit(self, change: Commit) -> Any:
-        """Commit and count."""
+        """Commit, and count the outcome if it is a conflict."""
         outcome = await self.table.commit(change)
         self.conflicts += outcome == CONFLICT
         return outcome
@@ -60,9 +60,15 @@
     Parameters
     ----------
     rng : random.Random
-        Draws times, teams and routers.
+        Random numbers for times, teams and routers.
     platform : MemoryPlatform
-        Its table service takes ``_DELAY_S`` for each call.
+        Platform whose table service takes ``_DELAY_S`` for each call.
+    table : CountingTable
+        Its table service.
+    routers : list of Budgets
+        Budgets of the routers.
+    refused : int
+        Number of refused requests.
     """
 
     rng: random.Random
@@ -79,7 +85,7 @@
         seed: int,
         *settings: str,
     ) -> 'Crowd':
-        """Start routers that hold nothing yet."""
+        """Create routers that hold no tokens yet."""
         clock = LoopClock()
         platform = await fund(teams, clock)
         platform.weather.delay_s = _DELAY_S
@@ -96,7 +102,7 @@
         return crowd
 
     async def serve(self, shares: dict[str, float], rate: float, count: int):
-        """Serve requests at a rate, then record what is left to record."""
+        """Serve requests at a rate until all have ended."""
         upkeep = [asyncio.create_task(one.run()) for one in self.routers]
         requests = []
         names, weights = list(shares), list(shares.values())
@@ -131,7 +137,7 @@
 
 async def _use(routers: int, size: Size) -> Mapping[str, float]:
     count = size.scale(12000, 200)
-    # Zipf's law: the first of 60 teams makes a fifth of the requests.
+    # By Zipf's law, the first of 60 teams sends a fifth of the requests.
     shares = {f'team-{rank}': 1 / rank for rank in range(1, 61)}
     crowd = await Crowd.start(routers, list(shares), size.seed)
     weather = crowd.platform.weather
@@ -148,8 +154,8 @@
 
 
 def _sparse(size: Size) -> Mapping[str, float]:
-    # One router's share of 73,000 requests a second of 36,000 teams, where
-    # the balancer sends each request to any of 910 routers.
+    # One router's share of 73,000 requests per second of 36,000 teams, if the
+    # load balancer sends each request to any of 910 routers.
     return run_virtually(_serve_sparsely(size))
 
 
@@ -178,8 +184,8 @@
 
 
 async def _race(drawers: int, size: Size) -> Mapping[str, float]:
-    # A request as large as the smallest draw, made again as soon as it is
-    # answered and never billed, needs a draw of its own each time.
+    # Each request is as large as the minimum draw, follows the last one at
+    # once and is never billed, so each needs its own draw.
     crowd = await Crowd.start(drawers, ['team'], size.seed, *_NO_STOCK)
     seconds = size.scale(20, 2)
     began = crowd.platform.weather.writes
--- a/bench/slopes_cpu.py
+++ b/bench/slopes_cpu.py
@@ -1,4 +1,4 @@
-"""Processor time and bytes of one more message, edit or bill."""
+"""CPU time and bytes per message, table edit and bill."""
 
 import asyncio
 import json
@@ -36,7 +36,7 @@
 
 
 def _samples() -> dict[str, Message]:
-    """Return one message of each kind that control sends often."""
+    """Return one sample of each frequent message between routers."""
     row = table_size.team(1)
     body = json.dumps(row.value, separators=(',', ':'))
     reports = tuple(_report(number) for number in range(_REPORTS))
@@ -139,7 +139,7 @@
     began = time.process_time()
     await budgets.flush()
     settled = cpu_us_since(began, count)
-    # The table service is in the same process, so its part counts, too.
+    # These include the table service, since it is in the same process.
     return {'reserve_and_bill_us': reserved, 'settle_bill_us': settled}
 
 
--- a/bench/slopes_fleet.py
+++ b/bench/slopes_fleet.py
@@ -1,4 +1,4 @@
-"""What one more request and one more stream cost a router process."""
+"""Cost of a request and of a stream in a router process."""
 
 import asyncio
 import subprocess
@@ -88,7 +88,7 @@
 
 @attrs.define
 class Asking:
-    """Callers that ask a router again as soon as they are answered."""
+    """Concurrent callers, each with its next request after an answer."""
 
     router: Process
     prefix: str
@@ -97,7 +97,7 @@
     callers: Callers = attrs.field(factory=Callers)
 
     async def ask(self, count: int, words: int) -> tuple[float, float]:
-        """Return the CPU and wall seconds that so many requests took."""
+        """Send requests; return the router's CPU seconds and the wall time."""
         before = self.router.cpu_s()
         began = time.monotonic()
         self.made = 0
@@ -107,7 +107,7 @@
         return self.router.cpu_s() - before, time.monotonic() - began
 
     async def cost(self, count: int, words: int, idle: float) -> float:
-        """Return the microseconds of one request beyond an idle router's."""
+        """Return the CPU microseconds per request, without the idle load."""
         used, seconds = await self.ask(count, words)
         return (used - idle * seconds) / count * _MICRO
 
@@ -128,7 +128,7 @@
     for number in range(_ROWS):
         await fleet.put(engine_row(f'engine-{number}', engine.address))
     router = await fleet.router()
-    # The first streams pay for what all later ones share.
+    # Warm up, since the first streams allocate memory that later ones share.
     await _open(fleet, router, size.scale(50, 2))
     before = router.memory()
     few, many = size.scale(50, 2), size.scale(400, 4)
--- a/bench/slopes_kinds.py
+++ b/bench/slopes_kinds.py
@@ -1,4 +1,4 @@
-"""What every measurement of a slope is given and returns."""
+"""Parameters and helpers of the slope measurements."""
 
 import gc
 import time
@@ -13,12 +13,12 @@
 
 @attrs.frozen
 class Size:
-    """One run of one measurement.
+    """Parameters of one run of a measurement.
 
     Parameters
     ----------
     seed : int
-        Seed of all its randomness.
+        Seed of all random numbers.
     smoke : bool
         Whether sizes are small, for the tests.
     """
@@ -27,30 +27,30 @@
     smoke: bool = False
 
     def scale(self, full: int, small: int) -> int:
-        """Return a count for this kind of run."""
+        """Return ``small`` for a smoke run, else ``full``."""
         return small if self.smoke else full
 
 
-#: Returns figures by name; a name ends in its unit.
+#: Function that returns figures by name; a name ends in its unit.
 Measure = Callable[[Size], Mapping[str, float]]
 
 
 def bytes_each(make: Callable[[int], Any], count: int) -> float:
-    """Return the memory of one more, from half and all of a count.
+    """Return the bytes per object, from the slope between two counts.
 
     Parameters
     ----------
     make : callable
-        Makes that many and returns what keeps them in memory.
+        Creates a number of objects and returns a reference that keeps them.
     count : int
-        The larger of the two sizes.
+        Larger count; the smaller one is half of it.
     """
     sizes = [bytes_of(make, number) for number in (count // 2, count)]
     return (sizes[1] - sizes[0]) / (count - count // 2)
 
 
 def bytes_of(make: Callable[[int], Any], number: int) -> int:
-    """Return the memory of a number of things."""
+    """Return the bytes of a number of objects; see `bytes_each`."""
     gc.collect()
     tracemalloc.start()
     kept = make(number)
@@ -62,7 +62,7 @@
 
 
 def cpu_us_each(work: Callable[[], Any], count: int) -> float:
-    """Return microseconds of processor time of one call out of many."""
+    """Return the mean CPU microseconds of a call."""
     began = time.process_time()
     for _ in range(count):
         work()
@@ -70,5 +70,5 @@
 
 
 def cpu_us_since(began: float, count: int) -> float:
-    """Return microseconds for each of a count since a process time."""
+    """Return CPU microseconds per item since a process time."""
     return (time.process_time() - began) / count * _MICRO
--- a/bench/slopes_memory.py
+++ b/bench/slopes_memory.py
@@ -1,4 +1,4 @@
-"""Memory of one more team, target, peer, link, ledger, bill and answer."""
+"""Memory per team, target, peer, link, ledger, bill and answer."""
 
 import asyncio
 import random
@@ -52,7 +52,7 @@
 
 
 async def fund(teams: list[str], clock: Clock) -> MemoryPlatform:
-    """Return a platform that holds a full account for each team."""
+    """Return a platform with a prepaid account for each team."""
     platform = MemoryPlatform.start(clock)
     account = encode(Account(prepaid=_PREPAID))
     for name in teams:
@@ -69,7 +69,7 @@
     budgets = Budgets(platform.table, 'r', cfg.budget, clock)
     for name in names:
         budgets.release(await budgets.reserve(name, _TOKENS))
-    # The rows of the table service are the platform's, not the router's.
+    # Rows of the table service don't count, since they belong to the platform.
     budgets.service = None
     return budgets.ledgers, budgets
 
@@ -101,7 +101,7 @@
         key = f'key-{number:032}'
         answer = answers.open(RequestId('team', key, False, f'{number:064x}'))
         answer.start(200, {'Content-Type': f'text/event-stream; n={number}'})
-        # Each body is text of its own, as it comes from a target.
+        # Each body is a separate object, like one received from a target.
         answer.write(bytes(bytearray(_ANSWER)))
         answers.finish(answer, End(whole=True))
     await asyncio.sleep(0)
--- a/bench/slopes_ports.py
+++ b/bench/slopes_ports.py
@@ -1,4 +1,4 @@
-"""Requests a second of several daemons that share one port."""
+"""Requests per second of several daemons that share one port."""
 
 import asyncio
 import json
@@ -58,7 +58,7 @@
     ]
     return {
         f'requests_a_second_at_{daemons}': answered / seconds,
-        # What the daemons could do if each had a core to itself.
+        # Possible rate if each daemon had its own core.
         f'requests_a_busiest_cpu_s_at_{daemons}': answered / max(used),
         f'busiest_share_of_cpu_at_{daemons}': max(used) / sum(used),
     }
@@ -74,7 +74,7 @@
 
 
 async def _read(fleet: Fleet, requests: int) -> int:
-    """Send requests on connections of their own; return how many ended."""
+    """Send requests, one per connection; return how many were answered."""
     readers = [
         await fleet.start(
             'reader',
--- a/bench/slopes_routing.py
+++ b/bench/slopes_routing.py
@@ -1,4 +1,4 @@
-"""Memory, edits and placements of targets at the letter's size."""
+"""Memory, edits and placements with 10,000 targets."""
 
 import functools
 import random
@@ -20,7 +20,8 @@
 
 
 def _memory(size: Size) -> Mapping[str, float]:
-    # Whole sums, since a mapping that grows by doubling has no even slope.
+    # Totals are reported, since a dict grows by doubling and its memory has no
+    # constant slope.
     count = size.scale(routing_cpu.TARGETS, 2000)
     _rows()
     return {
@@ -32,7 +33,7 @@
 
 @functools.cache
 def _rows() -> list[TargetRow]:
-    # The rows are the view's; only what is kept beside them counts.
+    # Created before the measurement, since the rows belong to the table view.
     return routing_cpu.make_rows()
 
 
@@ -49,7 +50,7 @@
 
 
 def _find(count: int) -> Routing:
-    # A request for each model was placed in the own zone.
+    # One request for each model has been placed in the own zone.
     routing = _route(_list(count))
     models = routing_cpu.MODELS
     run_virtually(routing_cpu.place(routing, models, random.Random(1)))
@@ -57,8 +58,8 @@
 
 
 def _use(count: int) -> Routing:
-    # Every target was sent requests, as after days in which some left their
-    # zone.
+    # All targets have received requests, as after days in which some requests
+    # went to other zones.
     routing = _find(count)
     for pool in _pools(routing):
         for state in pool.everyone.members:
@@ -75,7 +76,7 @@
 
 
 def _edits(size: Size) -> Mapping[str, float]:
-    # Each edit together with the next look for the edited target's pool.
+    # Each edit includes the next look-up of the edited target's pool.
     count = size.scale(100, 2)
     return {
         f'{field}_of_10000_us': run_virtually(_edit(count, field))
@@ -90,7 +91,7 @@
     find = routing.admission.picker.pools.find
     began = time.process_time()
     for number in range(count):
-        # Every one stands in the own zone, which is the dearer case.
+        # All edited targets are in the own zone, which is the slower case.
         row = _rows()[number * routing_cpu.ZONES % routing_cpu.TARGETS]
         edited = attrs.evolve(row, **{field: 2 + number % 3})
         targets.put({row.name: edited})
--- a/bench/slopes_spread.py
+++ b/bench/slopes_spread.py
@@ -1,4 +1,4 @@
-"""Copies and bytes of what spreads over all routers, by size of the fleet."""
+"""Copies and bytes of messages to all routers, by fleet size."""
 
 import asyncio
 from collections.abc import Mapping
@@ -34,7 +34,7 @@
     for one in limits:
         one.tick()
     await _deliver(fleet)
-    # Every router has spoken once; bench.rates tells what that costs.
+    # Every router has sent once; `bench.rates` measures the cost.
     words = routers
     figures = {'use_copies_each': fleet.sent['RateDemands'] / words / routers}
     return figures | await _edit(fleet, routers)
--- a/bench/slopes_table.py
+++ b/bench/slopes_table.py
@@ -1,4 +1,4 @@
-"""How long an import holds up a router's event loop at a time."""
+"""Time for which a table import blocks a router's event loop."""
 
 import asyncio
 import gc
@@ -27,12 +27,12 @@
 
 @attrs.define
 class Longest:
-    """The longest time that the loop went without a turn of another task."""
+    """Longest CPU time for which other tasks blocked the event loop."""
 
     seconds: float = 0
 
     async def watch(self) -> None:
-        """Note each turn until cancelled."""
+        """Measure each loop iteration until cancelled."""
         last = time.process_time()
         while True:
             await asyncio.sleep(0)
@@ -66,7 +66,7 @@
     behind.apply(ahead.rows_since(0), ahead.version)
     rng = random.Random(size.seed)
     await _write(platform, rng.sample(range(teams), edited))
-    # As a router does once its table is whole.
+    # A router does the same once its table is complete.
     gc.freeze()
     read = await _longest_ms(reader.refresh)
     told = await _tell(ahead, behind)
--- a/bench/slopes_takeover.py
+++ b/bench/slopes_takeover.py
@@ -1,4 +1,4 @@
-"""What a round of budgets costs, and what a router that is followed does."""
+"""Cost of a maintenance round of budgets and of taking over allotments."""
 
 import asyncio
 import time
--- a/bench/stamping.py
+++ b/bench/stamping.py
@@ -1,7 +1,7 @@
-"""An engine whose tokens say when they were sent, run as a process.
+"""Engine process whose tokens are the timestamps of their sending.
 
 The machine's monotonic clock is the same in all processes, so a reader can
-tell how long each token was on its way.
+compute the latency of each token.
 """
 
 import asyncio
@@ -46,7 +46,7 @@
 
 @attrs.define(eq=False)
 class Stream:
-    """One answer in the making."""
+    """Answer that is being streamed."""
 
     transport: asyncio.Transport
     left: int
@@ -54,13 +54,13 @@
     due: float = 0
 
     def start(self) -> None:
-        """Begin at a random phase, so that streams don't beat as one."""
+        """Start at a random phase, so that streams don't send all at once."""
         loop = asyncio.get_running_loop()
         self.due = loop.time() + self.pace_s * random.random()
         loop.call_at(self.due, self.say)
 
     def say(self) -> None:
-        """Send one token and wait for the next one's time."""
+        """Send one token and schedule the next."""
         if self.transport.is_closing():
             return
         if not self.left:
@@ -80,7 +80,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """Reads requests and starts a stream for each."""
+    """HTTP connection that starts a stream for each chat request."""
 
     def __init__(self, pace_s: float) -> None:
         self._pace_s = pace_s
@@ -91,7 +91,7 @@
         self._transport = transport
 
     def data_received(self, received: bytes) -> None:
-        """Take bytes of a request; serve it once it is whole."""
+        """Collect bytes of a request; serve it once it is complete."""
         self._received += received
         head, found, body = self._received.partition(b'\r\n\r\n')
         if found and len(body) >= int(_field(head, _LENGTH) or 0):
@@ -118,7 +118,7 @@
 
 
 async def main() -> None:
-    """Serve until ended; the argument is the time between tokens."""
+    """Serve until terminated; the argument is the token interval in s."""
     pace_s = float(sys.argv[1])
     server = await asyncio.get_running_loop().create_server(
         lambda: Connection(pace_s),
--- a/bench/table.py
+++ b/bench/table.py
@@ -1,4 +1,4 @@
-"""Measures the table: ``python -m bench.table`` prints one JSON object."""
+"""Benchmark of the table: ``python -m bench.table`` prints JSON."""
 
 import argparse
 import asyncio
@@ -32,8 +32,9 @@
 _EDITS_A_DAY = 16_000
 _DAY_S = 86_400
 _KIB = 1024
-#: A command's own peak of memory. What the machine counts for ended children
-#: begins with the memory of this process, from which they are forked.
+#: Runs a command and prints its peak memory in KiB. The resource usage of ended
+#: children can't be used, since it starts at the memory of this process, from
+#: which they are forked.
 _COMMAND = (
     'from pathlib import Path;'
     'from balsamreach.ui.main import main;'
@@ -60,11 +61,11 @@
 
 
 async def measure_spread(seed: int, edits: int) -> dict[str, Any]:
-    """Return seconds from accept to in force, and bytes to peers."""
+    """Return seconds from accepting an edit to its effect, and peer bytes."""
     spread = await Spread.start(seed)
     traffic = await _measure_traffic(spread, edits)
-    # An editor that tells nobody stands for a router that dies as soon as
-    # its commit is applied.
+    # An editor that does not notify peers simulates a router that crashes
+    # right after its commit.
     silent = Editor(spread.platform.table, SystemClock())
     by_log = await spread.edits(silent, edits)
     for node in spread.nodes[1:]:
@@ -100,7 +101,7 @@
 
 
 def measure_import() -> dict[str, Any]:
-    """Return seconds and peak memory of the commands on 36,000 rows."""
+    """Return seconds and peak memory of table commands on 36,000 rows."""
     server = OperatorsServer()
     server.start()
     with tempfile.TemporaryDirectory() as directory:
--- a/bench/table_size.py
+++ b/bench/table_size.py
@@ -1,4 +1,4 @@
-"""Memory of rows in force, and what a start reads."""
+"""Memory per table row, and cost of reading the table at the start."""
 
 import gc
 import json
@@ -23,7 +23,7 @@
 
 
 def team(number: int) -> Row:
-    """Return a team's row as operators would fill it."""
+    """Return a row of a team with typical fields."""
     row = rows.TeamRow(
         name=f'team-{number:05}',
         prepaid=1_000_000,
@@ -34,7 +34,7 @@
 
 
 def target(number: int) -> Row:
-    """Return a target's row."""
+    """Return a row of a target."""
     row = rows.TargetRow(
         name=f'target-{number:05}',
         address=f'10.0.{number // 250}.{number % 250}:8000',
@@ -46,12 +46,12 @@
 
 
 def _as_read(row: rows.TableRow) -> dict[str, Any]:
-    # What comes out of JSON shares no text with other rows.
+    # Strings decoded from JSON are not shared with other rows, as in use.
     return json.loads(json.dumps(rows.encode(row)))
 
 
 def memory_slope(make: Any, count: int) -> float:
-    """Return bytes of a view per row of one kind."""
+    """Return the bytes per row of a table view."""
     sizes = []
     for share in (2, 1):
         gc.collect()
@@ -67,7 +67,7 @@
 
 @attrs.frozen
 class Start:
-    """What one start cost."""
+    """Cost of one start."""
 
     reads: int
     seconds: float
--- a/bench/table_spread.py
+++ b/bench/table_spread.py
@@ -1,4 +1,4 @@
-"""Routers of the table over the real net, in one process."""
+"""Propagation of table edits over a real peer network in one process."""
 
 import asyncio
 import random
@@ -33,7 +33,7 @@
 
 @attrs.define(eq=False)
 class Node:
-    """One router's net and table."""
+    """Peer network and table of one router."""
 
     net: TcpPeerNet
     parts: TableParts
@@ -43,14 +43,14 @@
     task: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Open the net and follow the table."""
+        """Start the peer network and follow the table."""
         await self.net.start()
         self.parts.view.watchers.append(self._note)
         self.parts.follower.start()
         self.task = asyncio.create_task(self._follow())
 
     async def stop(self) -> None:
-        """Stop both."""
+        """Stop following the table and the peer network."""
         self.task.cancel()
         await self.net.stop()
 
@@ -67,7 +67,7 @@
 
 @attrs.define
 class Spread:
-    """A fleet on one platform in memory."""
+    """Fleet of routers on one in-memory platform."""
 
     platform: MemoryPlatform
     nodes: list[Node]
@@ -96,7 +96,10 @@
         count: int,
         pause: float = 0.2,
     ) -> list[float]:
-        """Return seconds from each accept to in force at each router."""
+        """Make edits; return the seconds until each is in force, by router.
+
+        The result has infinity for an edit that did not arrive.
+        """
         accepted: dict[str, float] = {}
         for number in range(count):
             key = f'table/team/t{number % 50}'
@@ -114,7 +117,7 @@
         ]
 
     def bytes_out(self) -> float:
-        """Return what all routers sent to peers so far."""
+        """Return the bytes that all routers have sent to peers."""
         return sum(
             node.metrics.counted(BYTES, way='out') for node in self.nodes
         )
@@ -126,7 +129,7 @@
     seeds: list[str],
     seed: int,
 ) -> Node:
-    """Make one router; nothing is opened yet."""
+    """Create one router without starting it."""
     zone = f'zone-{number % _ZONES}'
     overrides = (f'host.zone={zone}', 'peers.port=0')
     cfg = read_settings(None, overrides)
--- a/bench/turns.py
+++ b/bench/turns.py
@@ -1,9 +1,9 @@
-"""CPU of each turn of a router's event loop: ``python -m bench.turns``.
+"""CPU time per event loop iteration of a router: ``python -m bench.turns``.
 
-While a turn lasts, every open stream waits. Time on a shared machine says
-little about it; CPU does. Without arguments this starts a router of its own
-with many targets and no callers and prints what its turns take. With
-arguments it is that router, which prints a line at each SIGUSR1.
+During an iteration every open stream waits. CPU time is measured, since wall
+time on a shared machine says little. Without arguments this starts a router
+with many targets and no callers and prints the CPU times of its iterations.
+With arguments it is that router, which prints a line at each SIGUSR1.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 
 
 class TurnSelector(selectors.EpollSelector):
-    """Selector that notes the CPU used from one wait to the next."""
+    """Selector that records the CPU time between two waits."""
 
     turns: ClassVar[list[float]] = []
 
@@ -36,7 +36,7 @@
         self._woke_at = time.thread_time()
 
     def select(self, timeout: float | None = None) -> list:
-        """Note the turn that ends here and wait for the next."""
+        """Record the iteration that ends here and wait for events."""
         self.turns.append(time.thread_time() - self._woke_at)
         events = super().select(timeout)
         self._woke_at = time.thread_time()
@@ -44,7 +44,7 @@
 
 
 def print_turns(*_signal: object) -> None:
-    """Print the turns since the last time."""
+    """Print statistics of the iterations since the last call."""
     turns = sorted(TurnSelector.turns)
     TurnSelector.turns.clear()
     line = json.dumps(
@@ -60,7 +60,7 @@
 
 
 async def measure() -> None:
-    """Print the turns of a router with many targets and no callers."""
+    """Measure a router with many targets and no callers."""
     fleet = await start_fleet()
     try:
         await _watch(fleet)
@@ -88,7 +88,7 @@
 
 
 def main() -> None:
-    """Measure, or be the router that is measured."""
+    """Run the measurement, or the measured router if there are arguments."""
     if len(sys.argv) == 1:
         asyncio.run(measure())
         return
--- a/tests/bench/test_bench_scenarios.py
+++ b/tests/bench/test_bench_scenarios.py
@@ -22,8 +22,8 @@
     'leaving': {'in_force_p99_s', 'late_work', 'cut_by_shutdown'},
     'relay': {'chunk_cpu_us', 'pump_cpu_us'},
 }
-#: Keys that a scenario does not report. `relay` reads streams as plain bytes,
-#: for a team with an unlimited budget.
+#: Keys that a scenario does not report. `relay` lacks these since it reads
+#: streams as bytes, for a team without a limited budget.
 _ABSENT = {
     'relay': {
         'false_refusals',
--- a/tests/test_bench_budgets.py
+++ b/tests/test_bench_budgets.py
@@ -1,4 +1,4 @@
-"""Small runs of the budgets' bench, judged on counts alone."""
+"""Small runs of the budget benchmark; checks counts, not timings."""
 
 import unittest
 
@@ -23,7 +23,7 @@
 
 
 class BudgetsBenchTest(unittest.TestCase):
-    """What must hold in every run."""
+    """Invariants of every run."""
 
     @parameterized.expand(
         [
@@ -48,17 +48,17 @@
 
     @parameterized.expand([('central',), ('static',)])
     def test_baselines_keep_the_budget(self, policy):
-        """A baseline that overspent would be no baseline."""
+        """Baselines don't overspend, else a comparison would mean nothing."""
         figures = _run(_SPENT, policy)
         self.assertEqual(figures['overspend_tokens'], 0)
         self.assertGreater(figures['refused_share'], 0)
 
     def test_same_seed_same_figures(self):
-        """A run is repeated to the last figure."""
+        """Two runs with the same seed have equal figures."""
         self.assertEqual(_run(_CUT), _run(_CUT))
 
     def test_cut_is_told_from_reachable(self):
-        """Refusals while the platform is away are counted apart."""
+        """False refusals are counted separately while there is no platform."""
         cut = _run(_CUT)
         self.assertEqual(_run(_CALM)['false_away_share'], 0)
         refused, up, away = (
--- a/tests/test_bench_rates.py
+++ b/tests/test_bench_rates.py
@@ -1,4 +1,4 @@
-"""Tests of the bench of rates, judged on counts in virtual time."""
+"""Small runs of the rate limit benchmark in virtual time."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class RatesBenchTest(unittest.TestCase):
-    """Small fleets, where each figure is the same at each run."""
+    """Small fleets, whose figures are equal in every run."""
 
     @parameterized.expand((('homes', 0.9, 1.1), ('all to all', 1.5, 3)))
     def test_sides_of_a_cut(self, way, least, most):
--- a/tests/test_bench_slopes.py
+++ b/tests/test_bench_slopes.py
@@ -1,4 +1,4 @@
-"""Smoke form of every measurement of slopes, judged on counts alone."""
+"""Smoke run of the slope measurements; checks counts, not timings."""
 
 import json
 import os
@@ -11,7 +11,7 @@
 from parameterized import parameterized
 
 _ROOT = Path(__file__).resolve().parent.parent
-#: Figures that only count, so that they are the same at each run.
+#: Figures that are counts, so that they are equal in every run.
 _COUNTED = (
     ('spread', 'use_copies_each_at_8', 7 / 8),
     ('spread', 'edit_reached_share_at_8', 1),
@@ -41,7 +41,7 @@
 
 
 class SlopesTest(unittest.TestCase):
-    """All measurements but those of links and streams, once and small."""
+    """Small run of most measurements, without those of links and streams."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -73,6 +73,6 @@
         self.assertEqual(self.slopes[name][figure]['median'], expected)
 
     def test_counts_conflicts(self) -> None:
-        """Drawers on one account that never conflict were not counted."""
+        """Conflicts between routers that draw from one account are counted."""
         crowd = self.slopes['contention']
         self.assertGreater(crowd['commits_per_draw_at_64']['median'], 1)
