--- a/tests/test_dispatch_crashes.py
+++ b/tests/test_dispatch_crashes.py
@@ -33,7 +33,7 @@
         """Run a request until it ends or its engine crashes."""
         name = attempt.target.name
         await asyncio.sleep(0)
-        if name in self.dead or not intake.before_send():
+        if name in self.dead or not intake.may_send():
             return NOT_SENT
         fingerprint = attempt.call.req.fingerprint
         self.started.append((name, fingerprint))
@@ -87,9 +87,9 @@
             crashed = target.name in self.engines.crashed
             incarnation = start if crashed else 'first'
             report = LoadReport(
-                incarnation=incarnation, taken_at=self.clock.now()
+                incarnation=incarnation, valid_at=self.clock.now()
             )
-            target.take_report(report, self.clock.now())
+            target.apply_report(report, self.clock.now())
 
     def quarantine(self, router):
         """Return a router's quarantine."""
@@ -115,7 +115,7 @@
         if how == 'refused':
             quarantine = self.quarantine(self.routers[0])
             for name in self.engines.crashed:
-                quarantine.refused(name)
+                quarantine.record_refused_connection(name)
         await self.net.settle()
 
     @parameterized.expand([('not known yet',), ('refused',), ('restarted',)])
@@ -167,6 +167,6 @@
             for mark in (*others, 'new'):
                 caller = await router.call(mark=mark, key=f'later-{mark}')
                 self.assertIsNone(caller.fault, mark)
-            held = self.quarantine(router).listed()
+            held = self.quarantine(router).quarantined_requests()
             fingerprints = {one.fingerprint for one in held}
             self.assertLessEqual(fingerprints, {f'team-{_CRASHING}'})
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -9,7 +9,7 @@
 from balsamreach.catalogue.view import CatalogueView
 from balsamreach.clock import SystemClock
 from balsamreach.placement.evacuations import Evacuations
-from balsamreach.placement.places import Places
+from balsamreach.placement.relay_targets import RelayTargets
 from balsamreach.platform.feed import FeedParts
 from balsamreach.platform.feeds import ConfigurationFeed, TargetsFeed
 from balsamreach.platform.pages import PageSharing
@@ -103,7 +103,7 @@
         super().setUp()
         self.clock = FakeClock()
         self.view = CatalogueView()
-        self.places = Places(random.Random(1))
+        self.places = RelayTargets(random.Random(1))
         self.announced = []
         self.evacuations = Evacuations(self.clock)
         self.configuration = ConfigurationFeed(
@@ -198,7 +198,7 @@
         self.state.write('op', 'config', {'note': 'x' * 70_000})
         self.state.status = status
         await feed.check()
-        self.assertEqual(feed.is_away(), is_away)
+        self.assertEqual(feed.is_unavailable(), is_away)
         self.assertTrue(feed._poll_needed.is_set())
 
     @gen_test
@@ -273,12 +273,12 @@
         self.state.status = 503
         feed = self.configuration.feed
         feed._handle_failure(await feed._read_next())
-        self.assertTrue(feed.is_away())
+        self.assertTrue(feed.is_unavailable())
         self.state.status = 0
         self.state.waits.clear()
         await self.step(feed)
         self.assertEqual(self.state.waits, [0])
-        self.assertFalse(feed.is_away())
+        self.assertFalse(feed.is_unavailable())
         await self.step(feed)
         self.assertEqual(self.state.waits, [0, 10])
 
@@ -309,7 +309,7 @@
         self.assertEqual(len(self.places), 1)
         self.assertFalse(self.places.find('i-1').entry.leaving)
         self.clock.advance(3)
-        self.targets.expire()
+        self.targets.remove_expired()
         self.assertEqual(len(self.places), 0)
 
     @gen_test
@@ -328,7 +328,7 @@
         await self.step(self.targets.feed)
         self.assertEqual(len(self.places), 1)
         self.clock.advance(0.5)
-        self.targets.expire()
+        self.targets.remove_expired()
         self.assertEqual(len(self.places), 0)
 
     @gen_test
@@ -348,7 +348,7 @@
         self.state.write('servers', 'i-2', _TARGET | {'slots': 2})
         await self.step(self.targets.feed)
         self.clock.advance(3)
-        self.targets.expire()
+        self.targets.remove_expired()
         self.assertIsNone(self.places.find('i-1'))
         self.assertIsNotNone(self.places.find('i-2'))
 
--- a/tests/test_routing_pools.py
+++ b/tests/test_routing_pools.py
@@ -41,7 +41,7 @@
 
 
 def _group_members(pool):
-    groups = (pool.everyone, pool.local) if pool else ()
+    groups = (pool.full_group, pool.local) if pool else ()
     return [
         {
             (state.name, repr(state.target.row), weight)
@@ -121,7 +121,7 @@
             state.release_slot(second + 0.5)
         self.assertLess(len(state._held_history), 100)
         state.take_slot(1000)
-        target.report = LoadReport(running=1, taken_at=990.2)
+        target.report = LoadReport(running=1, valid_at=990.2)
         self.assertEqual(state.load(1001), 1)
-        target.report = LoadReport(running=1, taken_at=990.7)
+        target.report = LoadReport(running=1, valid_at=990.7)
         self.assertEqual(state.load(1001), 2)
--- a/tests/test_sessions_targets.py
+++ b/tests/test_sessions_targets.py
@@ -60,7 +60,7 @@
     def is_known(self, router):
         """Return whether a router refuses the request for good."""
         suspects = router.parts.routing.quarantine.suspects
-        return any(map(suspects.is_quarantined, suspects.by_print))
+        return any(map(suspects.is_quarantined, suspects.by_fingerprint))
 
 
 class SilentTest(FailureCase):
@@ -104,8 +104,8 @@
         answers = self.rig.routers[0].parts.dispatcher.parts.answers
         await wait(
             lambda: (
-                answers.known('winders', 'report-5') is not None
-                and answers.known('winders', 'report-5').body.size > 300
+                answers.get('winders', 'report-5') is not None
+                and answers.get('winders', 'report-5').body.size > 300
             ),
         )
 
