--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -26,8 +26,8 @@
     'double',
     'relay',
 )
-_OUT = Path('build') / 'bench'
-_LONGEST_S = 300
+_OUT_DIR = Path('build') / 'bench'
+_TIMEOUT_S = 300
 
 
 @click.command()
@@ -37,7 +37,7 @@
 @click.option(
     '--sabotage', is_flag=True, help='Record an overspend, which must be found.'
 )
-@click.option('--out', default=_OUT, type=click.Path(path_type=Path))
+@click.option('--out', default=_OUT_DIR, type=click.Path(path_type=Path))
 def main(names: tuple[str, ...], out: Path, **options: Any) -> None:
     """Run scenarios, print their figures, write JSON files and plots."""
     broken = []
@@ -46,14 +46,14 @@
         report.write(out)
         draw(report, out)
         click.echo(report.table())
-        broken += [f'{name}: {line}' for line in report.broken()]
+        broken += [f'{name}: {line}' for line in report.broken_promises()]
     for line in broken:
         click.echo(f'BROKEN {line}', err=True)
     sys.exit(1 if broken else 0)
 
 
 async def run_scenario(name: str, **options: Any) -> Report:
-    """Run one scenario within `_LONGEST_S` seconds and end its processes.
+    """Run one scenario within `_TIMEOUT_S` seconds and end its processes.
 
     Parameters
     ----------
@@ -69,7 +69,7 @@
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     fleet = await start_fleet()
     try:
-        async with asyncio.timeout(_LONGEST_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             return await scenario.run(Run(name, fleet=fleet, **options))
     finally:
         await fleet.stop()
--- a/bench/audit.py
+++ b/bench/audit.py
@@ -43,11 +43,11 @@
         """Return the tokens spent beyond the prepaid ones, over all teams."""
         return sum((self.settled - self.prepaid).values())
 
-    def room(self, team: str) -> int:
+    def tokens_left(self, team: str) -> int:
         """Return a team's tokens left at the end, the minimum of the run."""
         return self.prepaid[team] - self.settled[team]
 
-    def doubled(self) -> int:
+    def double_billed(self) -> int:
         """Return the tokens settled beyond the recorded bills."""
         return sum((self.settled - self.billed).values())
 
@@ -80,26 +80,28 @@
             return rows
 
 
-def figures_of(outcomes: list[Outcome], books: Books) -> dict[str, Any]:
+def outcome_figures(outcomes: list[Outcome], books: Books) -> dict[str, Any]:
     """Return the figures reported by every scenario with callers."""
-    whole = [outcome for outcome in outcomes if outcome.right]
+    whole = [outcome for outcome in outcomes if outcome.is_complete]
     missing = [outcome for outcome in whole if not _is_billed(outcome, books)]
-    told = [outcome for outcome in outcomes if outcome.refused]
+    refused = [outcome for outcome in outcomes if outcome.refused]
     return {
         'requests': len(outcomes),
         'answered': len(whole),
-        'refusals': sum(not outcome.cut for outcome in told),
-        'false_refusals': sum(_is_false(outcome, books) for outcome in told),
-        'refusal_codes': dict(Counter(outcome.code for outcome in told)),
+        'refusals': sum(not outcome.cut for outcome in refused),
+        'false_refusals': sum(
+            _is_false_refusal(outcome, books) for outcome in refused
+        ),
+        'refusal_codes': dict(Counter(outcome.code for outcome in refused)),
         'cut_streams': sum(outcome.cuts for outcome in outcomes),
-        'wrong_answers': sum(_is_wrong(outcome) for outcome in outcomes),
+        'wrong_answers': sum(_is_wrong_answer(outcome) for outcome in outcomes),
         'overspend_tokens': books.overspend(),
-        'double_bills': books.doubled(),
+        'double_bills': books.double_billed(),
         'missing_bills': len(missing),
     }
 
 
-async def runs_of(
+async def run_figures(
     outcomes: list[Outcome],
     targets: list[Process],
 ) -> dict[str, int]:
@@ -115,30 +117,34 @@
     for target in targets:
         control = await fetch(f'http://{target.address}/control')
         runs.update(control['runs'])
-    singles = [outcome.ask.key for outcome in outcomes if outcome.ask.single]
-    refused = [
-        outcome.ask.key
+    non_idempotent_keys = [
+        outcome.request.key
+        for outcome in outcomes
+        if outcome.request.non_idempotent
+    ]
+    not_run = [
+        outcome.request.key
         for outcome in outcomes
         if outcome.not_run and outcome.tries == 1
     ]
     return {
         'non_idempotent_max_runs': max(
-            (runs[key] for key in singles), default=0
+            (runs[key] for key in non_idempotent_keys), default=0
         ),
-        'ran_though_refused': sum(runs[key] > 0 for key in refused),
+        'ran_though_refused': sum(runs[key] > 0 for key in not_run),
     }
 
 
 def _is_billed(outcome: Outcome, books: Books) -> bool:
-    return bill_key(outcome.ask.team, outcome.ask.key) in books.bills
+    return bill_key(outcome.request.team, outcome.request.key) in books.bills
 
 
-def _is_wrong(outcome: Outcome) -> bool:
+def _is_wrong_answer(outcome: Outcome) -> bool:
     ended = outcome.status == 200 and not outcome.cut
-    return ended and not outcome.right
+    return ended and not outcome.is_complete
 
 
-def _is_false(outcome: Outcome, books: Books) -> bool:
+def _is_false_refusal(outcome: Outcome, books: Books) -> bool:
     if outcome.code not in _BUDGET_CODES:
         return False
-    return books.room(outcome.ask.team) >= outcome.ask.most_tokens
+    return books.tokens_left(outcome.request.team) >= outcome.request.max_tokens
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -13,20 +13,20 @@
     routers: int,
 ) -> dict[str, Any]:
     """Replay budgets that are split evenly among routers at the start."""
-    left: Counter[tuple[str, str]] = Counter()
+    used_by_router: Counter[tuple[str, str]] = Counter()
     spent: Counter[str] = Counter()
     refusals = 0
     false_refusals = 0
-    for outcome in sorted(outcomes, key=_began):
-        ask = outcome.ask
-        used = left[ask.team, outcome.router]
-        share = prepaid[ask.team] // routers
-        if used + ask.most_tokens <= share:
-            left[ask.team, outcome.router] += ask.most_tokens
-            spent[ask.team] += ask.most_tokens
+    for outcome in sorted(outcomes, key=_start_time):
+        request = outcome.request
+        used = used_by_router[request.team, outcome.router]
+        share = prepaid[request.team] // routers
+        if used + request.max_tokens <= share:
+            used_by_router[request.team, outcome.router] += request.max_tokens
+            spent[request.team] += request.max_tokens
             continue
         refusals += 1
-        if spent[ask.team] + ask.most_tokens <= prepaid[ask.team]:
+        if spent[request.team] + request.max_tokens <= prepaid[request.team]:
             false_refusals += 1
     return {'refusals': refusals, 'false_refusals': false_refusals}
 
@@ -45,15 +45,17 @@
     spent: Counter[str] = Counter()
     refusals = 0
     false_refusals = 0
-    for outcome in sorted(outcomes, key=_began):
-        ask = outcome.ask
-        within = spent[ask.team] + ask.most_tokens <= prepaid[ask.team]
-        cut_off = _is_cut_off(outcome, outages)
-        if within and not cut_off:
-            spent[ask.team] += ask.most_tokens
+    for outcome in sorted(outcomes, key=_start_time):
+        request = outcome.request
+        is_within_budget = (
+            spent[request.team] + request.max_tokens <= prepaid[request.team]
+        )
+        is_cut_off = _is_cut_off(outcome, outages)
+        if is_within_budget and not is_cut_off:
+            spent[request.team] += request.max_tokens
             continue
         refusals += 1
-        false_refusals += within
+        false_refusals += is_within_budget
     return {
         'requests': len(outcomes),
         'refusals': refusals,
@@ -65,9 +67,9 @@
 
 def _is_cut_off(outcome: Outcome, outages: list[Outage]) -> bool:
     return any(
-        outage.meets(outcome.router, outcome.began_at) for outage in outages
+        outage.includes(outcome.router, outcome.began_at) for outage in outages
     )
 
 
-def _began(outcome: Outcome) -> float:
+def _start_time(outcome: Outcome) -> float:
     return outcome.began_at
--- a/bench/callers.py
+++ b/bench/callers.py
@@ -10,18 +10,18 @@
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
 from balsamreach.standins.engine_text import words_of
-from bench.fleet import secret_of
+from bench.fleet import api_key_of
 from bench.processes import Process
 
-_LONGEST_S = 30
-_MOST_CLIENTS = 2000
+_REQUEST_TIMEOUT_S = 30
+_MAX_CONNECTIONS = 2000
 _DATA = 'data: '
 _DONE = 'data: [DONE]'
 _OK = 200
 
 
 @attrs.frozen
-class Ask:
+class CallerRequest:
     """One request of a caller.
 
     Parameters
@@ -30,14 +30,14 @@
         Team of the caller, and idempotency key of the request.
     words : int
         Number of words in the requested answer.
-    single : bool
+    non_idempotent : bool
         Whether it goes to a plain service and must not run twice.
     """
 
     team: str
     key: str
     words: int = 4
-    single: bool = False
+    non_idempotent: bool = False
 
     @property
     def prompt(self) -> str:
@@ -45,34 +45,34 @@
         return f'{self.team} {self.key} words={self.words}'
 
     @property
-    def most_tokens(self) -> int:
+    def max_tokens(self) -> int:
         """Approximate maximum of tokens that the request can use."""
         return 3 * (len(self.prompt) + self.words)
 
-    def request(self, router: Process) -> HTTPRequest:
+    def http_request(self, router: Process) -> HTTPRequest:
         """Return the HTTP request to a router."""
-        path = '/services/desk/confirmations' if self.single else _CHAT
+        path = '/services/desk/confirmations' if self.non_idempotent else _CHAT
         return HTTPRequest(
             f'http://{router.address}{path}',
             method='POST',
             body=json.dumps(self._body()),
             headers={
-                'Authorization': f'Bearer {secret_of(self.team)}',
+                'Authorization': f'Bearer {api_key_of(self.team)}',
                 'Content-Type': 'application/json',
                 'Idempotency-Key': self.key,
             },
             connect_timeout=2,
-            request_timeout=_LONGEST_S,
+            request_timeout=_REQUEST_TIMEOUT_S,
         )
 
     def is_answered_by(self, body: bytes) -> bool:
         """Return whether a body is the complete answer to this request."""
-        if self.single:
+        if self.non_idempotent:
             return self.prompt in json.loads(body)['body']
         events = body.decode().split('\n\n')
-        said = [_content_of(event) for event in events]
-        whole = _DONE in events
-        return whole and ''.join(said).split() == words_of(self.prompt)
+        contents = [_content_of(event) for event in events]
+        has_end = _DONE in events
+        return has_end and ''.join(contents).split() == words_of(self.prompt)
 
     def _body(self) -> dict[str, Any]:
         return {
@@ -92,7 +92,7 @@
 
     Parameters
     ----------
-    ask : Ask
+    request : CallerRequest
         The request.
     router : str
         Name of the last router tried.
@@ -100,7 +100,7 @@
         HTTP status; 0 if the connection broke.
     code, ran : str
         Error code of a refusal, and whether the request ran (``no`` if not).
-    right : bool
+    is_complete : bool
         Whether the complete answer to this request arrived.
     cut : bool
         Whether an open connection broke, or sent an error, before the answer
@@ -117,12 +117,12 @@
         Duration of the last try, in seconds.
     """
 
-    ask: Ask
+    request: CallerRequest
     router: str
     status: int = 0
     code: str = ''
     ran: str = ''
-    right: bool = False
+    is_complete: bool = False
     cut: bool = False
     unreached: bool = False
     tries: int = 1
@@ -142,21 +142,21 @@
 
 
 @attrs.define
-class Callers:
+class CallerClient:
     """HTTP client that sends requests for the scenarios."""
 
     _client: SimpleAsyncHTTPClient = attrs.field(
         factory=lambda: SimpleAsyncHTTPClient(
             force_instance=True,
-            max_clients=_MOST_CLIENTS,
+            max_clients=_MAX_CONNECTIONS,
         ),
     )
 
-    async def ask(self, ask: Ask, router: Process) -> Outcome:
+    async def send(self, request: CallerRequest, router: Process) -> Outcome:
         """Send a request once and return its outcome."""
-        outcome = Outcome(ask, router.name, began_at=time.monotonic())
+        outcome = Outcome(request, router.name, began_at=time.monotonic())
         try:
-            await self._fetch(outcome, ask.request(router))
+            await self._fetch(outcome, request.http_request(router))
         except ConnectionRefusedError:
             outcome.unreached = True
         except (HTTPError, OSError):
@@ -165,9 +165,9 @@
         outcome.took_s = time.monotonic() - outcome.began_at
         return outcome
 
-    async def ask_until_told(
+    async def send_with_retries(
         self,
-        ask: Ask,
+        request: CallerRequest,
         routers: list[Process],
         tries: int = 4,
     ) -> Outcome:
@@ -176,17 +176,17 @@
         A broken connection, or a refusal that reports the request as not run,
         is retried at the next router with the same idempotency key.
         """
-        outcome = await self.ask(ask, routers[0])
+        outcome = await self.send(request, routers[0])
         for number in range(1, tries):
-            if outcome.right or (outcome.status and not outcome.not_run):
+            if outcome.is_complete or (outcome.status and not outcome.not_run):
                 break
             await asyncio.sleep(0.2 * number)
             router = routers[number % len(routers)]
-            last = outcome
-            outcome = await self.ask(ask, router)
+            previous = outcome
+            outcome = await self.send(request, router)
             outcome.tries = number + 1
-            outcome.began_at = last.began_at
-            outcome.cuts += last.cuts
+            outcome.began_at = previous.began_at
+            outcome.cuts += previous.cuts
         return outcome
 
     async def _fetch(self, outcome: Outcome, request: HTTPRequest) -> None:
@@ -197,14 +197,14 @@
             return
         outcome.status = reply.code
         if reply.code == _OK:
-            _judge(outcome, reply.body)
+            _parse_answer(outcome, reply.body)
             return
         outcome.ran = reply.headers.get('X-Balsamreach-Ran', '')
         outcome.code = json.loads(reply.body)['error']['code']
 
 
-def _judge(outcome: Outcome, body: bytes) -> None:
-    outcome.right = outcome.ask.is_answered_by(body)
+def _parse_answer(outcome: Outcome, body: bytes) -> None:
+    outcome.is_complete = outcome.request.is_answered_by(body)
     error = _error_of(body)
     if error is not None:
         # The router broke the stream off and sent an error event instead.
@@ -214,10 +214,10 @@
 
 
 def _error_of(body: bytes) -> dict[str, str] | None:
-    last = body.rstrip().rpartition(b'\n\n')[2].decode()
-    if not last.startswith(_DATA) or last == _DONE:
+    previous = body.rstrip().rpartition(b'\n\n')[2].decode()
+    if not previous.startswith(_DATA) or previous == _DONE:
         return None
-    return json.loads(last.removeprefix(_DATA)).get('error')
+    return json.loads(previous.removeprefix(_DATA)).get('error')
 
 
 def _content_of(event: str) -> str:
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -19,15 +19,15 @@
 
 SECRET = 'bench-key'
 OPERATOR = 'bench-operator'
-ENOUGH = 1_000_000_000
+AMPLE_TOKENS = 1_000_000_000
 #: Replaces the dot of a setting's name in keyword arguments.
-_DOT = '__'
-_MOST_SEEDS = 8
+_DOT_PLACEHOLDER = '__'
+_MAX_SEEDS = 8
 _READY_TRIES = 400
 _READY_STEP_S = 0.05
 
 
-def secret_of(team: str) -> str:
+def api_key_of(team: str) -> str:
     """Return the API key of a team."""
     return f'{SECRET}-{team}'
 
@@ -87,18 +87,21 @@
         """
         name = f'router-{len(self.routers)}'
         seeds = [router.started['peers'] for router in self.routers]
-        known = {'peers.seeds': ','.join(seeds[-_MOST_SEEDS:])}
-        given = {
-            key.replace(_DOT, '.'): setting for key, setting in settings.items()
+        peer_seeds = {'peers.seeds': ','.join(seeds[-_MAX_SEEDS:])}
+        overrides = {
+            key.replace(_DOT_PLACEHOLDER, '.'): setting
+            for key, setting in settings.items()
         }
-        chosen = _defaults(self.platform_url, name, zone) | known | given
-        options = [f'--set={key}={text}' for key, text in chosen.items()]
+        merged = (
+            _defaults(self.platform_url, name, zone) | peer_seeds | overrides
+        )
+        options = [f'--set={key}={text}' for key, text in merged.items()]
         router = await self.start(name, self.router_module, 'serve', *options)
         self.routers.append(router)
         await wait_until(lambda: _is_ready(router))
         return router
 
-    async def replace(self, dead: Process, zone: str = 'zone-a') -> Process:
+    async def replace(self, killed: Process, zone: str = 'zone-a') -> Process:
         """Start a router on the addresses of one that was killed.
 
         Being able to bind the addresses proves that the killed router has
@@ -106,12 +109,12 @@
         """
         names = ('callers', 'operators', 'peers')
         ports = {
-            f'{name}__port': dead.started[name].rpartition(':')[2]
+            f'{name}__port': killed.started[name].rpartition(':')[2]
             for name in names
         }
         return await self.router(zone, **ports)
 
-    async def put(self, *rows: TeamRow | TargetRow) -> None:
+    async def write_rows(self, *rows: TeamRow | TargetRow) -> None:
         """Write table rows through the editor, as an operator would."""
         editor = Editor(self.table, SystemClock())
         for row in rows:
@@ -125,9 +128,9 @@
 
     async def stop(self) -> None:
         """Stop all processes, routers first."""
-        routers = [router.leave() for router in self.routers]
+        routers = [router.shut_down() for router in self.routers]
         await asyncio.gather(*routers)
-        others = [process.leave() for process in reversed(self.processes)]
+        others = [process.shut_down() for process in reversed(self.processes)]
         await asyncio.gather(*others)
 
 
@@ -140,21 +143,21 @@
     return fleet
 
 
-def team(name: str, prepaid: int = ENOUGH, **fields: Any) -> TeamRow:
-    """Return the row of a team with the key from `secret_of`."""
-    hashes = (hash_key(secret_of(name)),)
+def team(name: str, prepaid: int = AMPLE_TOKENS, **fields: Any) -> TeamRow:
+    """Return the row of a team with the key from `api_key_of`."""
+    hashes = (hash_key(api_key_of(name)),)
     return TeamRow(name=name, prepaid=prepaid, key_hashes=hashes, **fields)
 
 
 def engine_row(name: str, address: str, **fields: Any) -> TargetRow:
     """Return the row of an engine that serves ``model-a``."""
-    given = {
+    overrides = {
         'zone': 'zone-a',
         'service': 'llm',
         'models': ('model-a',),
         'concurrency': 1000,
     }
-    return TargetRow(name=name, address=address, **given | fields)
+    return TargetRow(name=name, address=address, **overrides | fields)
 
 
 async def fetch(url: str, secret: str = '', body: Any = None) -> Any:
--- a/bench/links.py
+++ b/bench/links.py
@@ -59,29 +59,29 @@
     ) -> None:
         ip, port = self.to.split(':')
         try:
-            there = await asyncio.open_connection(ip, int(port))
+            destination = await asyncio.open_connection(ip, int(port))
         except OSError:
             writer.close()
             return
-        ways = (
-            self._copy(reader, there[1], lambda: self.cut_there),
-            self._copy(there[0], writer, lambda: self.cut_back),
+        copies = (
+            self._copy(reader, destination[1], lambda: self.cut_there),
+            self._copy(destination[0], writer, lambda: self.cut_back),
         )
         # Copies that a cut has suspended are cancelled at the end of the run.
         with contextlib.suppress(asyncio.CancelledError):
-            await asyncio.gather(*ways, return_exceptions=True)
+            await asyncio.gather(*copies, return_exceptions=True)
 
     async def _copy(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        loses: Callable[[], bool],
+        is_cut_one_way: Callable[[], bool],
     ) -> None:
         try:
             while received := await reader.read(_READ):
                 # The dropped bytes would be a gap in the stream, so a
                 # connection that lost bytes never forwards any again.
-                if self.cut or loses():
+                if self.cut or is_cut_one_way():
                     await asyncio.sleep(3600)
                 writer.write(received)
         finally:
--- a/bench/load.py
+++ b/bench/load.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from bench.callers import Ask, Callers, Outcome
+from bench.callers import CallerClient, CallerRequest, Outcome
 from bench.processes import Process
 
 
@@ -25,7 +25,7 @@
         Mean requests per second.
     retries : bool
         Whether callers retry at other routers.
-    singles : float
+    non_idempotent_share : float
         Share of requests to a plain service that must not run twice.
     words : int
         Number of words in each requested answer.
@@ -38,10 +38,10 @@
     teams: dict[str, float]
     rate: float
     retries: bool = True
-    singles: float = 0
+    non_idempotent_share: float = 0
     words: int = 4
     prefix: str = 'r'
-    callers: Callers = attrs.field(factory=Callers)
+    callers: CallerClient = attrs.field(factory=CallerClient)
     _tasks: list[asyncio.Task[Outcome]] = attrs.field(factory=list)
 
     async def run(self, count: int) -> None:
@@ -56,7 +56,7 @@
         return (
             len(self._tasks),
             len(self._tasks) - len(done),
-            sum(outcome.right for outcome in done),
+            sum(outcome.is_complete for outcome in done),
             sum(outcome.refused and not outcome.cut for outcome in done),
             sum(outcome.cuts for outcome in done),
         )
@@ -66,18 +66,18 @@
         return list(await asyncio.gather(*self._tasks))
 
     def _send(self) -> None:
-        ask = self._draw()
+        request = self._draw_request()
         routers = self.rng.sample(self.routers, len(self.routers))
         if self.retries:
-            sending = self.callers.ask_until_told(ask, routers)
+            sending = self.callers.send_with_retries(request, routers)
         else:
-            sending = self.callers.ask(ask, routers[0])
+            sending = self.callers.send(request, routers[0])
         self._tasks.append(asyncio.create_task(sending))
 
-    def _draw(self) -> Ask:
+    def _draw_request(self) -> CallerRequest:
         names = list(self.teams)
         shares = list(self.teams.values())
         team = self.rng.choices(names, shares)[0]
-        single = self.rng.random() < self.singles
+        single = self.rng.random() < self.non_idempotent_share
         key = f'{self.prefix}-{len(self._tasks)}'
-        return Ask(team, key, self.words, single)
+        return CallerRequest(team, key, self.words, single)
--- a/bench/meter.py
+++ b/bench/meter.py
@@ -11,7 +11,7 @@
 from bench.processes import Process
 
 _THOUSAND = 1000
-_LEAST = 0.01
+_MIN_DIVISOR = 0.01
 
 
 @attrs.frozen
@@ -37,7 +37,7 @@
 class Meter:
     """Measures the difference of counters between two times.
 
-    The last counters of a router have to be read with `note` before it is
+    The last counters of a router have to be read with `read_last` before it is
     killed; a router that starts in between counts from its start.
 
     Parameters
@@ -60,7 +60,7 @@
             self._first[router] = await read(router)
         self._platform.append(await self._read_platform())
 
-    async def note(self, router: Process) -> None:
+    async def read_last(self, router: Process) -> None:
         """Take the last reading of a router that is about to end."""
         self._last[router] = await read(router)
 
@@ -70,7 +70,7 @@
             return
         self.ended = True
         for router in self._alive():
-            await self.note(router)
+            await self.read_last(router)
         self._platform.append(await self._read_platform())
 
     def figures(self, requests: int) -> dict[str, float]:
@@ -81,14 +81,15 @@
         requests : int
             Number of requests of the run.
         """
-        seconds = max(self._sum('at'), _LEAST)
+        seconds = max(self._sum('at'), _MIN_DIVISOR)
         first, last = self._platform
-        moved = last['bytes_moved'] - first['bytes_moved']
+        platform_bytes = last['bytes_moved'] - first['bytes_moved']
         writes = last['writes'] - first['writes']
         peer_bytes_s = self._sum('peer_bytes') / seconds
-        platform_bytes_s = moved / seconds
+        platform_bytes_s = platform_bytes / seconds
         return {
-            'requests_per_core_s': requests / max(self._sum('cpu_s'), _LEAST),
+            'requests_per_core_s': requests
+            / max(self._sum('cpu_s'), _MIN_DIVISOR),
             'control_bytes_s': peer_bytes_s + platform_bytes_s,
             'peer_bytes_s': peer_bytes_s,
             'platform_bytes_s': platform_bytes_s,
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -19,7 +19,7 @@
 _DPI = 110
 _MS = 1000
 _LATEST_S = 600
-_FAINT = 0.15
+_ALPHA = 0.15
 
 
 @attrs.frozen
@@ -33,7 +33,7 @@
         self.axes.set_title(title, loc='left', fontsize=10)
         self.axes.set_xlabel(across)
         self.axes.set_ylabel(upwards)
-        self.axes.grid(visible=True, alpha=_FAINT)
+        self.axes.grid(visible=True, alpha=_ALPHA)
 
     def log(self, set_scale: Callable[[str], None], axis: Axis) -> None:
         set_scale('log')
@@ -45,7 +45,7 @@
         for outage in self.series.outages:
             since = outage.since - self.series.began
             until = min(outage.until - self.series.began, latest)
-            self.axes.axvspan(since, until, alpha=_FAINT, color='tab:red')
+            self.axes.axvspan(since, until, alpha=_ALPHA, color='tab:red')
 
     def moment(self, outcome: Outcome) -> float:
         return outcome.began_at - self.series.began
@@ -58,22 +58,24 @@
     series = report.series
     figure = Figure(figsize=_SIZE, dpi=_DPI, layout='constrained')
     figure.suptitle(f'{report.scenario}, seed {report.seed}')
-    drawn = [_draw_ways] if series.ways else [_draw_times, _draw_refusals]
+    panels = [_draw_paths] if series.paths else [_draw_times, _draw_refusals]
     if series.routed_s:
-        drawn.append(_draw_added)
+        panels.append(_draw_added)
     if series.in_force_s:
-        drawn.append(_draw_in_force)
-    for number, draw_panel in enumerate(drawn, start=1):
-        axes = figure.add_subplot(len(drawn), 1, number)
+        panels.append(_draw_in_force)
+    for number, draw_panel in enumerate(panels, start=1):
+        axes = figure.add_subplot(len(panels), 1, number)
         draw_panel(_Panel(axes, series))
     figure.savefig(path)
     return path
 
 
 def _draw_times(panel: _Panel) -> None:
-    whole = [outcome for outcome in panel.series.outcomes if outcome.right]
-    moments = [panel.moment(outcome) for outcome in whole]
-    taken = [outcome.took_s * _MS for outcome in whole]
+    complete = [
+        outcome for outcome in panel.series.outcomes if outcome.is_complete
+    ]
+    moments = [panel.moment(outcome) for outcome in complete]
+    taken = [outcome.took_s * _MS for outcome in complete]
     panel.axes.plot(moments, taken, '.', markersize=2)
     panel.log(panel.axes.set_yscale, panel.axes.yaxis)
     panel.shade_outages()
@@ -81,12 +83,12 @@
 
 
 def _draw_refusals(panel: _Panel) -> None:
-    told = [outcome for outcome in panel.series.outcomes if outcome.refused]
+    refused = [outcome for outcome in panel.series.outcomes if outcome.refused]
     base: Counter[int] = Counter()
-    for code in sorted({outcome.code for outcome in told}):
+    for code in sorted({outcome.code for outcome in refused}):
         seconds = Counter(
             math.floor(panel.moment(outcome))
-            for outcome in told
+            for outcome in refused
             if outcome.code == code
         )
         bottom = [base[second] for second in seconds]
@@ -97,19 +99,19 @@
             label=code,
         )
         base.update(seconds)
-    if told:
+    if refused:
         panel.axes.legend(fontsize=8)
     latest = max(map(panel.moment, panel.series.outcomes), default=1)
     panel.axes.set_xlim(0, min(latest, _LATEST_S))
-    panel.title(f'refusals: {len(told)}', 'asked at, s', 'a second')
+    panel.title(f'refusals: {len(refused)}', 'asked at, s', 'a second')
 
 
 def _draw_added(panel: _Panel) -> None:
-    ways = (
+    lines = (
         ('direct', panel.series.direct_s),
         ('router', panel.series.routed_s),
     )
-    for name, seconds in ways:
+    for name, seconds in lines:
         _draw_shares(panel, [taken * _MS for taken in seconds], name)
     panel.log(panel.axes.set_xscale, panel.axes.xaxis)
     panel.axes.legend(fontsize=8)
@@ -128,8 +130,8 @@
     panel.axes.step(ordered, shares, where='post', label=name)
 
 
-def _draw_ways(panel: _Panel) -> None:
-    for name, quantiles in panel.series.ways.items():
+def _draw_paths(panel: _Panel) -> None:
+    for name, quantiles in panel.series.paths.items():
         panel.axes.plot(
             list(quantiles),
             list(quantiles.values()),
--- a/bench/probe.py
+++ b/bench/probe.py
@@ -7,13 +7,13 @@
 
 import attrs
 
-from bench.callers import Ask, Callers
+from bench.callers import CallerClient, CallerRequest
 from bench.fleet import Fleet
 from bench.processes import Process
 from bench.run import Run
 
 TEAM = 'probe'
-_PAUSE_S = 0.05
+_INTERVAL_S = 0.05
 _MS = 1000
 
 
@@ -35,12 +35,12 @@
     engine: Process
     direct: list[float] = attrs.field(factory=list)
     routed: list[float] = attrs.field(factory=list)
-    _callers: Callers = attrs.field(factory=Callers)
+    _callers: CallerClient = attrs.field(factory=CallerClient)
     _task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
         """Start sending pairs of requests."""
-        self._task = asyncio.create_task(self._ask_on())
+        self._task = asyncio.create_task(self._send_pairs())
 
     async def stop(self) -> None:
         """Stop sending."""
@@ -62,21 +62,21 @@
         }
         return added, {'p50_ms': direct[0], 'p99_ms': direct[1]}
 
-    async def _ask_on(self) -> None:
+    async def _send_pairs(self) -> None:
         for number in itertools.count():
-            await self._ask(number)
-            await asyncio.sleep(_PAUSE_S)
-
-    async def _ask(self, number: int) -> None:
-        router = _any_alive(self.run.fleet, number)
-        direct = Ask(TEAM, f'direct-{number}', words=1)
-        by_target = await self._callers.ask(direct, self.engine)
-        routed = Ask(TEAM, f'routed-{number}', words=1)
-        by_router = await self._callers.ask(routed, router)
+            await self._send_pair(number)
+            await asyncio.sleep(_INTERVAL_S)
+
+    async def _send_pair(self, number: int) -> None:
+        router = _pick_router(self.run.fleet, number)
+        direct = CallerRequest(TEAM, f'direct-{number}', words=1)
+        direct_outcome = await self._callers.send(direct, self.engine)
+        routed = CallerRequest(TEAM, f'routed-{number}', words=1)
+        routed_outcome = await self._callers.send(routed, router)
         # Refused and broken requests would count as fast answers.
-        if by_target.right and by_router.right:
-            self.direct.append(by_target.took_s)
-            self.routed.append(by_router.took_s)
+        if direct_outcome.is_complete and routed_outcome.is_complete:
+            self.direct.append(direct_outcome.took_s)
+            self.routed.append(routed_outcome.took_s)
 
 
 def quantiles(seconds: list[float]) -> tuple[float, float]:
@@ -87,6 +87,6 @@
     return cuts[49] * _MS, cuts[98] * _MS
 
 
-def _any_alive(fleet: Fleet, number: int) -> Process:
+def _pick_router(fleet: Fleet, number: int) -> Process:
     alive = [router for router in fleet.routers if router.alive]
     return alive[number % len(alive)]
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -12,14 +12,14 @@
 import attrs
 
 _ROOT = Path(__file__).resolve().parent.parent
-_START_S = 20
-_END_S = 20
-_TICKS = os.sysconf('SC_CLK_TCK')
-_PAGE = os.sysconf('SC_PAGE_SIZE')
+_START_TIMEOUT_S = 20
+_END_TIMEOUT_S = 20
+_TICKS_PER_S = os.sysconf('SC_CLK_TCK')
+_PAGE_BYTES = os.sysconf('SC_PAGE_SIZE')
 #: Positions of fields 14, 15 and 24 of /proc/PID/stat after the command name.
-_UTIME = 11
-_STIME = 12
-_RSS = 21
+_UTIME_INDEX = 11
+_STIME_INDEX = 12
+_RSS_INDEX = 21
 
 
 @attrs.define(eq=False)
@@ -59,11 +59,13 @@
     def cpu_s(self) -> float:
         """Return the CPU time of all its threads so far, in seconds."""
         fields = self._stat()
-        return (int(fields[_UTIME]) + int(fields[_STIME])) / _TICKS
+        return (
+            int(fields[_UTIME_INDEX]) + int(fields[_STIME_INDEX])
+        ) / _TICKS_PER_S
 
-    def memory(self) -> int:
+    def memory_bytes(self) -> int:
         """Return its resident memory in bytes."""
-        return int(self._stat()[_RSS]) * _PAGE
+        return int(self._stat()[_RSS_INDEX]) * _PAGE_BYTES
 
     async def next_line(self) -> bytes:
         """Return the next line of its output, empty once it has ended."""
@@ -74,8 +76,8 @@
         """Kill it with SIGKILL, as in a crash."""
         await self._end(signal.SIGKILL)
 
-    async def leave(self) -> None:
-        """Shut it down with SIGTERM; kill it after `_END_S` seconds."""
+    async def shut_down(self) -> None:
+        """Shut it down with SIGTERM; kill it after `_END_TIMEOUT_S` seconds."""
         await self._end(signal.SIGTERM)
 
     def signal(self, number: int) -> None:
@@ -87,7 +89,7 @@
             return
         self._child.send_signal(number)
         try:
-            await asyncio.wait_for(self._child.wait(), _END_S)
+            await asyncio.wait_for(self._child.wait(), _END_TIMEOUT_S)
         except TimeoutError:
             self._child.kill()
             await self._child.wait()
@@ -100,7 +102,7 @@
 async def start(name: str, *arguments: str) -> Process:
     """Start a Python module as a process and wait for its first line.
 
-    Exits the benchmark if no line arrives within `_START_S` seconds.
+    Exits the benchmark if no line arrives within `_START_TIMEOUT_S` seconds.
     """
     paths = (str(_ROOT / 'src'), str(_ROOT))
     child = await asyncio.create_subprocess_exec(
@@ -114,7 +116,7 @@
     )
     assert child.stdout is not None
     try:
-        line = await asyncio.wait_for(child.stdout.readline(), _START_S)
+        line = await asyncio.wait_for(child.stdout.readline(), _START_TIMEOUT_S)
     except TimeoutError:
         line = b''
     if not line:
--- a/bench/progress.py
+++ b/bench/progress.py
@@ -9,14 +9,14 @@
 from bench.load import Load
 from bench.run import Run
 
-_STEP_S = 2
+_INTERVAL_S = 2
 _COLUMNS = ('sent', 'open', 'answered', 'refused', 'cut')
 _WIDTH = 10
 
 
 @attrs.define
 class Progress:
-    """Prints a line of the table every `_STEP_S` seconds.
+    """Prints a line of the table every `_INTERVAL_S` seconds.
 
     Parameters
     ----------
@@ -33,7 +33,7 @@
     def start(self) -> None:
         """Print the table header and start printing lines."""
         self._print('', _COLUMNS)
-        self._task = asyncio.create_task(self._go_on())
+        self._task = asyncio.create_task(self._print_periodically())
 
     async def stop(self) -> None:
         """Stop and print the last line."""
@@ -45,16 +45,16 @@
         self._task = None
         self._print_counts()
 
-    async def _go_on(self) -> None:
+    async def _print_periodically(self) -> None:
         while True:
-            await asyncio.sleep(_STEP_S)
+            await asyncio.sleep(_INTERVAL_S)
             self._print_counts()
 
     def _print_counts(self) -> None:
-        passed = self.run.now() - self.run.began
+        elapsed_s = self.run.now() - self.run.began
         counts = [load.counts() for load in self.loads]
         columns = [sum(column) for column in zip(*counts, strict=True)]
-        self._print(f'[{passed:6.1f} s]', columns)
+        self._print(f'[{elapsed_s:6.1f} s]', columns)
 
     def _print(self, head: str, cells: object) -> None:
         row = ''.join(f'{cell!s:>{_WIDTH}}' for cell in cells)
--- a/bench/pump.py
+++ b/bench/pump.py
@@ -5,13 +5,13 @@
 import sys
 
 
-class _Side(asyncio.Protocol):
+class _RelayConnection(asyncio.Protocol):
     """One of two paired connections; writes received bytes to the other."""
 
     def __init__(self) -> None:
-        self.peer: _Side | None = None
+        self.peer: _RelayConnection | None = None
         self.transport: asyncio.Transport | None = None
-        self._early: list[bytes] = []
+        self._unsent: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
@@ -20,7 +20,7 @@
     def data_received(self, received: bytes) -> None:
         """Write bytes to the peer, or keep them until there is one."""
         if self.peer is None:
-            self._early.append(received)
+            self._unsent.append(received)
         else:
             self.peer.transport.write(received)
 
@@ -29,14 +29,14 @@
         if self.peer is not None:
             self.peer.transport.close()
 
-    def join(self, peer: '_Side') -> None:
+    def pair_with(self, peer: '_RelayConnection') -> None:
         """Set the peer and write the bytes received before."""
         self.peer = peer
-        for received in self._early:
+        for received in self._unsent:
             peer.transport.write(received)
 
 
-class _Front(_Side):
+class _CallerConnection(_RelayConnection):
     """Connection of a caller; opens the one to the target."""
 
     def __init__(self, address: str) -> None:
@@ -51,16 +51,16 @@
     async def _connect(self) -> None:
         ip, port = self._address.split(':')
         loop = asyncio.get_running_loop()
-        connected = await loop.create_connection(_Side, ip, int(port))
-        back = connected[1]
-        back.join(self)
-        self.join(back)
+        created = await loop.create_connection(_RelayConnection, ip, int(port))
+        target_conn = created[1]
+        target_conn.pair_with(self)
+        self.pair_with(target_conn)
 
 
 async def main() -> None:
     """Serve until terminated; the command argument is the target's address."""
     server = await asyncio.get_running_loop().create_server(
-        lambda: _Front(sys.argv[1]),
+        lambda: _CallerConnection(sys.argv[1]),
         '127.0.0.1',
         0,
         backlog=1024,
--- a/bench/readers.py
+++ b/bench/readers.py
@@ -16,12 +16,12 @@
 import attrs
 from hdrh.histogram import HdrHistogram
 
-_STAMP = re.compile(rb'"content":"(\d{20})"')
+_TIMESTAMP = re.compile(rb'"content":"(\d{20})"')
 _ACCEPTED = b'HTTP/1.1 200'
 _EVENT_END = b'}\n\n'
 _DONE = b'data: [DONE]'
 #: Divisor of a stream's tokens; that many are left out at either end.
-_EDGE = 5
+_EDGE_DIVISOR = 5
 _LONGEST_US = 60_000_000
 _NS_PER_US = 1000
 
@@ -38,12 +38,12 @@
     short: int = 0
     refused: int = 0
 
-    def take(self, stamps: list[bytes]) -> None:
+    def record(self, timestamps: list[bytes]) -> None:
         """Record the latencies of tokens, from their timestamps in ns."""
         now = time.monotonic_ns()
-        for stamp in stamps:
-            late_us = (now - int(stamp)) // _NS_PER_US
-            self.latencies.record_value(max(1, late_us))
+        for timestamp in timestamps:
+            latency_us = (now - int(timestamp)) // _NS_PER_US
+            self.latencies.record_value(max(1, latency_us))
             self.chunks += 1
 
     def as_json(self) -> dict[str, Any]:
@@ -65,11 +65,11 @@
     def __init__(self, request: bytes, tokens: int, tally: Tally) -> None:
         self._request = request
         self._tokens = tokens
-        self._left = tokens
-        self._edge = tokens // _EDGE
+        self._tokens_left = tokens
+        self._edge_tokens = tokens // _EDGE_DIVISOR
         self._tally = tally
-        self._tail = b''
-        self._begun = False
+        self._partial_event = b''
+        self._started = False
         self._accepted = True
         self.ended = asyncio.get_running_loop().create_future()
 
@@ -80,32 +80,36 @@
 
     def data_received(self, received: bytes) -> None:
         """Record tokens; close the connection after the end marker."""
-        if not self._begun:
-            self._begun = True
+        if not self._started:
+            self._started = True
             self._accepted = received.startswith(_ACCEPTED)
             if not self._accepted:
                 self._tally.refused += 1
                 self._transport.close()
         # The timestamp of an event that arrives in two parts would be missed,
         # so an incomplete event is kept for the next call.
-        received = self._tail + received
-        cut = received.rfind(_EVENT_END) + 1
-        self._tail = received[cut:]
-        stamps = _STAMP.findall(received, 0, cut)
-        self._left -= len(stamps)
+        received = self._partial_event + received
+        end = received.rfind(_EVENT_END) + 1
+        self._partial_event = received[end:]
+        timestamps = _TIMESTAMP.findall(received, 0, end)
+        self._tokens_left -= len(timestamps)
         # Unlike those of real callers, all streams start and end together,
         # so tokens near either end would only measure that burst.
-        if self._edge < self._left < self._tokens - self._edge:
-            self._tally.take(stamps)
+        if (
+            self._edge_tokens
+            < self._tokens_left
+            < self._tokens - self._edge_tokens
+        ):
+            self._tally.record(timestamps)
         if _DONE in received:
-            self._note(whole=self._left == 0)
+            self._finish(whole=self._tokens_left == 0)
             self._transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Count an answer without end marker as short."""
-        self._note(whole=False)
+        self._finish(whole=False)
 
-    def _note(self, *, whole: bool) -> None:
+    def _finish(self, *, whole: bool) -> None:
         if self.ended.done():
             return
         self._tally.whole += whole
--- a/bench/report.py
+++ b/bench/report.py
@@ -34,7 +34,7 @@
     'control_bytes_s',
     'platform_writes_per_1000',
 )
-_MOST_RUNS = 'non_idempotent_max_runs'
+_MAX_RUNS_KEY = 'non_idempotent_max_runs'
 
 
 @attrs.define
@@ -61,17 +61,17 @@
     baseline: dict[str, Any] = attrs.field(factory=dict)
     series: Series = attrs.field(factory=Series)
 
-    def broken(self) -> list[str]:
+    def broken_promises(self) -> list[str]:
         """Return a message for each promise that the run found broken."""
-        found = [
+        broken = [
             f'{promise}: {key} = {self.figures[key]}'
             for key, promise in PROMISES.items()
             if self.figures.get(key)
         ]
-        runs = self.figures.get(_MOST_RUNS, 0)
+        runs = self.figures.get(_MAX_RUNS_KEY, 0)
         if runs > 1:
-            found.append(f'a non-idempotent request ran {runs} times')
-        return found
+            broken.append(f'a non-idempotent request ran {runs} times')
+        return broken
 
     def as_json(self) -> dict[str, Any]:
         """Return the content of the JSON file."""
@@ -91,15 +91,17 @@
         keys = [*self.figures, *(self.baseline.keys() - self.figures.keys())]
         lines = [f'{self.scenario:<28}{"measured":>14}{"baseline":>14}']
         for key in keys:
-            measured = _show(self.figures.get(key))
-            lines.append(f'  {key:<26}{measured:>14}{self._based(key):>14}')
+            measured = _format(self.figures.get(key))
+            lines.append(
+                f'  {key:<26}{measured:>14}{self._format_baseline(key):>14}'
+            )
         return '\n'.join(lines)
 
-    def _based(self, key: str) -> str:
-        return _show(self.baseline.get(key))
+    def _format_baseline(self, key: str) -> str:
+        return _format(self.baseline.get(key))
 
 
-def _show(figure: Any) -> str:
+def _format(figure: Any) -> str:
     if figure is None:
         return ''
     if isinstance(figure, list):
--- a/bench/run.py
+++ b/bench/run.py
@@ -26,10 +26,10 @@
     until: float = math.inf
     routers: frozenset[str] = frozenset()
 
-    def meets(self, router: str, at: float) -> bool:
+    def includes(self, router: str, at: float) -> bool:
         """Return whether a router was disconnected at a time."""
-        named = not self.routers or router in self.routers
-        return named and self.since <= at < self.until
+        affects_router = not self.routers or router in self.routers
+        return affects_router and self.since <= at < self.until
 
 
 @attrs.define
@@ -73,11 +73,11 @@
         """Return ``small`` for a smoke run, else ``full``."""
         return small if self.smoke else full
 
-    def lose_platform(self, *routers: str) -> None:
+    def begin_outage(self, *routers: str) -> None:
         """Record the start of an outage for the named routers, or for all."""
         self.outages.append(Outage(self.now(), routers=frozenset(routers)))
 
-    def regain_platform(self) -> None:
+    def end_outage(self) -> None:
         """Record the end of the last outage."""
         self.outages[-1].until = self.now()
 
@@ -85,7 +85,7 @@
         """Return the time on the monotonic clock."""
         return time.monotonic()
 
-    def say(self, text: str) -> None:
+    def print_progress(self, text: str) -> None:
         """Print a progress message to stderr."""
-        passed = self.now() - self.began
-        sys.stderr.write(f'[{passed:6.1f} s] {self.name}: {text}\n')
+        elapsed_s = self.now() - self.began
+        sys.stderr.write(f'[{elapsed_s:6.1f} s] {self.name}: {text}\n')
--- a/bench/scenarios/common.py
+++ b/bench/scenarios/common.py
@@ -9,10 +9,10 @@
 from balsamreach.services.base import Commit, Write
 from balsamreach.table.rows import PLAIN_SERVICE, TargetRow
 from bench import probe
-from bench.audit import figures_of, read_books, runs_of
+from bench.audit import outcome_figures, read_books, run_figures
 from bench.baselines import central_counter
-from bench.callers import Ask, Callers, Outcome
-from bench.fleet import ENOUGH, engine_row, fetch, team
+from bench.callers import CallerClient, CallerRequest, Outcome
+from bench.fleet import AMPLE_TOKENS, engine_row, fetch, team
 from bench.load import Load
 from bench.meter import Meter
 from bench.probe import Probe
@@ -22,9 +22,9 @@
 from bench.run import Run
 from bench.series import Series
 
-_TEAMS = ('team-a', 'team-b', 'team-c')
+_DEFAULT_TEAMS = ('team-a', 'team-b', 'team-c')
 _BILL_TRIES = 24
-_BILL_STEP_S = 0.5
+_BILL_POLL_S = 0.5
 
 
 @attrs.define
@@ -39,20 +39,20 @@
         Prepaid tokens by team.
     engines : list of Process
         Stand-in engines.
-    desk : Process or None
+    service : Process or None
         Stand-in plain service.
     meter : Meter
         Measures CPU time and control traffic.
     progress : Progress
         Prints the progress table.
     probe : Probe or None
-        Compares direct and routed requests; set by `begin`.
+        Compares direct and routed requests; set by `start_measuring`.
     """
 
     run: Run
     prepaid: dict[str, int]
     engines: list[Process] = attrs.field(factory=list)
-    desk: Process | None = None
+    service: Process | None = None
     meter: Meter = attrs.field(init=False)
     progress: Progress = attrs.field(init=False)
     probe: Probe | None = None
@@ -65,7 +65,7 @@
     @property
     def targets(self) -> list[Process]:
         """All engines and the plain service."""
-        return [*self.engines, self.desk]
+        return [*self.engines, self.service]
 
     def load(self, rate: float, **options: Any) -> Load:
         """Create a load on all routers and add it to the progress table.
@@ -84,7 +84,7 @@
         self.progress.loads.append(load)
         return load
 
-    async def begin(self) -> None:
+    async def start_measuring(self) -> None:
         """Start the meter, the progress table and the probe."""
         await self.meter.begin()
         self.progress.start()
@@ -93,17 +93,19 @@
 
     async def kill(self, router: Process) -> None:
         """Read the counters of a router, then kill it."""
-        self.run.say(f'{router.name} is killed')
-        await self.meter.note(router)
+        self.run.print_progress(f'{router.name} is killed')
+        await self.meter.read_last(router)
         await router.kill()
 
-    async def end(self) -> None:
+    async def stop_measuring(self) -> None:
         """Stop the probe, the progress table and the meter."""
         await self.probe.stop()
         await self.progress.stop()
         await self.meter.end()
 
-    async def report(self, outcomes: list[Outcome], **more: Any) -> Report:
+    async def report(
+        self, outcomes: list[Outcome], **extra_figures: Any
+    ) -> Report:
         """Shut the routers down and audit their recorded spend.
 
         Parameters
@@ -119,18 +121,18 @@
             Figures, baseline and series of the run.
         """
         fleet = self.run.fleet
-        await self.end()
-        self.run.say('routers shut down')
+        await self.stop_measuring()
+        self.run.print_progress('routers shut down')
         alive = [router for router in fleet.routers if router.alive]
-        await asyncio.gather(*(router.leave() for router in alive))
+        await asyncio.gather(*(router.shut_down() for router in alive))
         if self.run.sabotage:
             await _overspend(self.run, self.prepaid)
         books = await read_books(fleet.table)
         report = Report(self.run.name, self.run.seed)
-        report.figures |= figures_of(outcomes, books)
-        report.figures |= await runs_of(outcomes, self.targets)
+        report.figures |= outcome_figures(outcomes, books)
+        report.figures |= await run_figures(outcomes, self.targets)
         self._add_measured(report, outcomes)
-        report.figures |= more
+        report.figures |= extra_figures
         return report
 
     def _add_measured(self, report: Report, outcomes: list[Outcome]) -> None:
@@ -180,35 +182,40 @@
     Setup
         The started processes; nothing is measured yet.
     """
-    setup = Setup(run, prepaid or dict.fromkeys(_TEAMS, ENOUGH))
+    setup = Setup(run, prepaid or dict.fromkeys(_DEFAULT_TEAMS, AMPLE_TOKENS))
     fleet = run.fleet
     for number in range(engines):
         zone = zones[number % len(zones)]
         engine = await fleet.engine('--zone', zone, '--slots', '64')
         setup.engines.append(engine)
         row = engine_row(f'engine-{number}', engine.address, zone=zone)
-        await fleet.put(row)
-    setup.desk = await fleet.service('--delay-ms', '20')
-    await fleet.put(_desk_row(setup.desk))
-    await fleet.put(*(team(name, most) for name, most in setup.prepaid.items()))
-    await fleet.put(team(probe.TEAM))
-    run.say(f'starting {len(zones)} routers')
+        await fleet.write_rows(row)
+    setup.service = await fleet.service('--delay-ms', '20')
+    await fleet.write_rows(_service_row(setup.service))
+    await fleet.write_rows(
+        *(
+            team(name, prepaid_tokens)
+            for name, prepaid_tokens in setup.prepaid.items()
+        )
+    )
+    await fleet.write_rows(team(probe.TEAM))
+    run.print_progress(f'starting {len(zones)} routers')
     for zone in zones:
         await fleet.router(zone, **settings)
     return setup
 
 
-async def warm(setup: Setup) -> None:
+async def warm_up(setup: Setup) -> None:
     """Send a request of every team to every router, then start measuring.
 
     Each router draws its first budget before the measurement begins.
     """
-    callers = Callers()
+    callers = CallerClient()
     for router in setup.run.fleet.routers:
         for name in setup.prepaid:
-            ask = Ask(name, f'warm-{name}-{router.name}')
-            await callers.ask(ask, router)
-    await setup.begin()
+            request = CallerRequest(name, f'warm-{name}-{router.name}')
+            await callers.send(request, router)
+    await setup.start_measuring()
 
 
 async def wait_for_bills(setup: Setup, outcomes: list[Outcome]) -> None:
@@ -217,17 +224,17 @@
     Other routers record them, without a deadline. So this returns after a
     number of tries in any case, and the audit reports missing bills.
     """
-    await setup.end()
-    setup.run.say('waiting for the bills of killed routers')
+    await setup.stop_measuring()
+    setup.run.print_progress('waiting for the bills of killed routers')
     table = setup.run.fleet.table
     for _ in range(setup.run.scale(_BILL_TRIES, _BILL_TRIES // 4)):
         books = await read_books(table)
-        if not figures_of(outcomes, books)['missing_bills']:
+        if not outcome_figures(outcomes, books)['missing_bills']:
             return
-        await asyncio.sleep(_BILL_STEP_S)
+        await asyncio.sleep(_BILL_POLL_S)
 
 
-async def weather(run: Run, **settings: Any) -> None:
+async def configure_platform(run: Run, **settings: Any) -> None:
     """Change the behaviour of the stand-in platform.
 
     Parameters
@@ -238,15 +245,15 @@
         Fields of the platform's control interface, e.g. ``down``.
     """
     if 'down' in settings:
-        change = run.lose_platform if settings['down'] else run.regain_platform
+        change = run.begin_outage if settings['down'] else run.end_outage
         change()
     await fetch(f'http://{run.fleet.platform.address}/control', body=settings)
 
 
-def _desk_row(desk: Process) -> TargetRow:
+def _service_row(service: Process) -> TargetRow:
     return TargetRow(
         name='desk-0',
-        address=desk.address,
+        address=service.address,
         zone='zone-a',
         service='desk',
         kind=PLAIN_SERVICE,
@@ -260,8 +267,10 @@
     writes = tuple(
         Write(
             allotment_key('sabotage', name),
-            encode_record(Allotment(granted=most, settled=most + 1)),
+            encode_record(
+                Allotment(granted=prepaid_tokens, settled=prepaid_tokens + 1)
+            ),
         )
-        for name, most in prepaid.items()
+        for name, prepaid_tokens in prepaid.items()
     )
     await run.fleet.table.commit(Commit(writes))
--- a/bench/scenarios/crash.py
+++ b/bench/scenarios/crash.py
@@ -4,7 +4,7 @@
 
 from bench.report import Report
 from bench.run import Run
-from bench.scenarios.common import set_up, wait_for_bills, warm
+from bench.scenarios.common import set_up, wait_for_bills, warm_up
 
 
 async def run(run: Run) -> Report:
@@ -12,15 +12,15 @@
     zones = ('zone-a',) * run.scale(4, 2)
     # Bills are recorded late, so that some are unrecorded at each kill.
     setup = await set_up(run, zones, budget__flush_interval='5s')
-    await warm(setup)
-    load = setup.load(rate=60, singles=0.2, words=40)
+    await warm_up(setup)
+    load = setup.load(rate=60, non_idempotent_share=0.2, words=40)
     sending = asyncio.create_task(load.run(run.scale(900, 40)))
-    for number in range(run.scale(3, 1)):
+    for index in range(run.scale(3, 1)):
         await asyncio.sleep(run.scale(3, 1) / 2)
-        victim = run.fleet.routers[number]
-        await setup.kill(victim)
-        load.routers.remove(victim)
-        load.routers.append(await run.fleet.replace(victim))
+        killed = run.fleet.routers[index]
+        await setup.kill(killed)
+        load.routers.remove(killed)
+        load.routers.append(await run.fleet.replace(killed))
     await sending
     outcomes = await load.outcomes()
     await wait_for_bills(setup, outcomes)
--- a/bench/scenarios/double.py
+++ b/bench/scenarios/double.py
@@ -4,7 +4,12 @@
 
 from bench.report import Report
 from bench.run import Run
-from bench.scenarios.common import set_up, wait_for_bills, warm, weather
+from bench.scenarios.common import (
+    configure_platform,
+    set_up,
+    wait_for_bills,
+    warm_up,
+)
 
 
 async def run(run: Run) -> Report:
@@ -12,23 +17,23 @@
     # Bills are recorded late, so that some are unrecorded at the kill.
     zones = ('zone-a',) * 3
     setup = await set_up(run, zones, budget__flush_interval='5s')
-    await warm(setup)
-    load = setup.load(rate=60, singles=0.2, words=20)
+    await warm_up(setup)
+    load = setup.load(rate=60, non_idempotent_share=0.2, words=20)
     sending = asyncio.create_task(load.run(run.scale(900, 60)))
     step_s = run.scale(4, 1) / 2
     await asyncio.sleep(step_s)
-    run.say('the platform is down')
-    await weather(run, down=True)
+    run.print_progress('the platform is down')
+    await configure_platform(run, down=True)
     await asyncio.sleep(step_s)
-    victim = run.fleet.routers[0]
-    await setup.kill(victim)
-    load.routers.remove(victim)
+    killed = run.fleet.routers[0]
+    await setup.kill(killed)
+    load.routers.remove(killed)
     await asyncio.sleep(step_s)
-    run.say('the platform is back')
-    await weather(run, down=False, lose_answers=run.scale(5, 1))
-    await run.fleet.replace(victim)
+    run.print_progress('the platform is back')
+    await configure_platform(run, down=False, lose_answers=run.scale(5, 1))
+    await run.fleet.replace(killed)
     await sending
     outcomes = await load.outcomes()
-    await weather(run, lose_answers=0)
+    await configure_platform(run, lose_answers=0)
     await wait_for_bills(setup, outcomes)
     return await setup.report(outcomes)
--- a/bench/scenarios/partition.py
+++ b/bench/scenarios/partition.py
@@ -7,7 +7,7 @@
 from bench.links import Link
 from bench.report import Report
 from bench.run import Run
-from bench.scenarios.common import set_up, warm
+from bench.scenarios.common import set_up, warm_up
 
 _TEAMS = {'team-a': 60_000, 'team-b': 40_000}
 _TOP_UP = 60_000
@@ -17,7 +17,7 @@
 #: needs.
 _LEAST_DRAW = 400
 #: Half seconds before the cut, in which routers learn their teams' spend.
-_RUN_IN_HALVES = 24
+_WARM_UP_HALF_SECONDS = 24
 
 
 async def run(run: Run) -> Report:
@@ -31,26 +31,26 @@
     link = Link(run.fleet.platform.address)
     run.fleet.platform_url = f'http://{await link.open()}'
     # Without seeds it knows no router of the other zone, as if cut off from it.
-    lonely = await run.fleet.router(
+    isolated = await run.fleet.router(
         'zone-b',
         peers__seeds='',
         budget__least_draw=_LEAST_DRAW,
     )
-    await warm(setup)
+    await warm_up(setup)
     load = setup.load(rate=40, retries=False)
     sending = asyncio.create_task(load.run(run.scale(1200, 40)))
-    await asyncio.sleep(run.scale(_RUN_IN_HALVES, 1) / 2)
-    run.say(f'{lonely.name} is cut off from the platform')
+    await asyncio.sleep(run.scale(_WARM_UP_HALF_SECONDS, 1) / 2)
+    run.print_progress(f'{isolated.name} is cut off from the platform')
     link.cut = True
-    run.lose_platform(lonely.name)
+    run.begin_outage(isolated.name)
     await asyncio.sleep(run.scale(8, 1) / 2)
-    run.say('team-a is topped up')
+    run.print_progress('team-a is topped up')
     prepaid = _TEAMS['team-a'] + _TOP_UP
-    await run.fleet.put(team('team-a', prepaid))
+    await run.fleet.write_rows(team('team-a', prepaid))
     await sending
-    run.say('the network is back')
+    run.print_progress('the network is back')
     link.cut = False
-    run.regain_platform()
+    run.end_outage()
     outcomes = await load.outcomes()
     await asyncio.sleep(run.scale(6, 2))
     outage = run.outages[0]
--- a/bench/scenarios/relay.py
+++ b/bench/scenarios/relay.py
@@ -12,20 +12,20 @@
 import attrs
 
 from bench.audit import read_books
-from bench.fleet import engine_row, secret_of, team
+from bench.fleet import api_key_of, engine_row, team
 from bench.meter import Meter
 from bench.processes import Process
 from bench.report import Report
 from bench.run import Run
 
-_PACE_S = 1 / 15
-_PER_SECOND = 15
+_TOKEN_INTERVAL_S = 1 / 15
+_TOKENS_PER_SECOND = 15
 _ENGINES = 2
-_ROWS = 32
-_READERS = 2
+_ROWS_PER_ENGINE = 32
+_READER_PROCESSES = 2
 _MICROSECONDS = 1_000_000
 _TEAM = 'team-a'
-_WAYS = ('direct', 'pump', 'router')
+_PATHS = ('direct', 'pump', 'router')
 
 
 @attrs.frozen
@@ -51,7 +51,7 @@
 
 
 @attrs.define
-class Rounds:
+class PathCosts:
     """Costs of one path, one entry per round."""
 
     costs: list[Cost] = attrs.field(factory=list)
@@ -64,7 +64,7 @@
         """Return the sum of a count over the rounds."""
         return sum(getattr(cost, name) for cost in self.costs)
 
-    def added(self, name: str, direct: 'Rounds') -> list[float]:
+    def above_direct(self, name: str, direct: 'PathCosts') -> list[float]:
         """Return the cost above that of the direct path, for each round."""
         return [
             getattr(cost, name) - getattr(base, name)
@@ -81,15 +81,17 @@
         await run.fleet.start('pump', 'bench.pump', engine.address)
         for engine in engines
     ]
-    ways = dict(zip(_WAYS, (engines, pumps, [router]), strict=True))
+    paths = dict(zip(_PATHS, (engines, pumps, [router]), strict=True))
     streams = run.scale(400, 8)
     meter = Meter(run.fleet)
     await meter.begin()
-    full = await _compare(run, ways, streams)
-    half = full if run.smoke else await _compare(run, ways, streams // 2)
+    full = await _measure_rounds(run, paths, streams)
+    half = (
+        full if run.smoke else await _measure_rounds(run, paths, streams // 2)
+    )
     await meter.end()
-    _fill(report, full, half)
-    await router.leave()
+    _fill_report(report, full, half)
+    await router.shut_down()
     requests = await _audit(run, report, (full, half))
     metered = meter.figures(requests)
     # With streams this long, requests per core is not a meaningful figure.
@@ -101,7 +103,7 @@
 async def _audit(
     run: Run,
     report: Report,
-    loads: tuple[dict[str, Rounds], ...],
+    loads: tuple[dict[str, PathCosts], ...],
 ) -> int:
     routed = {id(load): load['router'] for load in loads}.values()
     books = await read_books(run.fleet.table)
@@ -115,7 +117,7 @@
         'cut_streams': short,
         'refusals': refused,
         'overspend_tokens': books.overspend(),
-        'double_bills': books.doubled(),
+        'double_bills': books.double_billed(),
         'missing_bills': max(0, whole - len(books.bills)),
     }
     return requests
@@ -127,24 +129,24 @@
         engine = await run.fleet.start(
             'engine',
             'bench.stamping',
-            str(_PACE_S),
+            str(_TOKEN_INTERVAL_S),
         )
         engines.append(engine)
         # A router raises the load on a target step by step until it knows
         # the target's capacity. A burst of this size on few targets would
         # wait for that, which this scenario doesn't measure, so each engine
         # has many rows.
-        for part in range(_ROWS):
+        for part in range(_ROWS_PER_ENGINE):
             row = engine_row(f'engine-{number}-{part}', engine.address)
-            await run.fleet.put(row)
-    await run.fleet.put(team(_TEAM))
+            await run.fleet.write_rows(row)
+    await run.fleet.write_rows(team(_TEAM))
     return engines
 
 
-def _fill(
+def _fill_report(
     report: Report,
-    full: dict[str, Rounds],
-    half: dict[str, Rounds],
+    full: dict[str, PathCosts],
+    half: dict[str, PathCosts],
 ) -> None:
     router_us = full['router'].median('chunk_us')
     pump_us = full['pump'].median('chunk_us')
@@ -156,41 +158,41 @@
     report.baseline['chunk_cpu_us'] = pump_us
     _add_latencies(report, full, 'added_full_')
     _add_latencies(report, half, 'added_')
-    report.series.ways = {
-        f'{load}, {way}': {
+    report.series.paths = {
+        f'{load}, {path}': {
             quantile: rounds.median(f'{quantile}_ms')
             for quantile in ('p50', 'p99')
         }
-        for load, ways in (('full', full), ('half', half))
-        for way, rounds in ways.items()
+        for load, paths in (('full', full), ('half', half))
+        for path, rounds in paths.items()
     }
 
 
 def _add_latencies(
     report: Report,
-    ways: dict[str, Rounds],
+    paths: dict[str, PathCosts],
     prefix: str,
 ) -> None:
     for name in ('p50_ms', 'p99_ms'):
-        router = ways['router'].added(name, ways['direct'])
-        pump = ways['pump'].added(name, ways['direct'])
+        router = paths['router'].above_direct(name, paths['direct'])
+        pump = paths['pump'].above_direct(name, paths['direct'])
         report.figures[prefix + name] = statistics.median(router)
         report.baseline[prefix + name] = statistics.median(pump)
         report.figures[f'{prefix}{name}_rounds'] = router
         report.baseline[f'{prefix}{name}_rounds'] = pump
 
 
-async def _compare(
+async def _measure_rounds(
     run: Run,
-    ways: dict[str, list[Process]],
+    paths: dict[str, list[Process]],
     streams: int,
-) -> dict[str, Rounds]:
-    rounds = {name: Rounds() for name in ways}
+) -> dict[str, PathCosts]:
+    rounds = {name: PathCosts() for name in paths}
     for number in range(run.scale(3, 1)):
-        for name, way in ways.items():
-            cost = await _measure(run, way, streams)
+        for name, path in paths.items():
+            cost = await _measure(run, path, streams)
             rounds[name].costs.append(cost)
-            run.say(
+            run.print_progress(
                 f'round {number + 1}: {streams:>4} streams, {name:<7}'
                 f'{cost.chunk_us:8.1f} us per chunk, p50 {cost.p50_ms:6.2f} ms,'
                 f' p99 {cost.p99_ms:7.2f} ms, {cost.refused} refused',
@@ -198,29 +200,29 @@
     return rounds
 
 
-async def _measure(run: Run, way: list[Process], streams: int) -> Cost:
+async def _measure(run: Run, path: list[Process], streams: int) -> Cost:
     ramp_s = run.scale(2, 1)
     window_s = run.scale(6, 1)
-    tokens = (window_s + 2 * ramp_s) * _PER_SECOND
+    tokens = (window_s + 2 * ramp_s) * _TOKENS_PER_SECOND
     readers = [
         await run.fleet.start(
             'reader',
             'bench.readers',
-            way[number % len(way)].address,
-            str(streams // _READERS),
+            path[number % len(path)].address,
+            str(streams // _READER_PROCESSES),
             str(tokens),
-            secret_of(_TEAM),
+            api_key_of(_TEAM),
         )
-        for number in range(_READERS)
+        for number in range(_READER_PROCESSES)
     ]
     # The ramp leaves out connecting and the first tokens. After it the engines
     # send at a fixed rate, so the number of chunks is known.
     await asyncio.sleep(ramp_s)
-    before = sum(process.cpu_s() for process in way)
+    before = sum(process.cpu_s() for process in path)
     await asyncio.sleep(window_s)
-    used_s = sum(process.cpu_s() for process in way) - before
+    used_s = sum(process.cpu_s() for process in path) - before
     tallies = [await _read_tally(reader) for reader in readers]
-    chunks = streams * _PER_SECOND * window_s
+    chunks = streams * _TOKENS_PER_SECOND * window_s
     return Cost(
         chunk_us=used_s * _MICROSECONDS / chunks,
         p50_ms=max(tally['p50_ms'] for tally in tallies),
--- a/bench/scenarios/skew.py
+++ b/bench/scenarios/skew.py
@@ -13,7 +13,7 @@
     """Request more than the prepaid tokens, mostly at one router."""
     zones = ('zone-a',) * run.scale(4, 2)
     setup = await set_up(run, zones, _TEAMS, budget__least_draw=200)
-    await setup.begin()
+    await setup.start_measuring()
     load = setup.load(rate=80, teams=_SHARES, retries=False)
     # The first router gets about half of all requests.
     load.routers = run.fleet.routers[:1] * len(zones) + run.fleet.routers
--- a/bench/series.py
+++ b/bench/series.py
@@ -22,7 +22,7 @@
         Seconds until each edit was in force.
     outages : list of Outage
         Platform outages.
-    ways : dict of str to dict
+    paths : dict of str to dict
         Latencies in ms by quantile, for each path of a relayed stream.
     """
 
@@ -32,4 +32,4 @@
     routed_s: list[float] = attrs.field(factory=list)
     in_force_s: list[float] = attrs.field(factory=list)
     outages: list[Outage] = attrs.field(factory=list)
-    ways: dict[str, dict[str, float]] = attrs.field(factory=dict)
+    paths: dict[str, dict[str, float]] = attrs.field(factory=dict)
--- a/bench/stamping.py
+++ b/bench/stamping.py
@@ -38,8 +38,8 @@
         'age_s': 0,
     },
 ).encode()
-_REPORT = b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b'
-_REFUSAL = b'HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n'
+_LOAD_RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b'
+_NOT_FOUND = b'HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n'
 _ATTEMPT = b'x-attempt-id:'
 _LENGTH = b'content-length:'
 
@@ -49,27 +49,27 @@
     """Answer that is being streamed."""
 
     transport: asyncio.Transport
-    left: int
-    pace_s: float
-    due: float = 0
+    tokens_left: int
+    interval_s: float
+    next_at: float = 0
 
     def start(self) -> None:
         """Start at a random phase, so that streams don't send all at once."""
         loop = asyncio.get_running_loop()
-        self.due = loop.time() + self.pace_s * random.random()
-        loop.call_at(self.due, self.say)
+        self.next_at = loop.time() + self.interval_s * random.random()
+        loop.call_at(self.next_at, self.send_token)
 
-    def say(self) -> None:
+    def send_token(self) -> None:
         """Send one token and schedule the next."""
         if self.transport.is_closing():
             return
-        if not self.left:
+        if not self.tokens_left:
             self._finish()
             return
-        self.left -= 1
+        self.tokens_left -= 1
         self._send((_EVENT % time.monotonic_ns()).encode())
-        self.due += self.pace_s
-        asyncio.get_running_loop().call_at(self.due, self.say)
+        self.next_at += self.interval_s
+        asyncio.get_running_loop().call_at(self.next_at, self.send_token)
 
     def _finish(self) -> None:
         self._send((_USAGE % (1, 2)).encode())
@@ -82,8 +82,8 @@
 class Connection(asyncio.Protocol):
     """HTTP connection that starts a stream for each chat request."""
 
-    def __init__(self, pace_s: float) -> None:
-        self._pace_s = pace_s
+    def __init__(self, interval_s: float) -> None:
+        self._interval_s = interval_s
         self._received = b''
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -100,14 +100,14 @@
 
     def _serve(self, head: bytes, body: bytes) -> None:
         if head.startswith(b'GET /load'):
-            self._transport.write(_REPORT % (len(_LOAD), _LOAD))
+            self._transport.write(_LOAD_RESPONSE % (len(_LOAD), _LOAD))
             return
         if not head.startswith(b'POST /v1/chat/completions'):
-            self._transport.write(_REFUSAL)
+            self._transport.write(_NOT_FOUND)
             return
         tokens = json.loads(body)['max_tokens']
         self._transport.write(_HEAD % _field(head, _ATTEMPT))
-        Stream(self._transport, tokens, self._pace_s).start()
+        Stream(self._transport, tokens, self._interval_s).start()
 
 
 def _field(head: bytes, name: bytes) -> bytes:
@@ -119,9 +119,9 @@
 
 async def main() -> None:
     """Serve until terminated; the argument is the token interval in s."""
-    pace_s = float(sys.argv[1])
+    interval_s = float(sys.argv[1])
     server = await asyncio.get_running_loop().create_server(
-        lambda: Connection(pace_s),
+        lambda: Connection(interval_s),
         '127.0.0.1',
         0,
         backlog=1024,
--- a/bench/turns.py
+++ b/bench/turns.py
@@ -23,36 +23,36 @@
 _WINDOW_S = 10
 _WINDOWS = 3
 _MS = 1000
-_LONG_S = 0.005
+_LONG_ITERATION_S = 0.005
 
 
-class TurnSelector(selectors.EpollSelector):
+class CpuTimeSelector(selectors.EpollSelector):
     """Selector that records the CPU time between two waits."""
 
-    turns: ClassVar[list[float]] = []
+    iterations: ClassVar[list[float]] = []
 
     def __init__(self) -> None:
         super().__init__()
-        self._woke_at = time.thread_time()
+        self._resumed_at = time.thread_time()
 
     def select(self, timeout: float | None = None) -> list:
         """Record the iteration that ends here and wait for events."""
-        self.turns.append(time.thread_time() - self._woke_at)
+        self.iterations.append(time.thread_time() - self._resumed_at)
         events = super().select(timeout)
-        self._woke_at = time.thread_time()
+        self._resumed_at = time.thread_time()
         return events
 
 
-def print_turns(*_signal: object) -> None:
+def print_iterations(*_signal: object) -> None:
     """Print statistics of the iterations since the last call."""
-    turns = sorted(TurnSelector.turns)
-    TurnSelector.turns.clear()
+    iterations = sorted(CpuTimeSelector.iterations)
+    CpuTimeSelector.iterations.clear()
     line = json.dumps(
         {
-            'turns': len(turns),
-            'p99_ms': round(turns[len(turns) * 99 // 100] * _MS, 2),
-            'max_ms': round(turns[-1] * _MS, 2),
-            'over_5_ms': sum(turn > _LONG_S for turn in turns),
+            'turns': len(iterations),
+            'p99_ms': round(iterations[len(iterations) * 99 // 100] * _MS, 2),
+            'max_ms': round(iterations[-1] * _MS, 2),
+            'over_5_ms': sum(cpu_s > _LONG_ITERATION_S for cpu_s in iterations),
         },
     )
     sys.stdout.write(f'{line}\n')
@@ -63,24 +63,24 @@
     """Measure a router with many targets and no callers."""
     fleet = await start_fleet()
     try:
-        await _watch(fleet)
+        await _measure_router(fleet)
     finally:
         await fleet.stop()
 
 
-async def _watch(fleet: Fleet) -> None:
+async def _measure_router(fleet: Fleet) -> None:
     engine = await fleet.start('engine', 'bench.stamping', '1')
     for number in range(_TARGETS):
-        await fleet.put(engine_row(f'engine-{number}', engine.address))
+        await fleet.write_rows(engine_row(f'engine-{number}', engine.address))
     fleet.router_module = 'bench.turns'
     router = await fleet.router()
-    await _read_turns(router, _SETTLE_S)
+    await _read_iterations(router, _SETTLE_S)
     for _ in range(_WINDOWS):
-        line = await _read_turns(router, _WINDOW_S)
+        line = await _read_iterations(router, _WINDOW_S)
         sys.stdout.write(line)
 
 
-async def _read_turns(router: Process, seconds: float) -> str:
+async def _read_iterations(router: Process, seconds: float) -> str:
     await asyncio.sleep(seconds)
     router.signal(signal.SIGUSR1)
     line = await router.next_line()
@@ -92,8 +92,8 @@
     if len(sys.argv) == 1:
         asyncio.run(measure())
         return
-    selectors.DefaultSelector = TurnSelector
-    signal.signal(signal.SIGUSR1, print_turns)
+    selectors.DefaultSelector = CpuTimeSelector
+    signal.signal(signal.SIGUSR1, print_iterations)
     run_command()
 
 
