--- a/bench/budget_policies.py
+++ b/bench/budget_policies.py
@@ -18,23 +18,23 @@
 from tests.budget_world import SwitchedService
 from tests.fake_net import FakeNet
 
-_TRIES = 8
+_COMMIT_TRIES = 8
 _PAUSE_S = 0.01
-_PEER_S = 0.001
+_PEER_DELAY_S = 0.001
 
 
-class Net(FakeNet):
+class DelayedNet(FakeNet):
     """Fake peer network with a delay of 1 ms per answer."""
 
     async def answer(self, source, incarnation, message):
         """Deliver a request after the delay and return its answer."""
-        await asyncio.sleep(_PEER_S)
+        await asyncio.sleep(_PEER_DELAY_S)
         return await super().answer(source, incarnation, message)
 
-    async def carry(self) -> None:
+    async def deliver_periodically(self) -> None:
         """Deliver one-way messages periodically, until cancelled."""
         while True:
-            await asyncio.sleep(_PEER_S * 100)
+            await asyncio.sleep(_PEER_DELAY_S * 100)
             await self.settle()
             self.sent.clear()
 
@@ -62,26 +62,26 @@
         """Reserve tokens for a call; return the reservation or a fault."""
 
     @abc.abstractmethod
-    async def bill(self, number: int, call: Call, held: object) -> None:
-        """Bill a call that has ended, with the reservation ``held``."""
+    async def bill(self, number: int, call: Call, reservation: object) -> None:
+        """Bill a call that has ended, with its ``reservation``."""
 
     @abc.abstractmethod
-    def idle(self) -> int:
+    def idle_tokens(self) -> int:
         """Return the tokens that routers hold without a request."""
 
-    async def funded(self, team: str, tokens: int) -> None:
+    async def on_payment(self, team: str, tokens: int) -> None:
         """Handle a payment that has been added to the account already."""
         return
 
-    async def serve(self) -> None:
+    async def run_background(self) -> None:
         """Run background work until cancelled."""
         await asyncio.Event().wait()
 
-    def cut(self, routers: list[int]) -> None:
+    def disconnect(self, routers: list[int]) -> None:
         """Handle the start of a partition between routers and all others."""
         return
 
-    def heal(self) -> None:
+    def reconnect(self) -> None:
         """Handle the end of the partition."""
         return
 
@@ -97,7 +97,7 @@
     """
 
     cfg: BudgetSettings
-    net: Net = attrs.field(factory=Net)
+    net: DelayedNet = attrs.field(factory=DelayedNet)
     routers: list[Budgets] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
@@ -120,12 +120,12 @@
         """Reserve at the call's router."""
         return await self.routers[call.router].reserve(call.team, call.tokens)
 
-    async def bill(self, number: int, call: Call, held: object) -> None:
+    async def bill(self, number: int, call: Call, reservation: object) -> None:
         """Bill at the call's router."""
         router = self.routers[call.router]
-        router.bill(held, Bill(call.team, str(number), call.used))
+        router.bill(reservation, Bill(call.team, str(number), call.used))
 
-    def idle(self) -> int:
+    def idle_tokens(self) -> int:
         """Return the granted tokens of the routers that are not reserved."""
         return sum(
             ledger.unspent_granted
@@ -133,22 +133,24 @@
             for ledger in router.ledgers.values()
         )
 
-    async def serve(self) -> None:
+    async def run_background(self) -> None:
         """Run all routers, each started with a random delay."""
         late = random.Random(self.seed)
-        spans = [late.uniform(0, self.cfg.flush_interval) for _ in self.routers]
+        delays = [
+            late.uniform(0, self.cfg.flush_interval) for _ in self.routers
+        ]
         await asyncio.gather(
-            self.net.carry(),
-            *map(_run_later, spans, self.routers),
+            self.net.deliver_periodically(),
+            *map(_run_delayed, delays, self.routers),
         )
 
-    def cut(self, routers: list[int]) -> None:
+    def disconnect(self, routers: list[int]) -> None:
         """Disconnect these routers from the others."""
         away = [f'r{number}' for number in routers]
         names = [router.incarnation for router in self.routers]
         self.net.cut(away, [name for name in names if name not in away])
 
-    def heal(self) -> None:
+    def reconnect(self) -> None:
         """Reconnect all routers."""
         self.net.heal()
 
@@ -157,25 +159,25 @@
 class Central(Policy):
     """Conditional write to the account for each reservation and bill."""
 
-    def idle(self) -> int:
+    def idle_tokens(self) -> int:
         """Return 0, since routers hold no tokens."""
         return 0
 
     async def reserve(self, number: int, call: Call) -> object:
         """Take the maximum usage of the call from the account."""
-        return await self._take(call, call.tokens) or call
+        return await self._take_tokens(call, call.tokens) or call
 
-    async def bill(self, number: int, call: Call, held: object) -> None:
+    async def bill(self, number: int, call: Call, reservation: object) -> None:
         """Return the unused tokens; retry each second during an outage."""
-        fault = await self._take(call, call.used - call.tokens)
+        fault = await self._take_tokens(call, call.used - call.tokens)
         while fault is not None:
             await asyncio.sleep(1)
-            fault = await self._take(call, call.used - call.tokens)
+            fault = await self._take_tokens(call, call.used - call.tokens)
 
-    async def _take(self, call: Call, tokens: int) -> BudgetFault | None:
+    async def _take_tokens(self, call: Call, tokens: int) -> BudgetFault | None:
         connection = self.connections[call.router]
         key = account_key(call.team)
-        for attempt in range(_TRIES):
+        for attempt in range(_COMMIT_TRIES):
             rows = await connection.read((key,))
             if isinstance(rows, PlatformFault):
                 return NO_ALLOTMENT
@@ -204,42 +206,45 @@
     """
 
     cfg: BudgetSettings
-    left: dict[tuple[int, str], int] = attrs.field(factory=dict)
-    waiting: set[int] = attrs.field(factory=set)
+    tokens_left: dict[tuple[int, str], int] = attrs.field(factory=dict)
+    unbilled_routers: set[int] = attrs.field(factory=set)
 
-    async def funded(self, team: str, tokens: int) -> None:
+    async def on_payment(self, team: str, tokens: int) -> None:
         """Split a payment; a disconnected router gets its part afterwards."""
         await asyncio.gather(
-            *(self._fund(number, team, tokens) for number in self._all()),
+            *(
+                self._fund(number, team, tokens)
+                for number in self._router_numbers()
+            ),
         )
 
     async def reserve(self, number: int, call: Call) -> object:
         """Take the maximum usage of the call from the router's part."""
         part = (call.router, call.team)
-        if self.left.get(part, 0) < call.tokens:
+        if self.tokens_left.get(part, 0) < call.tokens:
             return EXHAUSTED
-        self.left[part] -= call.tokens
+        self.tokens_left[part] -= call.tokens
         return call
 
-    async def bill(self, number: int, call: Call, held: object) -> None:
+    async def bill(self, number: int, call: Call, reservation: object) -> None:
         """Return the unused tokens to the router's part."""
-        self.left[call.router, call.team] += call.tokens - call.used
-        self.waiting.add(call.router)
+        self.tokens_left[call.router, call.team] += call.tokens - call.used
+        self.unbilled_routers.add(call.router)
 
-    def idle(self) -> int:
+    def idle_tokens(self) -> int:
         """Return the tokens left in all parts."""
-        return sum(self.left.values())
+        return sum(self.tokens_left.values())
 
-    async def serve(self) -> None:
+    async def run_background(self) -> None:
         """Count one write per interval for each router with bills."""
         while True:
             await asyncio.sleep(self.cfg.flush_interval)
-            for number in tuple(self.waiting):
+            for number in tuple(self.unbilled_routers):
                 if self.connections[number].open:
                     await self.platform.weather.admit_write()
-                    self.waiting.discard(number)
+                    self.unbilled_routers.discard(number)
 
-    def _all(self) -> range:
+    def _router_numbers(self) -> range:
         return range(len(self.connections))
 
     async def _fund(self, number: int, team: str, tokens: int) -> None:
@@ -247,9 +252,9 @@
             await asyncio.sleep(1)
         part = (number, team)
         share = tokens // len(self.connections)
-        self.left[part] = self.left.get(part, 0) + share
+        self.tokens_left[part] = self.tokens_left.get(part, 0) + share
 
 
-async def _run_later(pause: float, router: Budgets) -> None:
-    await asyncio.sleep(pause)
+async def _run_delayed(delay: float, router: Budgets) -> None:
+    await asyncio.sleep(delay)
     await router.run()
--- a/bench/budget_runs.py
+++ b/bench/budget_runs.py
@@ -18,7 +18,7 @@
 
 POLICIES = ('escrow', 'central', 'static')
 
-_SAMPLE_S = 5
+_SAMPLE_INTERVAL_S = 5
 _SETTLE_S = 60
 _PERMILLE = 0.001
 _THOUSAND = 1000
@@ -71,7 +71,7 @@
     false_early: int = 0
     waits: list[float] = attrs.field(factory=list)
     idle: list[float] = attrs.field(factory=list)
-    half: tuple[int, int] = (0, 0)
+    counts_at_half: tuple[int, int] = (0, 0)
 
 
 @attrs.define(eq=False)
@@ -88,34 +88,34 @@
     prepaid: dict[str, int] = attrs.field(factory=dict)
     spent: dict[str, int] = attrs.field(factory=dict)
     reserved: dict[str, int] = attrs.field(factory=dict)
-    splits: list[asyncio.Task] = attrs.field(factory=list)
+    payment_tasks: list[asyncio.Task] = attrs.field(factory=list)
 
     async def measure(self) -> dict[str, float | int]:
         """Make all calls and return the figures, with those of the audit."""
         await self._pay(self.scenario.fund)
         self.platform.weather.delay_s = _DELAY_S
-        beside = [
+        background = [
             asyncio.create_task(work)
             for work in (
-                self.policy.serve(),
-                self._trouble(),
+                self.policy.run_background(),
+                self._run_fault(),
                 self._sample(),
-                _halve(self),
-                self._lose(),
+                _record_half(self),
+                self._lose_answers(),
             )
         ]
-        await self._go_through()
+        await self._make_calls()
         figures = self._figures()
         await asyncio.sleep(_SETTLE_S)
-        for task in beside:
+        for task in background:
             task.cancel()
-        await asyncio.gather(*beside, return_exceptions=True)
+        await asyncio.gather(*background, return_exceptions=True)
         return figures | await self._audit()
 
-    async def _go_through(self) -> None:
+    async def _make_calls(self) -> None:
         running = set()
         for number, call in enumerate(self.calls):
-            pause = call.at - asyncio.get_running_loop().time()
+            pause = call.arrival - asyncio.get_running_loop().time()
             if pause > 0:
                 await asyncio.sleep(pause)
             task = asyncio.create_task(self._call(number, call))
@@ -127,21 +127,21 @@
     async def _call(self, number: int, call: Call) -> None:
         loop = asyncio.get_running_loop()
         began = loop.time()
-        held = await self.policy.reserve(number, call)
+        reservation = await self.policy.reserve(number, call)
         self.tally.requests += 1
         if loop.time() > began:
             self.tally.waits.append(loop.time() - began)
-        if isinstance(held, BudgetFault):
-            self._refused(call)
+        if isinstance(reservation, BudgetFault):
+            self._count_refusal(call)
             return
         team = call.team
         self.reserved[team] = self.reserved.get(team, 0) + call.tokens
-        await asyncio.sleep(call.runs)
+        await asyncio.sleep(call.duration)
         self.reserved[team] -= call.tokens
         self.spent[team] = self.spent.get(team, 0) + call.used
-        await self.policy.bill(number, call, held)
+        await self.policy.bill(number, call, reservation)
 
-    def _refused(self, call: Call) -> None:
+    def _count_refusal(self, call: Call) -> None:
         self.tally.refused += 1
         prepaid = self.prepaid[call.team]
         room = prepaid - self.spent.get(call.team, 0)
@@ -155,17 +155,19 @@
         self.tally.false_up += 1
         self.tally.false_early += room > prepaid * _PERMILLE
 
-    async def _trouble(self) -> None:
+    async def _run_fault(self) -> None:
         length = self.scenario.load.length
         span = (self.scenario.end - self.scenario.begin) * length
         if not span:
             return
         await asyncio.sleep(self.scenario.begin * length)
-        half = list(range(len(self.connections) // 2, len(self.connections)))
+        counts_at_half = list(
+            range(len(self.connections) // 2, len(self.connections))
+        )
         self.platform.weather.down = self.scenario.down
         if self.scenario.cuts:
-            self.policy.cut(half)
-            for number in half:
+            self.policy.disconnect(counts_at_half)
+            for number in counts_at_half:
                 self.connections[number].open = False
         await asyncio.sleep(span / 3)
         if self.scenario.top_up:
@@ -174,17 +176,17 @@
         self.platform.weather.down = False
         for connection in self.connections:
             connection.open = True
-        self.policy.heal()
+        self.policy.reconnect()
 
-    async def _pay(self, times: float) -> None:
+    async def _pay(self, factor: float) -> None:
         load = self.scenario.load
         for team, tokens in demand(self.calls, load.length).items():
-            paid = int(tokens * times)
+            paid = int(tokens * factor)
             self.prepaid[team] = self.prepaid.get(team, 0) + paid
             await self._top_up(team, paid)
             # A part of a payment may be delayed until a partition ends.
-            split = asyncio.create_task(self.policy.funded(team, paid))
-            self.splits.append(split)
+            split = asyncio.create_task(self.policy.on_payment(team, paid))
+            self.payment_tasks.append(split)
         await asyncio.sleep(0)
 
     async def _top_up(self, team: str, paid: int) -> None:
@@ -192,14 +194,14 @@
         # task runs between these calls.
         table = self.platform.table
         before = attrs.evolve(self.platform.weather)
-        self._conditions(0, down=False, losing=0)
+        self._set_platform(0, down=False, losing=0)
         rows = await table.read((account_key(team),))
         account = Account(**(rows[0].value or {}))
         topped = attrs.evolve(account, prepaid=account.prepaid + paid)
         await table.commit(
             Commit((Write(account_key(team), encode_record(topped)),)),
         )
-        self._conditions(
+        self._set_platform(
             before.delay_s,
             down=before.down,
             losing=before.lose_answers,
@@ -207,7 +209,7 @@
         self.platform.weather.reads = before.reads
         self.platform.weather.writes = before.writes
 
-    def _conditions(self, delay: float, *, down: bool, losing: int) -> None:
+    def _set_platform(self, delay: float, *, down: bool, losing: int) -> None:
         weather = self.platform.weather
         weather.delay_s = delay
         weather.down = down
@@ -216,10 +218,10 @@
     async def _sample(self) -> None:
         whole = sum(self.prepaid.values())
         while True:
-            await asyncio.sleep(_SAMPLE_S)
-            self.tally.idle.append(self.policy.idle() / whole)
+            await asyncio.sleep(_SAMPLE_INTERVAL_S)
+            self.tally.idle.append(self.policy.idle_tokens() / whole)
 
-    async def _lose(self) -> None:
+    async def _lose_answers(self) -> None:
         rng = random.Random(self.seed)
         weather = self.platform.weather
         seen = 0
@@ -234,7 +236,7 @@
         tally = self.tally
         weather = self.platform.weather
         waits = sorted(tally.waits)
-        requests, writes = tally.half
+        requests, writes = tally.counts_at_half
         late = weather.writes - writes
         return {
             'requests': tally.requests,
@@ -304,11 +306,11 @@
     return await run.measure()
 
 
-async def _halve(run: Run) -> None:
+async def _record_half(run: Run) -> None:
     # In the first half all routers make their first draws for all teams, so
     # the second half is also counted separately.
     await asyncio.sleep(run.scenario.load.length / 2)
-    run.tally.half = (run.tally.requests, run.platform.weather.writes)
+    run.tally.counts_at_half = (run.tally.requests, run.platform.weather.writes)
 
 
 def _mean(numbers: list[float]) -> float:
--- a/bench/budget_trace.py
+++ b/bench/budget_trace.py
@@ -4,10 +4,10 @@
 
 import attrs
 
-_SMALLEST = 200
-_LARGEST = 2000
-_LEAST_USE = 0.2
-_MEAN_RUN_S = 3
+_MIN_TOKENS = 200
+_MAX_TOKENS = 2000
+_MIN_USED_SHARE = 0.2
+_MEAN_DURATION_S = 3
 
 
 @attrs.frozen
@@ -36,7 +36,7 @@
 
     Parameters
     ----------
-    at : float
+    arrival : float
         Time of arrival, in seconds.
     router : int
         Number of the router at which it arrives.
@@ -46,16 +46,16 @@
         Maximum usage, which is reserved.
     used : int
         Tokens that it uses.
-    runs : float
+    duration : float
         Duration in seconds.
     """
 
-    at: float
+    arrival: float
     router: int
     team: str
     tokens: int
     used: int
-    runs: float
+    duration: float
 
 
 def draw_calls(load: Load, seed: int) -> list[Call]:
@@ -71,16 +71,18 @@
         Seed of the random numbers.
     """
     rng = random.Random(seed)
-    ranks = _zipf(load.teams)
-    orders = [rng.sample(range(load.routers), load.routers) for _ in ranks]
-    shares = _zipf(load.routers)
+    team_shares = _zipf(load.teams)
+    router_orders = [
+        rng.sample(range(load.routers), load.routers) for _ in team_shares
+    ]
+    router_shares = _zipf(load.routers)
     calls = []
-    at = rng.expovariate(load.rate * load.routers)
-    while at < load.length:
-        team = rng.choices(range(load.teams), ranks)[0]
-        router = rng.choices(orders[team], shares)[0]
-        calls.append(_draw_call(rng, at, router, f't{team}'))
-        at += rng.expovariate(load.rate * load.routers)
+    arrival = rng.expovariate(load.rate * load.routers)
+    while arrival < load.length:
+        team = rng.choices(range(load.teams), team_shares)[0]
+        router = rng.choices(router_orders[team], router_shares)[0]
+        calls.append(_draw_call(rng, arrival, router, f't{team}'))
+        arrival += rng.expovariate(load.rate * load.routers)
     return calls
 
 
@@ -88,7 +90,7 @@
     """Return the tokens that each team's calls before a time use."""
     sums: dict[str, int] = {}
     for call in calls:
-        if call.at < until:
+        if call.arrival < until:
             sums[call.team] = sums.get(call.team, 0) + call.used
     return sums
 
@@ -97,8 +99,10 @@
     return [1 / (rank + 1) for rank in range(count)]
 
 
-def _draw_call(rng: random.Random, at: float, router: int, team: str) -> Call:
-    tokens = rng.randint(_SMALLEST, _LARGEST)
-    used = int(tokens * rng.uniform(_LEAST_USE, 1))
-    runs = rng.expovariate(1 / _MEAN_RUN_S)
-    return Call(at, router, team, tokens, used, runs)
+def _draw_call(
+    rng: random.Random, arrival: float, router: int, team: str
+) -> Call:
+    tokens = rng.randint(_MIN_TOKENS, _MAX_TOKENS)
+    used = int(tokens * rng.uniform(_MIN_USED_SHARE, 1))
+    duration = rng.expovariate(1 / _MEAN_DURATION_S)
+    return Call(arrival, router, team, tokens, used, duration)
--- a/bench/budgets.py
+++ b/bench/budgets.py
@@ -17,22 +17,22 @@
 from bench.routing_loop import run_virtually
 
 _OUT = Path('build/bench/budgets.json')
-_HOUR = Load(rate=5, length=4500)
-_BEGIN = 600 / 4500
-_END = 4200 / 4500
+_LONG_LOAD = Load(rate=5, length=4500)
+_FAULT_BEGIN = 600 / 4500
+_FAULT_END = 4200 / 4500
 SCENARIOS = {
     'steady': Scenario(Load(length=120), fund=10),
     'end': Scenario(Load(rate=50, length=120), fund=0.7),
     'partition': Scenario(
-        _HOUR,
+        _LONG_LOAD,
         fund=1,
         top_up=0.3,
-        begin=_BEGIN,
-        end=_END,
+        begin=_FAULT_BEGIN,
+        end=_FAULT_END,
         cuts=True,
     ),
     'platform_down': Scenario(
-        attrs.evolve(_HOUR, length=1200),
+        attrs.evolve(_LONG_LOAD, length=1200),
         fund=2,
         begin=0.25,
         end=0.75,
@@ -70,7 +70,7 @@
     no_baselines: bool,
 ) -> None:
     """Run scenarios with each seed, both postures and both baselines."""
-    every = []
+    all_rows = []
     for name in names or SCENARIOS:
         for seed in seeds:
             began = time.monotonic()
@@ -78,15 +78,15 @@
             click.echo(_table(rows))
             took = time.monotonic() - began
             click.echo(f'({name}, seed {seed}: {took:.1f} s)\n')
-            every.extend(rows)
+            all_rows.extend(rows)
     _OUT.parent.mkdir(parents=True, exist_ok=True)
-    text = json.dumps(every, indent=2)
+    text = json.dumps(all_rows, indent=2)
     _OUT.write_text(f'{text}\n')
 
 
 def settings(posture: str, *overrides: str) -> BudgetSettings:
     """Return the default budget settings with a posture and overrides."""
-    changes = (f'budget.{one}' for one in overrides)
+    changes = (f'budget.{override}' for override in overrides)
     cfg = read_settings(
         None,
         ('host.zone=zone-a', f'budget.posture={posture}', *changes),
@@ -114,12 +114,12 @@
 def _table(rows: list[dict]) -> str:
     lines = []
     for key in rows[0]:
-        cells = ''.join(f'{_shown(row[key]):>16}' for row in rows)
+        cells = ''.join(f'{_format(row[key]):>16}' for row in rows)
         lines.append(f'{key:<18}{cells}')
     return '\n'.join(lines)
 
 
-def _shown(cell: object) -> str:
+def _format(cell: object) -> str:
     return f'{cell:.4g}' if isinstance(cell, float) else str(cell)
 
 
--- a/bench/power.py
+++ b/bench/power.py
@@ -20,17 +20,17 @@
 _SERVICE_S = 10.0
 _RATE = 0.8
 _PEAK_RATE = 3 * _RATE
-_INTERVAL = 5
-_LENGTH = 1800
-_IDLE = 120
-_START = 20
-_USE = 0.7
+_DECISION_INTERVAL_S = 5
+_LENGTH_S = 1800
+_IDLE_S = 120
+_START_S = 20
+_TARGET_USE = 0.7
 _HIGH, _LOW = 0.7, 0.35
 _P95 = 0.95
 _SETTINGS = (
-    f'power.idle={_IDLE}s',
+    f'power.idle={_IDLE_S}s',
     'power.order_settle=60s',
-    f'power.start_time={_START}s',
+    f'power.start_time={_START_S}s',
     'power.warm_time=0s',
 )
 
@@ -45,7 +45,7 @@
     return _PEAK_RATE if now // 60 % 2 else _RATE
 
 
-_SHAPES = {'step': _step, 'swing': _swing}
+_DEMAND_CURVES = {'step': _step, 'swing': _swing}
 
 
 @attrs.define
@@ -81,45 +81,45 @@
     tally: Tally = attrs.field(init=False)
     world: World = attrs.field(init=False)
     queue: list[int] = attrs.field(factory=list)
-    ends: list[tuple[int, FakeHost, int, object]] = attrs.field(factory=list)
-    idle: dict[str, int] = attrs.field(factory=dict)
-    calm_since: int = -1
+    running: list[tuple[int, FakeHost, int, object]] = attrs.field(factory=list)
+    unneeded_s_by_host: dict[str, int] = attrs.field(factory=dict)
+    queue_empty_since: int = -1
 
     def __attrs_post_init__(self) -> None:
         """Create the hosts, the power switch and two routers."""
         self.tally = Tally(self.policy, self.shape)
         up = _HOSTS if self.policy == 'static' else _SLOTS
         self.world = World(count=_HOSTS, up=up, overrides=_SETTINGS)
-        self.world.switch.delay = _START
+        self.world.switch.delay = _START_S
         self.world.add_router('r0')
         self.world.add_router('r1')
 
     async def run(self) -> Tally:
         """Simulate all seconds and return the results."""
         await self.world.rounds(1)
-        for now in range(_LENGTH):
-            self._second(now)
-            if now % _INTERVAL == 0:
+        for now in range(_LENGTH_S):
+            self._simulate_second(now)
+            if now % _DECISION_INTERVAL_S == 0:
                 await self._decide()
             await self.world.clock.advance(1)
         self.tally.cut = self.world.aborted_requests
         self.tally.switches = len(self.world.switch.orders)
         return self.tally
 
-    def _second(self, now: int) -> None:
+    def _simulate_second(self, now: int) -> None:
         self.world.switch.bring_up()
         self._finish(now)
-        rate = _SHAPES[self.shape](now)
+        rate = _DEMAND_CURVES[self.shape](now)
         chance = rate / _SLOTS
         draws = (self.rng.random() < chance for _ in range(_SLOTS))
         self.queue.extend(now for drawn in draws if drawn)
         while self.queue and self._place(now):
             self.tally.waited.append(now - self.queue.pop(0))
-        self._count(now)
+        self._count_hosts(now)
 
     def _finish(self, now: int) -> None:
-        due = [entry for entry in self.ends if entry[0] <= now]
-        self.ends = [entry for entry in self.ends if entry[0] > now]
+        due = [entry for entry in self.running if entry[0] <= now]
+        self.running = [entry for entry in self.running if entry[0] > now]
         for _, host, start, target in due:
             target.in_flight -= 1
             if host.up and host.start == start:
@@ -128,13 +128,13 @@
 
     def _place(self, now: int) -> bool:
         router = self.rng.choice(self.world.routers)
-        able = [
+        candidates = [
             (self.world.client.hosts[target.row.address], target)
             for target in router.targets.usable(self.world.rows)
         ]
         free = [
             pair
-            for pair in able
+            for pair in candidates
             if pair[0].up and pair[0].running < _SLOTS and not pair[0].leaving
         ]
         if not free:
@@ -143,32 +143,36 @@
         target.in_flight += 1
         host.running += 1
         length = max(1, round(self.rng.expovariate(1 / _SERVICE_S)))
-        self.ends.append((now + length, host, host.start, target))
+        self.running.append((now + length, host, host.start, target))
         return True
 
-    def _count(self, now: int) -> None:
+    def _count_hosts(self, now: int) -> None:
         on = [host for host in self.world.hosts if host.up]
         busy = sum(host.running for host in on)
-        need = -(-busy // (_SLOTS * _USE)) + 1
+        need = -(-busy // (_SLOTS * _TARGET_USE)) + 1
         self.tally.host_s += len(on)
         self.tally.unneeded_s += int(max(0, len(on) - need))
         for host in self.world.hosts:
-            alone = host.up and not host.running and len(on) > need
-            length = self.idle.get(host.address, 0) + 1 if alone else 0
-            self.idle[host.address] = length
+            is_unneeded = host.up and not host.running and len(on) > need
+            length = (
+                self.unneeded_s_by_host.get(host.address, 0) + 1
+                if is_unneeded
+                else 0
+            )
+            self.unneeded_s_by_host[host.address] = length
             longest = max(self.tally.longest_idle_s, length)
             self.tally.longest_idle_s = longest
-        self._count_calm(now)
+        self._measure_time_to_capacity(now)
 
-    def _count_calm(self, now: int) -> None:
+    def _measure_time_to_capacity(self, now: int) -> None:
         if self.shape != 'step' or now < 300 or self.tally.to_capacity_s >= 0:
             return
         if self.queue:
-            self.calm_since = -1
-        elif self.calm_since < 0:
-            self.calm_since = now
-        if self.calm_since >= 0 and now - self.calm_since >= 60:
-            self.tally.to_capacity_s = self.calm_since - 300
+            self.queue_empty_since = -1
+        elif self.queue_empty_since < 0:
+            self.queue_empty_since = now
+        if self.queue_empty_since >= 0 and now - self.queue_empty_since >= 60:
+            self.tally.to_capacity_s = self.queue_empty_since - 300
 
     async def _decide(self) -> None:
         await self.world.poll()
@@ -177,9 +181,9 @@
                 await self.world.step(router)
             await self.world.net.settle()
         elif self.policy == 'threshold':
-            await self._threshold()
+            await self._apply_threshold()
 
-    async def _threshold(self) -> None:
+    async def _apply_threshold(self) -> None:
         """Switch one host on or off, by the current use alone."""
         on = [host for host in self.world.hosts if host.up]
         use = sum(host.running for host in on) / (_SLOTS * len(on))
@@ -187,7 +191,7 @@
         if use > _HIGH and off:
             await self.world.switch.power(off[0].address, on=True, fence=0)
         elif use < _LOW and len(on) > 1:
-            least = min(on, key=_load)
+            least = min(on, key=_running_requests)
             await self.world.switch.power(least.address, on=False, fence=0)
 
 
@@ -195,7 +199,7 @@
     return pair[0].running
 
 
-def _load(host: FakeHost) -> int:
+def _running_requests(host: FakeHost) -> int:
     return host.running
 
 
@@ -205,7 +209,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seed', type=int, default=1)
     seed = parser.parse_args().seed
-    for shape in _SHAPES:
+    for shape in _DEMAND_CURVES:
         for policy in ('ours', 'threshold', 'static'):
             run = Run(policy, shape, random.Random(seed))
             tally = asyncio.run(run.run())
--- a/bench/rates.py
+++ b/bench/rates.py
@@ -13,7 +13,7 @@
 from bench.routing import print_table
 
 _PARTS = ('errors', 'cost')
-_BOTH = 256
+_MAX_ALL_TO_ALL_ROUTERS = 256
 _HOMES = 'homes'
 
 
@@ -47,24 +47,30 @@
 def _errors(
     sizes: tuple[int, ...],
     seeds: tuple[int, ...],
-    part: str,
+    substring: str,
 ) -> list[dict]:
-    every = []
+    all_rows = []
     for routers in sizes:
-        names = [name for name in rates_scenarios.SCENARIOS if part in name]
+        names = [
+            name for name in rates_scenarios.SCENARIOS if substring in name
+        ]
         cases = itertools.product(names, _ways(routers), seeds)
         rows = [
             {**rates_scenarios.measure(name, way, routers, seed), 'seed': seed}
             for name, way, seed in cases
         ]
         print_table(rows)
-        every += rows
-    return every
+        all_rows += rows
+    return all_rows
 
 
 def _ways(routers: int) -> tuple[str, ...]:
     # All-to-all messages would take hours in larger fleets.
-    return (_HOMES,) if routers > _BOTH else tuple(rates_scenarios.WAYS)
+    return (
+        (_HOMES,)
+        if routers > _MAX_ALL_TO_ALL_ROUTERS
+        else tuple(rates_scenarios.WAYS)
+    )
 
 
 def _costs(sizes: tuple[int, ...], seeds: tuple[int, ...]) -> list[dict]:
--- a/bench/rates_baseline.py
+++ b/bench/rates_baseline.py
@@ -20,63 +20,63 @@
 #: Minimum seconds between two demand messages of a router.
 _INTERVAL = 1.0
 #: Maximum messages per second that a router receives from all others.
-_MOST_MESSAGES = 16
-_MOST_TEAMS = 40_000
-_MOST_TOLD = 256
-_FEWEST_TOLD = 8
+_MAX_MESSAGES_PER_S = 16
+_MAX_TEAMS = 40_000
+_MAX_SENT_TEAMS = 256
+_MIN_SENT_TEAMS = 8
 #: Intervals after which the demand reported by a router expires.
-_FRESH_INTERVALS = 5
+_EXPIRY_INTERVALS = 5
 #: Weight of the last window in the smoothed demand.
-_SMOOTH = 0.5
-_LEAST_DEMAND = 0.5
+_SMOOTHING = 0.5
+_MIN_DEMAND = 0.5
 
 
 @attrs.define
-class Demands:
+class ReportedDemands:
     """Demand of the other routers, summed by team.
 
     The sums are updated with each message, so that a request needs one
     look-up regardless of the number of routers.
     """
 
-    _heard: OrderedDict[str, tuple[float, Uses]] = attrs.field(
+    _reports: OrderedDict[str, tuple[float, Uses]] = attrs.field(
         factory=OrderedDict,
     )
     _sums: dict[str, int] = attrs.field(factory=dict)
 
     def __len__(self) -> int:
         """Return the number of routers whose demand is known."""
-        return len(self._heard)
+        return len(self._reports)
 
-    def put(self, uses: Uses, now: float, interval: float) -> bool:
+    def update(self, uses: Uses, now: float, interval: float) -> bool:
         """Store a demand message; return False if it is not newer."""
-        known = self._heard.get(uses.incarnation)
-        if known is not None and known[1].window >= uses.window:
+        stored = self._reports.get(uses.incarnation)
+        if stored is not None and stored[1].window >= uses.window:
             return False
-        self._drop(uses.incarnation)
-        expires = now + _FRESH_INTERVALS * interval
-        self._heard[uses.incarnation] = (expires, uses)
+        self._remove(uses.incarnation)
+        expires = now + _EXPIRY_INTERVALS * interval
+        self._reports[uses.incarnation] = (expires, uses)
         self._add(uses, 1)
         return True
 
     def expire(self, now: float) -> None:
         """Remove the demand of routers whose last message has expired."""
-        silent = [
+        expired = [
             incarnation
-            for incarnation, (expires, _uses) in self._heard.items()
+            for incarnation, (expires, _uses) in self._reports.items()
             if expires < now
         ]
-        for incarnation in silent:
-            self._drop(incarnation)
+        for incarnation in expired:
+            self._remove(incarnation)
 
     def of_team(self, team: str) -> int:
         """Return the sum of a team's demand at all other routers."""
         return self._sums.get(team, 0)
 
-    def _drop(self, incarnation: str) -> None:
-        known = self._heard.pop(incarnation, None)
-        if known is not None:
-            self._add(known[1], -1)
+    def _remove(self, incarnation: str) -> None:
+        stored = self._reports.pop(incarnation, None)
+        if stored is not None:
+            self._add(stored[1], -1)
 
     def _add(self, uses: Uses, sign: int) -> None:
         for use in uses.teams:
@@ -102,8 +102,8 @@
 
     def close_window(self) -> None:
         """Update the smoothed demand and begin the next window."""
-        self._smoothed += (self.wanted - self._smoothed) * _SMOOTH
-        if self._smoothed < _LEAST_DEMAND:
+        self._smoothed += (self.wanted - self._smoothed) * _SMOOTHING
+        if self._smoothed < _MIN_DEMAND:
             self._smoothed = 0
         self.wanted = 0
 
@@ -131,13 +131,13 @@
     net: PeerNet | None = None
     running: dict[str, int] = attrs.field(factory=dict)
     _rates: OrderedDict[str, FloodedRates] = attrs.field(factory=OrderedDict)
-    _heard: Demands = attrs.field(factory=Demands)
+    _reports: ReportedDemands = attrs.field(factory=ReportedDemands)
     _window: int = 0
-    _told_at: float = float('-inf')
+    _sent_at: float = float('-inf')
 
     def __attrs_post_init__(self) -> None:
         if self.net is not None:
-            self.net.on(Uses, self.take)
+            self.net.on(Uses, self.handle_demand)
 
     def enter(self, team: TeamRow, tokens: int) -> RoutingFault | None:
         """Admit a request, or return the fault why the team must wait.
@@ -174,35 +174,37 @@
         """Return the seconds between two demand messages.
 
         The interval grows with the fleet, so that each router receives at
-        most `_MOST_MESSAGES` per second from all others together.
+        most `_MAX_MESSAGES_PER_S` messages from all others together.
         """
         members = len(self.net.members()) if self.net is not None else 1
-        return max(_INTERVAL, members / _MOST_MESSAGES)
+        return max(_INTERVAL, members / _MAX_MESSAGES_PER_S)
 
     def tick(self) -> None:
         """Send the demand to neighbours if an interval has passed."""
-        if self.clock.now() - self._told_at >= self.interval():
-            self._told_at = self.clock.now()
-            self.tell()
+        if self.clock.now() - self._sent_at >= self.interval():
+            self._sent_at = self.clock.now()
+            self.send_demand()
 
-    def tell(self) -> None:
+    def send_demand(self) -> None:
         """Send this router's demand to neighbours; called at each interval."""
         if self.net is None:
             return
         self._window += 1
-        self._heard.expire(self.clock.now())
+        self._reports.expire(self.clock.now())
         self.net.spread(
-            Uses(self.net.me.incarnation, self._window, self._own_uses()),
+            Uses(self.net.me.incarnation, self._window, self._own_demands()),
         )
 
-    async def take(self, sender: Member, message: Message) -> None:
+    async def handle_demand(self, sender: Member, message: Message) -> None:
         """Store a router's demand; forward it to neighbours if it is new."""
         if not isinstance(message, Uses) or self.net is None:
             return
         if message.incarnation == self.net.me.incarnation:
             return
-        news = self._heard.put(message, self.clock.now(), self.interval())
-        if news and not self._reaches_all():
+        is_new = self._reports.update(
+            message, self.clock.now(), self.interval()
+        )
+        if is_new and not self._reaches_all():
             self.net.spread(message, besides=sender.incarnation)
 
     def share(self, team: str) -> float:
@@ -210,8 +212,8 @@
         if self.net is None:
             return 1
         members = max(1, len(self.net.members()))
-        heard = min(len(self._heard) + 1, members)
-        others = self._heard.of_team(team)
+        reporting = min(len(self._reports) + 1, members)
+        others = self._reports.of_team(team)
         rates = self._rates.get(team)
         own = rates.demand() if rates else 0
         # A router without messages may be serving the team too. An even share
@@ -219,7 +221,7 @@
         # would use the whole rate, and the metrics would show the team's
         # requests at twice the limit of its row. The demand of each router
         # counts one request more, so that an idle one can start at once.
-        return heard / members * (own + 1) / (own + others + heard)
+        return reporting / members * (own + 1) / (own + others + reporting)
 
     def _reaches_all(self) -> bool:
         # In a small fleet every router is linked to every other. A forwarded
@@ -255,19 +257,21 @@
             now = self.clock.now()
             rates = FloodedRates(Bucket(filled_at=now), Bucket(filled_at=now))
         self._rates[team] = rates
-        if len(self._rates) > _MOST_TEAMS:
+        if len(self._rates) > _MAX_TEAMS:
             self._rates.popitem(last=False)
         return rates
 
-    def _own_uses(self) -> tuple[TeamUse, ...]:
+    def _own_demands(self) -> tuple[TeamUse, ...]:
         uses = []
         for team, rates in self._rates.items():
             rates.close_window()
             if rates.demand():
                 uses.append(TeamUse(team, round(rates.demand()), 0))
         uses.sort(key=_by_requests, reverse=True)
-        told = max(_FEWEST_TOLD, _MOST_TOLD // max(1, round(self.interval())))
-        return tuple(uses[:told])
+        sent = max(
+            _MIN_SENT_TEAMS, _MAX_SENT_TEAMS // max(1, round(self.interval()))
+        )
+        return tuple(uses[:sent])
 
 
 def _by_requests(use: TeamUse) -> int:
--- a/bench/rates_net.py
+++ b/bench/rates_net.py
@@ -14,13 +14,13 @@
 from balsamreach.wire.membership import Member
 from tools.measure_gossip import SetClock
 
-ZONE = 34
+ROUTERS_PER_ZONE = 34
 _MAX_PEERS = 16
-_MOST_HOPS = 8
+_MAX_ROUNDS = 8
 
 
 @attrs.define(eq=False)
-class Fabric:
+class SimulatedNetwork:
     """Delivers messages and counts those that each router sends.
 
     Parameters
@@ -40,14 +40,14 @@
     clock: SetClock = attrs.field(factory=SetClock)
     nets: dict[str, 'SimulatedNet'] = attrs.field(factory=dict)
     sent: Counter[str] = attrs.field(factory=Counter)
-    octets: Counter[str] = attrs.field(factory=Counter)
+    sent_bytes: Counter[str] = attrs.field(factory=Counter)
     links: set[frozenset[str]] = attrs.field(factory=set)
     sides: dict[str, int] = attrs.field(factory=dict)
     dead: set[str] = attrs.field(factory=set)
-    _waiting: deque = attrs.field(factory=deque)
+    _queue: deque = attrs.field(factory=deque)
 
     def __attrs_post_init__(self) -> None:
-        zones = max(1, round(self.routers / ZONE))
+        zones = max(1, round(self.routers / ROUTERS_PER_ZONE))
         for number in range(self.routers):
             member = Member(
                 incarnation=f'{self.seed:04x}{number * 7919 + 1:028x}',
@@ -57,69 +57,72 @@
                 started=1,
             )
             self.nets[member.incarnation] = SimulatedNet(member, self)
-        self.see()
+        self.update_members()
 
-    def see(self) -> None:
+    def update_members(self) -> None:
         """Update each router's members and links after a cut or a death."""
         for net in self.nets.values():
-            name = net.me.incarnation
-            side = self.sides.get(name, 0)
-            near = [
+            incarnation = net.me.incarnation
+            side = self.sides.get(incarnation, 0)
+            reachable = [
                 other.me
                 for other in self.nets.values()
                 if self.sides.get(other.me.incarnation, 0) == side
                 and other.me.incarnation not in self.dead
             ]
-            net.know(near, [one.me for one in self.nets.values()])
-        sides = {self.sides.get(name, 0) for name in self.nets}
+            net.set_members(reachable, [one.me for one in self.nets.values()])
+        sides = {self.sides.get(incarnation, 0) for incarnation in self.nets}
         for group in sorted(sides):
             self._link(group)
 
-    def post(self, source: Member, name: str, message: Message) -> None:
+    def send(self, source: Member, incarnation: str, message: Message) -> None:
         """Queue a message; drop it if the receiver is cut off or dead."""
         self.sent[source.incarnation] += 1
         if self.decodes:
             packed = encode(Envelope(message))
             assert isinstance(packed, bytes), packed
-            self.octets[source.incarnation] += len(packed) + HEAD
+            self.sent_bytes[source.incarnation] += len(packed) + HEAD
             envelope = decode(packed)
             assert isinstance(envelope, Envelope), envelope
             message = envelope.message
-        pair = (source.incarnation, name)
+        pair = (source.incarnation, incarnation)
         self.links.add(frozenset(pair))
         sides = {self.sides.get(one, 0) for one in pair}
         if len(sides) == 1 and not self.dead.intersection(pair):
-            self._waiting.append((source, name, message))
+            self._queue.append((source, incarnation, message))
 
-    def forget(self) -> None:
+    def reset_counts(self) -> None:
         """Reset the counts of messages and bytes."""
         self.sent.clear()
-        self.octets.clear()
+        self.sent_bytes.clear()
 
-    def links_each(self) -> list[int]:
+    def links_per_router(self) -> list[int]:
         """Return the number of routers that each exchanged messages with."""
-        ends = Counter(name for link in self.links for name in link)
+        ends = Counter(
+            incarnation for link in self.links for incarnation in link
+        )
         return list(ends.values())
 
     async def deliver(self) -> None:
         """Deliver queued messages and those sent in response.
 
-        Stops after `_MOST_HOPS` rounds.
+        Stops after `_MAX_ROUNDS` rounds.
         """
-        for _ in range(_MOST_HOPS):
-            if not self._waiting:
+        for _ in range(_MAX_ROUNDS):
+            if not self._queue:
                 return
-            waiting = self._waiting
-            self._waiting = deque()
-            for source, name, message in waiting:
-                net = self.nets[name]
+            queue = self._queue
+            self._queue = deque()
+            for source, incarnation, message in queue:
+                net = self.nets[incarnation]
                 await net.takers[type(message)](source, message)
 
     def _link(self, group: int) -> None:
         nets = [
             net
-            for name, net in self.nets.items()
-            if self.sides.get(name, 0) == group and name not in self.dead
+            for incarnation, net in self.nets.items()
+            if self.sides.get(incarnation, 0) == group
+            and incarnation not in self.dead
         ]
         rings = Rings((net.me for net in nets), _MAX_PEERS)
         for net in nets:
@@ -134,18 +137,18 @@
 class SimulatedNet(PeerNet):
     """Peer network of one router."""
 
-    fabric: Fabric
+    network: SimulatedNetwork
     linked: dict[str, Member] = attrs.field(factory=dict)
     takers: dict[type[Message], Taker] = attrs.field(factory=dict)
     _alive: tuple[Member, ...] = ()
-    _gone: tuple[Member, ...] = ()
+    _dead: tuple[Member, ...] = ()
     _homes: dict[str, Member] = attrs.field(factory=dict)
 
-    def know(self, alive: list[Member], every: list[Member]) -> None:
+    def set_members(self, alive: list[Member], every: list[Member]) -> None:
         """Set the members; all other routers count as dead."""
         names = {member.incarnation for member in alive}
         self._alive = tuple(alive)
-        self._gone = tuple(one for one in every if one.incarnation not in names)
+        self._dead = tuple(one for one in every if one.incarnation not in names)
         self._homes = {}
 
     def members(self) -> tuple[Member, ...]:
@@ -154,7 +157,7 @@
 
     def departed(self) -> tuple[Member, ...]:
         """Return the routers that count as dead."""
-        return self._gone
+        return self._dead
 
     def neighbours(self) -> tuple[Member, ...]:
         """Return the linked routers."""
@@ -182,11 +185,11 @@
 
     def tell(self, incarnation: str, message: Message) -> bool:
         """Send a message."""
-        self.fabric.post(self.me, incarnation, message)
+        self.network.send(self.me, incarnation, message)
         return True
 
     def spread(self, message: Message, besides: str = '') -> None:
         """Send a message to all linked routers but one."""
-        for name in tuple(self.linked):
-            if name != besides:
-                self.tell(name, message)
+        for incarnation in tuple(self.linked):
+            if incarnation != besides:
+                self.tell(incarnation, message)
--- a/bench/rates_scenarios.py
+++ b/bench/rates_scenarios.py
@@ -10,19 +10,19 @@
 from balsamreach.routing.limits import TeamLimits
 from balsamreach.table.rows import TeamRow
 from bench.rates_baseline import FloodedLimits
-from bench.rates_net import Fabric
+from bench.rates_net import SimulatedNetwork
 
 WAYS: Mapping[str, Callable[..., Any]] = {
     'homes': TeamLimits,
     'all to all': FloodedLimits,
 }
-STEP = 0.25
-_MINUTE = 60
-_SHORT = 10
+STEP_S = 0.25
+_MINUTE_S = 60
+_SHORT_SPAN_S = 10
 #: Seconds until a dead or disconnected router counts as dead.
-_NOTICED = 3
-_BEGIN = 120
-_END = 300
+_DETECTION_S = 3
+_EVENT_S = 120
+_END_S = 300
 _SPARSE_LIMIT = 240
 
 
@@ -34,7 +34,7 @@
     ----------
     demand : float
         Request rate, as a multiple of the limit.
-    through : int
+    router_count : int
         Number of routers that get the requests; 0 for all.
     event : str
         Event after two minutes: empty, ``step`` (demand begins), ``cut``
@@ -45,7 +45,7 @@
     """
 
     demand: float
-    through: int = 0
+    router_count: int = 0
     event: str = ''
     limit: int = 0
 
@@ -66,7 +66,7 @@
 
 
 @attrs.define(eq=False)
-class Trial:
+class ScenarioRun:
     """One run of a scenario.
 
     Parameters
@@ -81,7 +81,7 @@
 
     scenario: Scenario
     way: str
-    fabric: Fabric
+    network: SimulatedNetwork
     row: TeamRow = attrs.field(init=False)
     limits: dict[str, Any] = attrs.field(init=False)
     wanted: list[int] = attrs.field(factory=list)
@@ -89,49 +89,49 @@
 
     def __attrs_post_init__(self) -> None:
         # Enough that a router's part isn't a fraction of a request.
-        limit = self.scenario.limit or 30 * self.fabric.routers
+        limit = self.scenario.limit or 30 * self.network.routers
         self.row = TeamRow(name='team-00001', requests_per_minute=limit)
         make = WAYS[self.way]
         self.limits = {
-            name: make(self.fabric.clock, net)
-            for name, net in self.fabric.nets.items()
+            name: make(self.network.clock, net)
+            for name, net in self.network.nets.items()
         }
 
     async def run(self) -> Mapping[str, float]:
         """Run the scenario and return the errors."""
-        rng = random.Random(self.fabric.seed)
-        starts = {name: rng.random() * _SHORT for name in self.limits}
-        steps = round(_END / STEP)
+        rng = random.Random(self.network.seed)
+        starts = {name: rng.random() * _SHORT_SPAN_S for name in self.limits}
+        steps = round(_END_S / STEP_S)
         for step in range(steps):
-            now = step * STEP
-            self.fabric.clock.seconds = now
-            self._happen(now)
-            self._ask(rng, now)
+            now = step * STEP_S
+            self.network.clock.seconds = now
+            self._trigger_event(now)
+            self._send_requests(rng, now)
             for name, one in self.limits.items():
-                if now >= starts[name] and name not in self.fabric.dead:
+                if now >= starts[name] and name not in self.network.dead:
                     one.tick()
-            await self.fabric.deliver()
+            await self.network.deliver()
         return self._errors()
 
-    def _happen(self, now: float) -> None:
+    def _trigger_event(self, now: float) -> None:
         event = self.scenario.event
-        if now == _BEGIN and event == 'cut':
+        if now == _EVENT_S and event == 'cut':
             names = list(self.limits)
             half = set(names[: len(names) // 2])
-            self.fabric.sides = {name: int(name in half) for name in names}
-        if now == _BEGIN and event == 'death':
-            self.fabric.dead.add(self._home())
-        if now == _BEGIN + _NOTICED and event in {'cut', 'death'}:
-            self.fabric.see()
+            self.network.sides = {name: int(name in half) for name in names}
+        if now == _EVENT_S and event == 'death':
+            self.network.dead.add(self._home())
+        if now == _EVENT_S + _DETECTION_S and event in {'cut', 'death'}:
+            self.network.update_members()
 
     def _home(self) -> str:
-        nets = list(self.fabric.nets.values())
+        nets = list(self.network.nets.values())
         keys = [f'rates {number}' for number in range(8)]
         homes = [nets[0].home(key).incarnation for key in keys]
-        asking = set(list(self.limits)[: self.scenario.through or 1])
+        asking = set(list(self.limits)[: self.scenario.router_count or 1])
         return next(home for home in homes if home not in asking)
 
-    def _ask(self, rng: random.Random, now: float) -> None:
+    def _send_requests(self, rng: random.Random, now: float) -> None:
         wanted = 0
         admitted = 0
         for name in self._arrivals(rng, now):
@@ -145,38 +145,38 @@
 
     def _arrivals(self, rng: random.Random, now: float) -> Iterator[str]:
         scenario = self.scenario
-        if scenario.event == 'step' and now < _BEGIN:
+        if scenario.event == 'step' and now < _EVENT_S:
             return
         names = list(self.limits)
-        size = scenario.through or len(names)
-        names = [name for name in names[:size] if name not in self.fabric.dead]
-        rate = self.row.requests_per_minute / _MINUTE * scenario.demand
+        size = scenario.router_count or len(names)
+        names = [name for name in names[:size] if name not in self.network.dead]
+        rate = self.row.requests_per_minute / _MINUTE_S * scenario.demand
         at = rng.expovariate(rate)
-        while at < STEP:
+        while at < STEP_S:
             yield rng.choice(names)
             at += rng.expovariate(rate)
 
     def _errors(self) -> Mapping[str, float]:
-        begin = round(_BEGIN / STEP)
-        found = {
-            'most in 10 s': self._most(begin, _SHORT),
-            'most in 60 s': self._most(begin, _MINUTE),
-            'least in 10 s': self._least(begin, _SHORT),
+        begin = round(_EVENT_S / STEP_S)
+        errors = {
+            'most in 10 s': self._max_ratio(begin, _SHORT_SPAN_S),
+            'most in 60 s': self._max_ratio(begin, _MINUTE_S),
+            'least in 10 s': self._min_ratio(begin, _SHORT_SPAN_S),
             'mean': self._ratio(begin, len(self.wanted)),
         }
-        return found | {'refused though within': self._refused(begin)}
+        return errors | {'refused though within': self._refused_share(begin)}
 
-    def _most(self, begin: int, seconds: int) -> float:
+    def _max_ratio(self, begin: int, seconds: int) -> float:
         """Return the maximum admitted in a span, as a multiple of the limit."""
-        span = round(seconds / STEP)
-        allowed = self.row.requests_per_minute / _MINUTE * seconds
+        span = round(seconds / STEP_S)
+        allowed = self.row.requests_per_minute / _MINUTE_S * seconds
         return max(
             sum(self.admitted[at : at + span]) / allowed
             for at in range(begin, len(self.admitted) - span)
         )
 
-    def _least(self, begin: int, seconds: int) -> float:
-        span = round(seconds / STEP)
+    def _min_ratio(self, begin: int, seconds: int) -> float:
+        span = round(seconds / STEP_S)
         return min(
             self._ratio(at, at + span)
             for at in range(begin, len(self.admitted) - span)
@@ -184,12 +184,12 @@
 
     def _ratio(self, begin: int, end: int) -> float:
         """Return the ratio of admitted requests to those wanted and allowed."""
-        seconds = (end - begin) * STEP
-        allowed = self.row.requests_per_minute / _MINUTE * seconds
+        seconds = (end - begin) * STEP_S
+        allowed = self.row.requests_per_minute / _MINUTE_S * seconds
         wanted = sum(self.wanted[begin:end])
         return sum(self.admitted[begin:end]) / max(1, min(wanted, allowed))
 
-    def _refused(self, begin: int) -> float:
+    def _refused_share(self, begin: int) -> float:
         """Return the fraction refused of the requests that the limit allows."""
         return max(0, 1 - self._ratio(begin, len(self.wanted)))
 
@@ -198,7 +198,9 @@
     name: str, way: str, routers: int, seed: int
 ) -> Mapping[str, object]:
     """Run one scenario and return a row of its errors."""
-    trial = Trial(SCENARIOS[name], way, Fabric(routers, seed))
-    errors = asyncio.run(trial.run())
+    scenario_run = ScenarioRun(
+        SCENARIOS[name], way, SimulatedNetwork(routers, seed)
+    )
+    errors = asyncio.run(scenario_run.run())
     head = {'scenario': name, 'routers': routers, 'way': way}
     return head | {key: round(error, 3) for key, error in errors.items()}
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -13,7 +13,7 @@
 from bench.routing_hedges import measure_hedges
 from bench.routing_hints import measure_hints
 
-_ALL = {
+_BENCHMARKS = {
     'choice': scenarios.measure_choice,
     'hints': measure_hints,
     'hedges': measure_hedges,
@@ -27,32 +27,32 @@
 
 @click.command()
 @click.option('--seed', 'seeds', multiple=True, type=int, default=(1,))
-@click.option('--only', multiple=True, type=click.Choice(tuple(_ALL)))
+@click.option('--only', multiple=True, type=click.Choice(tuple(_BENCHMARKS)))
 def main(seeds: tuple[int, ...], only: tuple[str, ...]) -> None:
     """Run the benchmarks with each seed."""
-    every = []
-    for name in only or _ALL:
+    all_rows = []
+    for name in only or _BENCHMARKS:
         for seed in seeds:
             began = time.monotonic()
-            rows = [{**row, 'seed': seed} for row in _ALL[name](seed)]
+            rows = [{**row, 'seed': seed} for row in _BENCHMARKS[name](seed)]
             print_table(rows)
             took = time.monotonic() - began
             click.echo(f'({name}, seed {seed}: {took:.1f} s)\n')
-            every.extend(rows)
-    click.echo(json.dumps(every))
+            all_rows.extend(rows)
+    click.echo(json.dumps(all_rows))
 
 
 def print_table(rows: list[dict]) -> None:
     """Print rows with equal keys as a table."""
     names = list(rows[0])
-    lines = [names, *([_shown(row[name]) for name in names] for row in rows)]
+    lines = [names, *([_format(row[name]) for name in names] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     for line in lines:
         cells = zip(line, widths, strict=True)
         click.echo('  '.join(text.ljust(width) for text, width in cells))
 
 
-def _shown(cell: object) -> str:
+def _format(cell: object) -> str:
     return f'{cell:.4g}' if isinstance(cell, float) else str(cell)
 
 
--- a/bench/routing_cache.py
+++ b/bench/routing_cache.py
@@ -45,12 +45,12 @@
     ) -> CacheEvents | TargetFault:
         """Return the events that are at least ``lag`` seconds old."""
         now = asyncio.get_running_loop().time()
-        told = self.caches[address].cache.events(since, now - self.lag)
+        events = self.caches[address].cache.events(since, now - self.lag)
         return CacheEvents(
-            told['next'],
+            events['next'],
             tuple(
                 CacheEvent(one['seq'], one['block'], one['kind'] == 'stored')
-                for one in told['events']
+                for one in events['events']
             ),
         )
 
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen
-class CacheTelling:
+class EventDelivery:
     """Delay and loss of cache events on their way to the routers.
 
     Parameters
@@ -87,9 +87,9 @@
         self,
         cfg: Settings,
         targets: Targets,
-        caching: Iterable[Any],
+        cached_targets: Iterable[Any],
     ) -> CacheFollower:
         """Return a router's cache follower for all targets."""
-        caches = {one.address: one for one in caching}
+        caches = {one.address: one for one in cached_targets}
         client = _Client(caches, self.lag)
         return CacheFollower(cfg, targets, client, LoopClock(), Metrics())
--- a/bench/routing_cpu.py
+++ b/bench/routing_cpu.py
@@ -18,7 +18,7 @@
 ZONES = 27
 _PLACEMENTS = 5000
 _MICRO = 1_000_000
-_PREFIX = 2048
+_PREFIX_BYTES = 2048
 
 
 def measure_cpu(seed: int) -> list[dict]:
@@ -42,15 +42,15 @@
     took = time.process_time() - began
     rows[0] = TargetRow(**{**_fields(rows[0]), 'weight': 2})
     targets.update(rows)
-    rebuild = time.process_time()
+    rebuild_s = time.process_time()
     routing.admission.picker.pools.find((ENGINE, 'model-1'))
-    rebuild = time.process_time() - rebuild
+    rebuild_s = time.process_time() - rebuild_s
     return {
         'scenario': 'cpu',
         'policy': policy,
         'targets': TARGETS,
         'microseconds_per_request': took / _PLACEMENTS * _MICRO,
-        'microseconds_per_edit': rebuild * _MICRO,
+        'microseconds_per_edit': rebuild_s * _MICRO,
     }
 
 
@@ -92,7 +92,7 @@
             pool=(ENGINE, f'model-{number % models}'),
             fingerprint=str(number),
             deadline=routing.clock.now() + 60,
-            prefix=rng.randbytes(_PREFIX),
+            prefix=rng.randbytes(_PREFIX_BYTES),
         )
         slot = await routing.acquire_slot(ask)
         routing.feedback.record_sent(slot)
--- a/bench/routing_fleet.py
+++ b/bench/routing_fleet.py
@@ -15,14 +15,14 @@
 from balsamreach.table.rows import ENGINE, TargetRow
 from balsamreach.targets.registry import LoadReport, Targets
 from balsamreach.telemetry.metrics import Metrics
-from bench.routing_cache import CacheTelling
+from bench.routing_cache import EventDelivery
 from bench.routing_loop import LoopClock
 
 MODEL = 'model-a'
-BLOCK = 64
-REPORT_INTERVAL = 0.5
-PREFILL = 0.003
-OVERHEAD = 0.02
+BLOCK_CHARS = 64
+REPORT_INTERVAL_S = 0.5
+PREFILL_S_PER_BLOCK = 0.003
+OVERHEAD_S = 0.02
 
 
 @attrs.define(eq=False)
@@ -75,7 +75,7 @@
         if self.fails == 'refuses':
             return Verdict.REFUSED
         if self.fails == 'errors':
-            await asyncio.sleep(OVERHEAD)
+            await asyncio.sleep(OVERHEAD_S)
             return Verdict.FAILED
         await self._enter()
         try:
@@ -86,11 +86,11 @@
         return Verdict.GOOD
 
     async def _run(self, outcome: 'Outcome', slot: Slot) -> None:
-        missed = self._fill(outcome.work.blocks)
-        await asyncio.sleep(OVERHEAD + PREFILL * missed)
+        missed = self._fill_cache(outcome.spec.blocks)
+        await asyncio.sleep(OVERHEAD_S + PREFILL_S_PER_BLOCK * missed)
         slot.record_first_byte()
-        outcome.first = slot.first_byte_at - outcome.work.at
-        await asyncio.sleep(outcome.work.decode)
+        outcome.first_byte_s = slot.first_byte_at - outcome.spec.arrival
+        await asyncio.sleep(outcome.spec.decode)
 
     async def _enter(self) -> None:
         if self.running < self.slots:
@@ -115,7 +115,7 @@
                 return
         self.running -= 1
 
-    def _fill(self, blocks) -> int:
+    def _fill_cache(self, blocks) -> int:
         held = self.cache.use(blocks)
         self.hits += held
         self.misses += len(blocks) - held
@@ -123,10 +123,10 @@
 
 
 @attrs.frozen
-class Work:
+class RequestSpec:
     """One request of a scenario."""
 
-    at: float
+    arrival: float
     team: str
     prefix: bytes
     blocks: tuple
@@ -140,9 +140,9 @@
 class Outcome:
     """Result of one request; times in seconds since its arrival."""
 
-    work: Work
-    first: float = 0
-    total: float = 0
+    spec: RequestSpec
+    first_byte_s: float = 0
+    total_s: float = 0
     attempts: int = 0
     fault: str = ''
     retry_after: float = 0
@@ -168,7 +168,7 @@
         Weights of targets by name; 1 by default.
     options : tuple of str
         Further settings of the routers.
-    events : CacheTelling or None
+    events : EventDelivery or None
         Delivery of cache events, if routers follow them.
     """
 
@@ -182,7 +182,7 @@
     admits: bool = True
     nodes: list[tuple[Routing, Targets]] = attrs.field(factory=list)
     by_name: dict[str, FakeTarget] = attrs.field(factory=dict)
-    events: CacheTelling | None = None
+    events: EventDelivery | None = None
 
     def start(self) -> list[asyncio.Task]:
         """Create the routers and return their background tasks."""
@@ -218,37 +218,37 @@
         tasks.append(asyncio.create_task(self._report()))
         return tasks
 
-    async def run(self, work: Work) -> Outcome:
+    async def run(self, spec: RequestSpec) -> Outcome:
         """Run one request, starting at its time of arrival."""
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(work.at - loop.time())
-        outcome = Outcome(work)
-        routing, _targets = self.nodes[work.router]
+        await asyncio.sleep(spec.arrival - loop.time())
+        outcome = Outcome(spec)
+        routing, _targets = self.nodes[spec.router]
         ask = SlotRequest(
-            team=work.team,
+            team=spec.team,
             pool=(ENGINE, MODEL),
-            fingerprint=f'{work.team}-{work.at}',
-            deadline=work.at + work.deadline,
-            prefix=work.prefix,
-            idempotent=work.idempotent,
+            fingerprint=f'{spec.team}-{spec.arrival}',
+            deadline=spec.arrival + spec.deadline,
+            prefix=spec.prefix,
+            idempotent=spec.idempotent,
         )
         try:
-            async with asyncio.timeout(work.deadline):
-                await self._attempts(routing, ask, outcome)
+            async with asyncio.timeout(spec.deadline):
+                await self._try_targets(routing, ask, outcome)
         except TimeoutError:
             outcome.fault = 'timeout'
-        outcome.total = loop.time() - work.at
+        outcome.total_s = loop.time() - spec.arrival
         return outcome
 
-    async def _attempts(self, routing, ask, outcome) -> None:
+    async def _try_targets(self, routing, ask, outcome) -> None:
         slot = await routing.acquire_slot(ask)
         tried = set()
         while not isinstance(slot, RoutingFault):
             tried.add(slot.target.name)
             verdict = await self._send(routing, slot, outcome)
             outcome.fault = '' if verdict == Verdict.GOOD else verdict.value
-            again = ask.idempotent or verdict == Verdict.REFUSED
-            if not outcome.fault or not again or len(tried) > 2:
+            can_retry = ask.idempotent or verdict == Verdict.REFUSED
+            if not outcome.fault or not can_retry or len(tried) > 2:
                 return
             slot = await routing.retry(ask, frozenset(tried))
         outcome.fault = outcome.fault or slot.code
@@ -274,7 +274,7 @@
                 target.name: target.report(now) for target in self.targets
             }
             loop.call_later(self.lag, self._deliver, reports)
-            await asyncio.sleep(REPORT_INTERVAL)
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
     def _deliver(self, reports) -> None:
         for _routing, targets in self.nodes:
@@ -292,10 +292,10 @@
         )
 
 
-async def run_all(fleet: Fleet, works: list[Work]) -> list[Outcome]:
+async def run_all(fleet: Fleet, specs: list[RequestSpec]) -> list[Outcome]:
     """Run all requests of a scenario and return their outcomes."""
     background = fleet.start()
-    outcomes = await asyncio.gather(*(fleet.run(work) for work in works))
+    outcomes = await asyncio.gather(*(fleet.run(spec) for spec in specs))
     for task in background:
         task.cancel()
     await asyncio.gather(*background, return_exceptions=True)
--- a/bench/routing_hedges.py
+++ b/bench/routing_hedges.py
@@ -21,7 +21,7 @@
 from balsamreach.table.rows import ENGINE, TargetRow, TeamRow
 from balsamreach.targets.registry import LoadReport, Targets
 from balsamreach.telemetry.metrics import Metrics
-from bench.routing_fleet import REPORT_INTERVAL
+from bench.routing_fleet import REPORT_INTERVAL_S
 from bench.routing_loop import LoopClock, run_virtually
 from bench.routing_scenarios import quantile
 
@@ -31,11 +31,11 @@
 #: Requests per second, which use 0.25 and 0.7 of the targets' slots.
 _RATES = (40.0, 110.0)
 _SLOTS = 4
-_USUAL = 0.1
-_SLOWER = 20.0
+_USUAL_S = 0.1
+_SLOW_FACTOR = 20.0
 _WORDS = 10
 _TEAM = TeamRow(name='team', prepaid=1)
-_KIND = {'content-type': 'text/event-stream'}
+_HEADERS = {'content-type': 'text/event-stream'}
 
 
 @attrs.define(eq=False)
@@ -45,7 +45,7 @@
     rng: random.Random
     slow: str
     sent: int = 0
-    at_slow: int = 0
+    sent_to_slow: int = 0
     _busy: Counter[str] = attrs.field(factory=Counter)
     _slots: dict[str, asyncio.Semaphore] = attrs.field(factory=dict)
 
@@ -55,13 +55,13 @@
             return
         self.sent += 1
         name = attempt.target.name
-        self.at_slow += name == self.slow
+        self.sent_to_slow += name == self.slow
         slots = self._slots.setdefault(name, asyncio.Semaphore(_SLOTS))
         self._busy[name] += 1
         try:
             async with slots:
-                slower = _SLOWER if name == self.slow else 1
-                await self._generate(intake, slower)
+                factor = _SLOW_FACTOR if name == self.slow else 1
+                await self._generate(intake, factor)
         finally:
             self._busy[name] -= 1
 
@@ -79,16 +79,16 @@
                     valid_at=now,
                 )
                 target.apply_report(report, now)
-            await asyncio.sleep(REPORT_INTERVAL)
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
-    async def _generate(self, intake: Intake, slower: float) -> None:
+    async def _generate(self, intake: Intake, factor: float) -> None:
         await asyncio.sleep(
-            slower * _USUAL * self.rng.lognormvariate(0, 0.5),
+            factor * _USUAL_S * self.rng.lognormvariate(0, 0.5),
         )
-        intake.start(200, _KIND)
+        intake.start(200, _HEADERS)
         for _ in range(_WORDS):
             intake.write(b'data: {}\n\n')
-            await asyncio.sleep(_USUAL / _WORDS)
+            await asyncio.sleep(_USUAL_S / _WORDS)
         intake.write(b'data: [DONE]\n\n')
 
 
@@ -137,7 +137,7 @@
     engines = _Engines(rng, slow)
     parts = make_attempt_parts(cfg.requests, routing, engines)
     reporting = asyncio.create_task(engines.report(targets))
-    whole = await _run_all(parts, rng, rate)
+    first_byte_times = await _run_all(parts, rng, rate)
     reporting.cancel()
     return {
         'scenario': 'hedges',
@@ -145,12 +145,12 @@
         'rate': rate,
         'slow_targets': 1 if slow else 0,
         'requests': _REQUESTS,
-        'not_answered': _REQUESTS - len(whole),
-        'ttft_p50': quantile(whole, 0.5),
-        'ttft_p95': quantile(whole, 0.95),
-        'ttft_p99': quantile(whole, 0.99),
+        'not_answered': _REQUESTS - len(first_byte_times),
+        'ttft_p50': quantile(first_byte_times, 0.5),
+        'ttft_p95': quantile(first_byte_times, 0.95),
+        'ttft_p99': quantile(first_byte_times, 0.99),
         'attempts_per_request': engines.sent / _REQUESTS,
-        'share_at_slow': engines.at_slow / _REQUESTS,
+        'share_at_slow': engines.sent_to_slow / _REQUESTS,
     }
 
 
@@ -163,8 +163,8 @@
     for number in range(_REQUESTS):
         await asyncio.sleep(rng.expovariate(rate))
         running.append(asyncio.create_task(_run(parts, number)))
-    firsts = await asyncio.gather(*running)
-    return [first for first in firsts if first is not None]
+    first_byte_times = await asyncio.gather(*running)
+    return [seconds for seconds in first_byte_times if seconds is not None]
 
 
 async def _run(parts, number: int) -> float | None:
--- a/bench/routing_scenarios.py
+++ b/bench/routing_scenarios.py
@@ -4,7 +4,7 @@
 
 from bench.routing_fleet import FakeTarget, Fleet, Outcome, run_all
 from bench.routing_loop import run_virtually
-from bench.routing_works import Traffic, capacity, make_works
+from bench.routing_works import Traffic, capacity, make_requests
 
 POLICIES = (
     'random',
@@ -16,10 +16,10 @@
 TARGETS = 16
 SLOTS = 8
 ROUTERS = 4
-SECONDS = 120.0
+LOAD_S = 120.0
 P95 = 0.95
-WARM_UP = 20.0
-TWICE = 2.0
+WARM_UP_S = 20.0
+TWICE_CAPACITY = 2.0
 
 
 def _targets() -> list[FakeTarget]:
@@ -32,13 +32,13 @@
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
-def _run(fleet: Fleet, streams: list[Traffic], seed: int) -> list[Outcome]:
-    works = [
-        work
-        for stream in streams
-        for work in make_works(stream, fleet.routers, seed)
+def _run(fleet: Fleet, traffics: list[Traffic], seed: int) -> list[Outcome]:
+    specs = [
+        spec
+        for stream in traffics
+        for spec in make_requests(stream, fleet.routers, seed)
     ]
-    return run_virtually(run_all(fleet, works))
+    return run_virtually(run_all(fleet, specs))
 
 
 def measure_choice(seed: int) -> list[dict]:
@@ -48,10 +48,12 @@
     for lag in (0.0, 2.0):
         for policy in POLICIES:
             fleet = Fleet(_targets(), policy, lag, seed, ROUTERS)
-            outcomes = _run(fleet, [Traffic('team', rate, SECONDS)], seed)
+            outcomes = _run(fleet, [Traffic('team', rate, LOAD_S)], seed)
             hits = sum(target.hits for target in fleet.targets)
             misses = sum(target.misses for target in fleet.targets)
-            firsts = [out.first for out in outcomes if not out.fault]
+            first_byte_times = [
+                out.first_byte_s for out in outcomes if not out.fault
+            ]
             rows.append(
                 {
                     'scenario': 'choice',
@@ -59,9 +61,9 @@
                     'report_lag_s': lag,
                     'requests': len(outcomes),
                     'hit_rate': hits / (hits + misses),
-                    'ttft_p50': quantile(firsts, 0.5),
-                    'ttft_p95': quantile(firsts, P95),
-                    'not_answered': len(outcomes) - len(firsts),
+                    'ttft_p50': quantile(first_byte_times, 0.5),
+                    'ttft_p95': quantile(first_byte_times, P95),
+                    'not_answered': len(outcomes) - len(first_byte_times),
                 },
             )
     return rows
@@ -73,7 +75,7 @@
     for load in (0.9, 1.0, 1.1, 2.0, 3.0):
         rate = load * capacity(TARGETS, SLOTS)
         fleet = Fleet(_targets(), 'affinity', 0.5, seed, ROUTERS)
-        traffic = Traffic('team', rate, SECONDS, deadline=10)
+        traffic = Traffic('team', rate, LOAD_S, deadline=10)
         outcomes = _run(fleet, [traffic], seed)
         useful = sum(not out.fault for out in outcomes)
         rows.append(
@@ -81,18 +83,20 @@
                 'scenario': 'overload',
                 'load': load,
                 'requests': len(outcomes),
-                'useful_per_s': useful / SECONDS,
+                'useful_per_s': useful / LOAD_S,
                 'faults': dict(Counter(out.fault for out in outcomes)),
-                'limits': _limits(fleet),
+                'limits': _mean_limit(fleet),
             },
         )
-    best = max(row['useful_per_s'] for row in rows if row['load'] < TWICE)
+    best = max(
+        row['useful_per_s'] for row in rows if row['load'] < TWICE_CAPACITY
+    )
     for row in rows:
         row['of_best_at_capacity'] = row['useful_per_s'] / best
     return rows
 
 
-def _limits(fleet: Fleet) -> float:
+def _mean_limit(fleet: Fleet) -> float:
     """Return the mean per target of the sum of all routers' limits."""
     pools = [node[0].admission.picker.pools for node in fleet.nodes]
     limits = [
@@ -104,7 +108,7 @@
 def measure_fairness(seed: int) -> list[dict]:
     """Compare a quiet team's latency with and without a flooding team."""
     rows = [
-        _beside(name, flood, seed)
+        _measure_quiet_team(name, flood, seed)
         for name, flood in (('alone', 0), ('half', 0.5), ('flood', 2.0))
     ]
     for row in rows:
@@ -112,23 +116,23 @@
     return rows
 
 
-def _beside(name: str, flood: float, seed: int) -> dict:
+def _measure_quiet_team(name: str, flood: float, seed: int) -> dict:
     full = capacity(TARGETS, SLOTS)
-    streams = [Traffic('quiet', 0.2 * full, SECONDS, deadline=30)]
+    traffics = [Traffic('quiet', 0.2 * full, LOAD_S, deadline=30)]
     if flood:
-        streams.append(Traffic('flood', flood * full, SECONDS, deadline=30))
+        traffics.append(Traffic('flood', flood * full, LOAD_S, deadline=30))
     fleet = Fleet(_targets(), 'affinity', 0.5, seed, ROUTERS)
-    outcomes = _run(fleet, streams, seed)
-    mine = [out for out in outcomes if out.work.team == 'quiet']
-    mine = [out for out in mine if out.work.at > WARM_UP]
-    served = [out for out in mine if not out.fault]
+    outcomes = _run(fleet, traffics, seed)
+    quiet = [out for out in outcomes if out.spec.team == 'quiet']
+    quiet = [out for out in quiet if out.spec.arrival > WARM_UP_S]
+    served = [out for out in quiet if not out.fault]
     return {
         'scenario': 'fairness',
         'beside': name,
-        'requests': len(mine),
-        'refused': len(mine) - len(served),
-        'ttft_p95': quantile([out.first for out in served], P95),
-        'total_p95': quantile([out.total for out in served], P95),
+        'requests': len(quiet),
+        'refused': len(quiet) - len(served),
+        'ttft_p95': quantile([out.first_byte_s for out in served], P95),
+        'total_p95': quantile([out.total_s for out in served], P95),
     }
 
 
@@ -141,10 +145,10 @@
             target.fails = fails
         rate = 0.5 * capacity(TARGETS, SLOTS)
         fleet = Fleet(targets, 'affinity', 0.5, seed, ROUTERS)
-        traffic = Traffic('team', rate, SECONDS, idempotent_share=0.8)
+        traffic = Traffic('team', rate, LOAD_S, idempotent_share=0.8)
         outcomes = _run(fleet, [traffic], seed)
         attempts = sum(out.attempts for out in outcomes)
-        single = [out for out in outcomes if not out.work.idempotent]
+        single = [out for out in outcomes if not out.spec.idempotent]
         rows.append(
             {
                 'scenario': 'failures',
@@ -160,17 +164,17 @@
 
 def measure_shares(seed: int) -> list[dict]:
     """Compare targets' shares of requests with their weights."""
-    return [_shares(policy, seed) for policy in POLICIES]
+    return [_measure_policy_shares(policy, seed) for policy in POLICIES]
 
 
-def _shares(policy: str, seed: int) -> dict:
+def _measure_policy_shares(policy: str, seed: int) -> dict:
     targets = _targets()
     for number, target in enumerate(targets):
         target.slots = SLOTS * (1 + number % 3)
     weights = {one.name: one.slots / SLOTS for one in targets}
     rate = 0.5 * capacity(sum(weights.values()), SLOTS)
     fleet = Fleet(targets, policy, 0.5, seed, ROUTERS, weights)
-    outcomes = _run(fleet, [Traffic('team', rate, SECONDS)], seed)
+    outcomes = _run(fleet, [Traffic('team', rate, LOAD_S)], seed)
     fair = len(outcomes) / sum(weights.values())
     errors = [abs(one.served / fair / weights[one.name] - 1) for one in targets]
     return {
--- a/bench/routing_works.py
+++ b/bench/routing_works.py
@@ -6,12 +6,17 @@
 import attrs
 
 from balsamreach.standins.engine_cache import blocks_of
-from bench.routing_fleet import BLOCK, OVERHEAD, PREFILL, Work
+from bench.routing_fleet import (
+    BLOCK_CHARS,
+    OVERHEAD_S,
+    PREFILL_S_PER_BLOCK,
+    RequestSpec,
+)
 
 SHARED_BLOCKS = 24
 OWN_BLOCKS = 6
-GROUPS = 240
-DECODE = 1.0
+PREFIX_GROUPS = 240
+MEAN_DECODE_S = 1.0
 
 
 @attrs.frozen
@@ -39,36 +44,42 @@
     idempotent_share: float = 1.0
 
 
-def make_works(traffic: Traffic, routers: int, seed: int) -> list[Work]:
+def make_requests(
+    traffic: Traffic, routers: int, seed: int
+) -> list[RequestSpec]:
     """Return requests with shared prompt prefixes of uneven popularity."""
     rng = random.Random(f'{seed}-{traffic.team}')
-    popularity = [1 / (rank + 4) for rank in range(GROUPS)]
-    steps = list(itertools.accumulate(popularity))
-    works = []
-    at = rng.expovariate(traffic.rate)
-    while at < traffic.seconds:
-        group = rng.choices(range(GROUPS), cum_weights=steps)[0]
-        own = rng.getrandbits(64)
+    popularity = [1 / (rank + 4) for rank in range(PREFIX_GROUPS)]
+    cumulative = list(itertools.accumulate(popularity))
+    specs = []
+    arrival = rng.expovariate(traffic.rate)
+    while arrival < traffic.seconds:
+        group = rng.choices(range(PREFIX_GROUPS), cum_weights=cumulative)[0]
+        request_id = rng.getrandbits(64)
         names = [f'{group}.{number}' for number in range(SHARED_BLOCKS)]
-        names += [f'{own}.{number}' for number in range(OWN_BLOCKS)]
-        text = ''.join(name.ljust(BLOCK) for name in names)
-        works.append(
-            Work(
-                at=at,
+        names += [f'{request_id}.{number}' for number in range(OWN_BLOCKS)]
+        text = ''.join(name.ljust(BLOCK_CHARS) for name in names)
+        specs.append(
+            RequestSpec(
+                arrival=arrival,
                 team=traffic.team,
                 prefix=text.encode(),
                 blocks=blocks_of(text),
-                decode=min(5, rng.expovariate(1 / DECODE)),
+                decode=min(5, rng.expovariate(1 / MEAN_DECODE_S)),
                 deadline=traffic.deadline,
                 router=rng.randrange(routers),
                 idempotent=rng.random() < traffic.idempotent_share,
             ),
         )
-        at += rng.expovariate(traffic.rate)
-    return works
+        arrival += rng.expovariate(traffic.rate)
+    return specs
 
 
 def capacity(targets: int, slots: int) -> float:
     """Return the requests per second that targets serve without a cache."""
     blocks = SHARED_BLOCKS + OWN_BLOCKS
-    return targets * slots / (OVERHEAD + PREFILL * blocks + DECODE)
+    return (
+        targets
+        * slots
+        / (OVERHEAD_S + PREFILL_S_PER_BLOCK * blocks + MEAN_DECODE_S)
+    )
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -50,13 +50,15 @@
     # There would be a log line for each allotment taken over, which would hide
     # the figures.
     logging.disable()
-    wanted = tuple(_MEASURES) if options['everything'] else names
-    found: dict[str, Any] = {}
-    for name in wanted:
-        found[name] = measure(name, options)
-        click.echo(_table(name, found[name]))
+    selected = tuple(_MEASURES) if options['everything'] else names
+    figures_by_name: dict[str, Any] = {}
+    for name in selected:
+        figures_by_name[name] = measure(name, options)
+        click.echo(_table(name, figures_by_name[name]))
     _OUT.parent.mkdir(parents=True, exist_ok=True)
-    text = json.dumps({'load': os.getloadavg(), 'slopes': found}, indent=2)
+    text = json.dumps(
+        {'load': os.getloadavg(), 'slopes': figures_by_name}, indent=2
+    )
     _OUT.write_text(f'{text}\n')
 
 
--- a/bench/slopes_budgets.py
+++ b/bench/slopes_budgets.py
@@ -21,14 +21,14 @@
 
 _THOUSAND = 1000
 _DELAY_S = 0.005
-_ANSWER_S = 2
-_MOST_TOKENS = 1000
+_MEAN_ANSWER_S = 2
+_RESERVED_TOKENS = 1000
 _USED_TOKENS = 400
 _FLEETS = (2, 4, 8, 16)
 _DRAWERS = (1, 4, 16, 64)
-_CROWDS = (64, 256, 910)
+_ONE_ACCOUNT_FLEETS = (64, 256, 910)
 #: Settings with which a draw gets exactly what a request needs.
-_NO_STOCK = (
+_MINIMAL_DRAWS = (
     'budget.draw_ahead=0s',
     'budget.partition_cover=0s',
     'budget.least_draw=1000',
@@ -54,7 +54,7 @@
 
 
 @attrs.define
-class Crowd:
+class BudgetFleet:
     """Routers that spend from the same accounts.
 
     Parameters
@@ -84,26 +84,28 @@
         teams: list[str],
         seed: int,
         *settings: str,
-    ) -> 'Crowd':
+    ) -> 'BudgetFleet':
         """Create routers that hold no tokens yet."""
         clock = LoopClock()
         platform = await fund(teams, clock)
         platform.weather.delay_s = _DELAY_S
-        crowd = cls(
+        fleet = cls(
             random.Random(seed),
             platform,
             CountingTable(platform.table),
         )
         cfg = read_settings(None, ('host.zone=zone-a', *settings))
-        crowd.routers = [
-            Budgets(crowd.table, f'router-{number}', cfg.budget, clock)
+        fleet.routers = [
+            Budgets(fleet.table, f'router-{number}', cfg.budget, clock)
             for number in range(routers)
         ]
-        return crowd
+        return fleet
 
     async def serve(self, shares: dict[str, float], rate: float, count: int):
         """Serve requests at a rate until all have ended."""
-        upkeep = [asyncio.create_task(one.run()) for one in self.routers]
+        maintenance_tasks = [
+            asyncio.create_task(one.run()) for one in self.routers
+        ]
         requests = []
         names, weights = list(shares), list(shares.values())
         for number in range(count):
@@ -114,42 +116,42 @@
             requests.append(asyncio.create_task(serving))
             await asyncio.sleep(self.rng.expovariate(rate))
         await asyncio.gather(*requests)
-        for task in upkeep:
+        for task in maintenance_tasks:
             task.cancel()
 
     async def _serve_one(self, router: Budgets, team: str, number: int) -> None:
-        reservation = await router.reserve(team, _MOST_TOKENS)
+        reservation = await router.reserve(team, _RESERVED_TOKENS)
         if isinstance(reservation, BudgetFault):
             self.refused += 1
             return
-        await asyncio.sleep(self.rng.expovariate(1 / _ANSWER_S))
+        await asyncio.sleep(self.rng.expovariate(1 / _MEAN_ANSWER_S))
         router.bill(reservation, Bill(team, f'key-{number}', _USED_TOKENS))
 
 
 def _platform(size: Size) -> Mapping[str, float]:
     figures = {}
     for routers in _FLEETS:
-        found = run_virtually(_use(routers, size))
-        for key, amount in found.items():
+        fleet_figures = run_virtually(_serve_fleet(routers, size))
+        for key, amount in fleet_figures.items():
             figures[f'{key}_at_{routers}'] = amount
     return figures
 
 
-async def _use(routers: int, size: Size) -> Mapping[str, float]:
+async def _serve_fleet(routers: int, size: Size) -> Mapping[str, float]:
     count = size.scale(12000, 200)
     # By Zipf's law, the first of 60 teams sends a fifth of the requests.
     shares = {f'team-{rank}': 1 / rank for rank in range(1, 61)}
-    crowd = await Crowd.start(routers, list(shares), size.seed)
-    weather = crowd.platform.weather
+    fleet = await BudgetFleet.start(routers, list(shares), size.seed)
+    weather = fleet.platform.weather
     before = (weather.reads, weather.writes, weather.rows_written)
-    await crowd.serve(shares, rate=200, count=count)
-    share = _THOUSAND / count
+    await fleet.serve(shares, rate=200, count=count)
+    scale = _THOUSAND / count
     return {
-        'reads_per_1000': (weather.reads - before[0]) * share,
-        'writes_per_1000': (weather.writes - before[1]) * share,
-        'rows_per_1000': (weather.rows_written - before[2]) * share,
-        'conflicts_per_1000': crowd.table.conflicts * share,
-        'refused_per_1000': crowd.refused * share,
+        'reads_per_1000': (weather.reads - before[0]) * scale,
+        'writes_per_1000': (weather.writes - before[1]) * scale,
+        'rows_per_1000': (weather.rows_written - before[2]) * scale,
+        'conflicts_per_1000': fleet.table.conflicts * scale,
+        'refused_per_1000': fleet.refused * scale,
     }
 
 
@@ -161,78 +163,82 @@
 
 async def _serve_sparsely(size: Size) -> Mapping[str, float]:
     teams = [f'team-{number}' for number in range(size.scale(36000, 200))]
-    crowd = await Crowd.start(1, teams, size.seed)
+    fleet = await BudgetFleet.start(1, teams, size.seed)
     count = size.scale(4800, 100)
-    weather = crowd.platform.weather
+    weather = fleet.platform.weather
     before = (weather.reads, weather.writes)
-    await crowd.serve(dict.fromkeys(teams, 1), rate=80, count=count)
-    share = _THOUSAND / count
+    await fleet.serve(dict.fromkeys(teams, 1), rate=80, count=count)
+    scale = _THOUSAND / count
     return {
-        'reads_per_1000': (weather.reads - before[0]) * share,
-        'writes_per_1000': (weather.writes - before[1]) * share,
-        'refused_per_1000': crowd.refused * share,
+        'reads_per_1000': (weather.reads - before[0]) * scale,
+        'writes_per_1000': (weather.writes - before[1]) * scale,
+        'refused_per_1000': fleet.refused * scale,
     }
 
 
 def _contention(size: Size) -> Mapping[str, float]:
     figures = {}
     for drawers in _DRAWERS:
-        found = run_virtually(_race(drawers, size))
-        for key, amount in found.items():
+        fleet_figures = run_virtually(_draw_concurrently(drawers, size))
+        for key, amount in fleet_figures.items():
             figures[f'{key}_at_{drawers}'] = amount
     return figures
 
 
-async def _race(drawers: int, size: Size) -> Mapping[str, float]:
+async def _draw_concurrently(drawers: int, size: Size) -> Mapping[str, float]:
     # Each request is as large as the minimum draw, follows the last one at
     # once and is never billed, so each needs its own draw.
-    crowd = await Crowd.start(drawers, ['team'], size.seed, *_NO_STOCK)
+    fleet = await BudgetFleet.start(
+        drawers, ['team'], size.seed, *_MINIMAL_DRAWS
+    )
     seconds = size.scale(20, 2)
-    began = crowd.platform.weather.writes
-    made = await asyncio.gather(
-        *(_draw_on(router, seconds) for router in crowd.routers),
+    began = fleet.platform.weather.writes
+    draws = await asyncio.gather(
+        *(_draw_repeatedly(router, seconds) for router in fleet.routers),
     )
-    tries = crowd.platform.weather.writes - began
+    commits = fleet.platform.weather.writes - began
     return {
-        'draws_a_second': sum(made) / seconds,
-        'commits_per_draw': tries / max(1, sum(made)),
+        'draws_a_second': sum(draws) / seconds,
+        'commits_per_draw': commits / max(1, sum(draws)),
     }
 
 
-async def _draw_on(router: Budgets, seconds: float) -> int:
+async def _draw_repeatedly(router: Budgets, seconds: float) -> int:
     loop = asyncio.get_running_loop()
-    made = 0
+    draws = 0
     while loop.time() < seconds:
-        outcome = await router.reserve('team', _MOST_TOKENS)
+        outcome = await router.reserve('team', _RESERVED_TOKENS)
         refused = isinstance(outcome, BudgetFault)
-        made += not refused
+        draws += not refused
         if refused:
             await asyncio.sleep(_DELAY_S)
-    return made
+    return draws
 
 
 def _one_account(size: Size) -> Mapping[str, float]:
     figures = {}
-    for routers in _CROWDS if not size.smoke else _CROWDS[:1]:
-        found = run_virtually(_spend(routers, size))
-        for key, amount in found.items():
+    for routers in (
+        _ONE_ACCOUNT_FLEETS if not size.smoke else _ONE_ACCOUNT_FLEETS[:1]
+    ):
+        fleet_figures = run_virtually(_spend_one_account(routers, size))
+        for key, amount in fleet_figures.items():
             figures[f'{key}_at_{routers}'] = amount
     return figures
 
 
-async def _spend(routers: int, size: Size) -> Mapping[str, float]:
-    crowd = await Crowd.start(routers, ['team'], size.seed)
+async def _spend_one_account(routers: int, size: Size) -> Mapping[str, float]:
+    fleet = await BudgetFleet.start(routers, ['team'], size.seed)
     count = size.scale(20 * routers, 100)
-    weather = crowd.platform.weather
+    weather = fleet.platform.weather
     before = weather.writes
     loop = asyncio.get_running_loop()
     began = loop.time()
-    await crowd.serve({'team': 1}, rate=routers, count=count)
+    await fleet.serve({'team': 1}, rate=routers, count=count)
     seconds = loop.time() - began
     return {
         'writes_a_second': (weather.writes - before) / seconds,
-        'conflicts_a_second': crowd.table.conflicts / seconds,
-        'refused_share': crowd.refused / count,
+        'conflicts_a_second': fleet.table.conflicts / seconds,
+        'refused_share': fleet.refused / count,
     }
 
 
--- a/bench/slopes_cpu.py
+++ b/bench/slopes_cpu.py
@@ -28,25 +28,25 @@
 from tools import measure_links
 
 _MICRO = 1_000_000
-_TEXT = 'f' * 32
+_INCARNATION = 'f' * 32
 _REPORTS = 11
-_USES = 8
+_RATE_PARTS = 8
 _KEY = 'quote-2027-03-17-0042'
-_RATE = 50
+_COPIED_BILLS = 50
 
 
 def _samples() -> dict[str, Message]:
     """Return one sample of each frequent message between routers."""
-    row = table_size.team(1)
+    row = table_size.team_row(1)
     body = json.dumps(row.value, separators=(',', ':'))
     reports = tuple(_report(number) for number in range(_REPORTS))
     rates = tuple(
         RatePart(team_hash(f'team-{number:05}'), 12_000 + number)
-        for number in range(_USES)
+        for number in range(_RATE_PARTS)
     )
     copies = tuple(
         BillCopy('team-00001', f'{_KEY}-{number}', 900)
-        for number in range(_RATE)
+        for number in range(_COPIED_BILLS)
     )
     return {
         'heartbeat': Heartbeat(123456789),
@@ -57,12 +57,12 @@
         ),
         'loads_of_11': TargetLoads(reports),
         'rates_of_8': RateDemands(1, 3, 70_000, parts=rates),
-        'bill_copies_of_50': BillCopies(_TEXT, copies, copies),
+        'bill_copies_of_50': BillCopies(_INCARNATION, copies, copies),
         'run_note': RunNote(
             'team-00001',
             _KEY,
-            _TEXT,
-            _TEXT,
+            _INCARNATION,
+            _INCARNATION,
             '10.0.0.1:8080',
         ),
     }
@@ -85,11 +85,11 @@
     count = size.scale(2000, 10)
     figures = {}
     for name, message in _samples().items():
-        packed = encode(Envelope(message))
-        figures[f'{name}_bytes'] = len(packed) + HEAD
+        encoded = encode(Envelope(message))
+        figures[f'{name}_bytes'] = len(encoded) + HEAD
         encoding = partial(encode, Envelope(message))
         figures[f'{name}_encode_us'] = cpu_us_each(encoding, count)
-        decoding = partial(decode, packed)
+        decoding = partial(decode, encoded)
         figures[f'{name}_decode_us'] = cpu_us_each(decoding, count)
     return figures
 
@@ -107,27 +107,27 @@
     teams = size.scale(table_size.TEAMS, 100)
     count = size.scale(2000, 10)
     view = TableView()
-    view.apply(tuple(map(table_size.team, range(teams))), teams)
-    edited = [table_size.team(number % teams) for number in range(count)]
+    view.apply(tuple(map(table_size.team_row, range(teams))), teams)
+    edited = [table_size.team_row(number % teams) for number in range(count)]
     began = time.process_time()
     for number, row in enumerate(edited):
         version = teams + number + 1
-        view.apply((_at(row, version),), version)
+        view.apply((_with_version(row, version),), version)
     return {
         'team_edit_us': cpu_us_since(began, count),
     }
 
 
-def _at(row, version):
+def _with_version(row, version):
     return type(row)(row.key, version, row.value)
 
 
 def _bills(size: Size) -> Mapping[str, float]:
     count = size.scale(200, 10)
-    return asyncio.run(_settle(count))
+    return asyncio.run(_reserve_and_settle(count))
 
 
-async def _settle(count: int) -> Mapping[str, float]:
+async def _reserve_and_settle(count: int) -> Mapping[str, float]:
     teams = [f'team-{number}' for number in range(8)]
     budgets = await _budgets(teams)
     began = time.process_time()
--- a/bench/slopes_memory.py
+++ b/bench/slopes_memory.py
@@ -26,8 +26,10 @@
 def _table(size: Size) -> Mapping[str, float]:
     count = size.scale(8000, 200)
     return {
-        'team_view_bytes': table_size.memory_slope(table_size.team, count),
-        'target_view_bytes': table_size.memory_slope(table_size.target, count),
+        'team_view_bytes': table_size.bytes_per_row(table_size.team_row, count),
+        'target_view_bytes': table_size.bytes_per_row(
+            table_size.target_row, count
+        ),
     }
 
 
@@ -42,12 +44,12 @@
 def _budgets(size: Size) -> Mapping[str, float]:
     count = size.scale(4000, 100)
     return {
-        'ledger_bytes': bytes_each(_run(_with_ledgers), count),
-        'waiting_bill_bytes': bytes_each(_run(_with_bills), count),
+        'ledger_bytes': bytes_each(_run_async(_with_ledgers), count),
+        'waiting_bill_bytes': bytes_each(_run_async(_with_bills), count),
     }
 
 
-def _run(make: Callable[[int], Any]) -> Callable[[int], Any]:
+def _run_async(make: Callable[[int], Any]) -> Callable[[int], Any]:
     return lambda count: asyncio.run(make(count))
 
 
@@ -90,7 +92,7 @@
 
 def _answers(size: Size) -> Mapping[str, float]:
     count = size.scale(8000, 100)
-    each = bytes_each(_run(_with_answers), count)
+    each = bytes_each(_run_async(_with_answers), count)
     return {'kept_answer_bytes_beyond_body': each - len(_ANSWER)}
 
 
--- a/bench/slopes_routing.py
+++ b/bench/slopes_routing.py
@@ -25,9 +25,9 @@
     count = size.scale(routing_cpu.TARGETS, 2000)
     _rows()
     return {
-        'listed_10000_bytes': bytes_of(_list, count),
-        'found_10000_bytes': bytes_of(_find, count),
-        'used_10000_bytes': bytes_of(_use, count),
+        'listed_10000_bytes': bytes_of(_make_targets, count),
+        'found_10000_bytes': bytes_of(_route_every_model, count),
+        'used_10000_bytes': bytes_of(_use_all_targets, count),
     }
 
 
@@ -37,30 +37,30 @@
     return routing_cpu.make_rows()
 
 
-def _list(count: int) -> Targets:
+def _make_targets(count: int) -> Targets:
     targets = Targets()
     targets.update(_rows()[:count])
     return targets
 
 
-def _route(targets: Targets) -> Routing:
+def _make_routing(targets: Targets) -> Routing:
     cfg = read_settings(None, ('host.zone=zone-0',))
     rng = random.Random(1)
     return make_routing(cfg, targets, LoopClock(), rng, Metrics())
 
 
-def _find(count: int) -> Routing:
+def _route_every_model(count: int) -> Routing:
     # One request for each model has been placed in the own zone.
-    routing = _route(_list(count))
+    routing = _make_routing(_make_targets(count))
     models = routing_cpu.MODELS
     run_virtually(routing_cpu.place(routing, models, random.Random(1)))
     return routing
 
 
-def _use(count: int) -> Routing:
+def _use_all_targets(count: int) -> Routing:
     # All targets have received requests, as after days in which some requests
     # went to other zones.
-    routing = _find(count)
+    routing = _route_every_model(count)
     for pool in _pools(routing):
         for state in pool.full_group.members:
             state.take_slot(0)
@@ -85,8 +85,8 @@
 
 
 async def _edit(count: int, field: str) -> float:
-    targets = _list(routing_cpu.TARGETS)
-    routing = _route(targets)
+    targets = _make_targets(routing_cpu.TARGETS)
+    routing = _make_routing(targets)
     await routing_cpu.place(routing, routing_cpu.MODELS, random.Random(1))
     find = routing.admission.picker.pools.find
     began = time.process_time()
@@ -110,7 +110,7 @@
         attrs.evolve(row, zone='zone-0', models=('model-0',))
         for row in _rows()[:_NEAR_TARGETS]
     )
-    routing = _route(targets)
+    routing = _make_routing(targets)
     rng = random.Random(size.seed)
     began = time.process_time()
     await routing_cpu.place(routing, count, rng, models=1)
--- a/bench/slopes_spread.py
+++ b/bench/slopes_spread.py
@@ -14,20 +14,20 @@
 from tools.measure_gossip import Fleet, load
 
 _FLEETS = (8, 32, 128)
-_STEPS = 8
+_DELIVERY_ROUNDS = 8
 _TEAMS = 12
 
 
 def _spread(size: Size) -> Mapping[str, float]:
     figures = {}
     for routers in _FLEETS if not size.smoke else _FLEETS[:1]:
-        found = asyncio.run(_of_fleet(routers))
-        for key, amount in found.items():
+        fleet_figures = asyncio.run(_measure_fleet(routers))
+        for key, amount in fleet_figures.items():
             figures[f'{key}_at_{routers}'] = amount
     return figures
 
 
-async def _of_fleet(routers: int) -> Mapping[str, float]:
+async def _measure_fleet(routers: int) -> Mapping[str, float]:
     fleet = Fleet()
     load(fleet, routers)
     limits = [_limits(fleet, net) for net in fleet.nets.values()]
@@ -35,8 +35,10 @@
         one.tick()
     await _deliver(fleet)
     # Every router has sent once; `bench.rates` measures the cost.
-    words = routers
-    figures = {'use_copies_each': fleet.sent['RateDemands'] / words / routers}
+    messages = routers
+    figures = {
+        'use_copies_each': fleet.sent['RateDemands'] / messages / routers
+    }
     return figures | await _edit(fleet, routers)
 
 
@@ -51,7 +53,7 @@
 
 async def _edit(fleet: Fleet, routers: int) -> Mapping[str, float]:
     exchanges = []
-    row = table_size.team(1)
+    row = table_size.team_row(1)
     for net in fleet.nets.values():
         view = TableView()
         view.apply((), row.version - 1)
@@ -69,7 +71,7 @@
 
 
 async def _deliver(fleet: Fleet) -> None:
-    for _ in range(_STEPS):
+    for _ in range(_DELIVERY_ROUNDS):
         for net in fleet.nets.values():
             inbox = net.inbox
             net.inbox = []
--- a/bench/slopes_table.py
+++ b/bench/slopes_table.py
@@ -26,7 +26,7 @@
 
 
 @attrs.define
-class Longest:
+class LoopBlockMeter:
     """Longest CPU time for which other tasks blocked the event loop."""
 
     seconds: float = 0
@@ -42,76 +42,76 @@
 
 
 async def _longest_ms(work: Callable[[], Awaitable[object]]) -> float:
-    longest = Longest()
-    watching = asyncio.create_task(longest.watch())
+    meter = LoopBlockMeter()
+    watching = asyncio.create_task(meter.watch())
     await asyncio.sleep(0)
     await work()
     await asyncio.sleep(0)
     watching.cancel()
-    return longest.seconds * _MILLI
+    return meter.seconds * _MILLI
 
 
 def _import(size: Size) -> Mapping[str, float]:
-    return asyncio.run(_follow(size))
+    return asyncio.run(_measure_import(size))
 
 
-async def _follow(size: Size) -> Mapping[str, float]:
+async def _measure_import(size: Size) -> Mapping[str, float]:
     teams = size.scale(table_size.TEAMS, 200)
     edited = size.scale(5000, 100)
     platform = MemoryPlatform.start(SystemClock())
     await _write(platform, range(teams))
-    ahead, behind = TableView(complete=True), TableView(complete=True)
-    reader = TableReader(platform.table, ahead, SystemClock())
+    newer, older = TableView(complete=True), TableView(complete=True)
+    reader = TableReader(platform.table, newer, SystemClock())
     await reader.refresh()
-    behind.apply(ahead.rows_since(0), ahead.version)
+    older.apply(newer.rows_since(0), newer.version)
     rng = random.Random(size.seed)
     await _write(platform, rng.sample(range(teams), edited))
     # A router does the same once its table is complete.
     gc.freeze()
     read = await _longest_ms(reader.refresh)
-    told = await _tell(ahead, behind)
+    exchanged = await _exchange(newer, older)
     gc.unfreeze()
     return {
-        'full_collection_ms': _sweep_ms(teams),
+        'full_collection_ms': _full_collection_ms(teams),
         'read_longest_ms': read,
-        **told,
+        **exchanged,
     }
 
 
-def _sweep_ms(teams: int) -> float:
+def _full_collection_ms(teams: int) -> float:
     gc.collect()
     gc.freeze()
     view = TableView()
-    view.apply(map(table_size.team, range(teams)), teams)
+    view.apply(map(table_size.team_row, range(teams)), teams)
     gc.collect()
     began = time.process_time()
     gc.collect()
-    swept = time.process_time() - began
+    collection_s = time.process_time() - began
     gc.unfreeze()
-    return swept * _MILLI
+    return collection_s * _MILLI
 
 
-async def _tell(ahead: TableView, behind: TableView) -> Mapping[str, float]:
+async def _exchange(newer: TableView, older: TableView) -> Mapping[str, float]:
     fabric = FakeNet()
     one, two = fabric.join('one'), fabric.join('two')
-    TableExchange(one, ahead, Metrics()).start()
-    TableExchange(two, behind, Metrics()).start()
+    TableExchange(one, newer, Metrics()).start()
+    TableExchange(two, older, Metrics()).start()
     began = time.process_time()
-    page = await two.ask('one', TableAsk(behind.version))
-    packed = encode(Envelope(page))
+    page = await two.ask('one', TableAsk(older.version))
+    encoded = encode(Envelope(page))
     answered = time.process_time()
-    await two.take(one.me, decode(packed).message)
-    taken = time.process_time()
+    await two.take(one.me, decode(encoded).message)
+    applied = time.process_time()
     return {
         'answer_ms': (answered - began) * _MILLI,
-        'take_ms': (taken - answered) * _MILLI,
+        'take_ms': (applied - answered) * _MILLI,
         'rows_of_a_page': len(page.rows),
     }
 
 
 async def _write(platform: MemoryPlatform, numbers: Sequence[int]) -> None:
     for start in range(0, len(numbers), _COMMIT_ROWS):
-        rows = map(table_size.team, numbers[start : start + _COMMIT_ROWS])
+        rows = map(table_size.team_row, numbers[start : start + _COMMIT_ROWS])
         writes = tuple(Write(row.key, row.value) for row in rows)
         await platform.table.commit(Commit(writes))
 
--- a/bench/slopes_takeover.py
+++ b/bench/slopes_takeover.py
@@ -23,14 +23,14 @@
 async def _idle_rounds(count: int) -> Mapping[str, float]:
     teams = [f'team-{number}' for number in range(count)]
     platform = await fund(teams, LoopClock())
-    router = await _hold(platform, 'router', teams)
+    router = await _start_holding_router(platform, 'router', teams)
     began = time.process_time()
     for _ in range(_ROUNDS):
         await router.maintenance.run_round()
     return {'round_us_per_ledger': cpu_us_since(began, count * _ROUNDS)}
 
 
-async def _hold(
+async def _start_holding_router(
     platform: MemoryPlatform,
     incarnation: str,
     teams: list[str],
@@ -51,17 +51,17 @@
 
 
 def _takeover(size: Size) -> Mapping[str, float]:
-    return run_virtually(_follow(size.scale(500, 10)))
+    return run_virtually(_take_over(size.scale(500, 10)))
 
 
-async def _follow(count: int) -> Mapping[str, float]:
+async def _take_over(count: int) -> Mapping[str, float]:
     teams = [f'team-{number}' for number in range(count)]
     platform = await fund(teams, LoopClock())
-    await _hold(platform, 'before', teams)
+    await _start_holding_router(platform, 'before', teams)
     await asyncio.sleep(1)
     weather = platform.weather
     before = (weather.reads, weather.writes)
-    after = await _hold(platform, 'after', [])
+    after = await _start_holding_router(platform, 'after', [])
     for _ in range(_ROUNDS):
         await after.maintenance.run_round()
     return {
--- a/bench/table.py
+++ b/bench/table.py
@@ -18,16 +18,16 @@
 from bench.table_size import (
     TARGETS,
     TEAMS,
-    memory_slope,
-    starts,
-    target,
-    team,
+    bytes_per_row,
+    measure_starts,
+    target_row,
+    team_row,
 )
-from bench.table_spread import ROUTERS, Spread
+from bench.table_spread import ROUTERS, TableFleet
 from tests.operators_server import KEY, OperatorsServer
 
 _QUIET_S = 20
-_SLOW_S = 1
+_SLOW_PAUSE_S = 1
 _HUNDREDTHS = 100
 _EDITS_A_DAY = 16_000
 _DAY_S = 86_400
@@ -51,9 +51,9 @@
     parser.add_argument('--edits', type=int, default=200)
     args = parser.parse_args()
     figures = {
-        'bytes_per_team': round(memory_slope(team, TEAMS)),
-        'bytes_per_target': round(memory_slope(target, TARGETS)),
-        'start': asyncio.run(starts()),
+        'bytes_per_team': round(bytes_per_row(team_row, TEAMS)),
+        'bytes_per_target': round(bytes_per_row(target_row, TARGETS)),
+        'start': asyncio.run(measure_starts()),
         'import': measure_import(),
         'spread': asyncio.run(measure_spread(args.seed, args.edits)),
     }
@@ -62,36 +62,36 @@
 
 async def measure_spread(seed: int, edits: int) -> dict[str, Any]:
     """Return seconds from accepting an edit to its effect, and peer bytes."""
-    spread = await Spread.start(seed)
-    traffic = await _measure_traffic(spread, edits)
+    fleet = await TableFleet.start(seed)
+    traffic = await _measure_traffic(fleet, edits)
     # An editor that does not notify peers simulates a router that crashes
     # right after its commit.
-    silent = Editor(spread.platform.table, SystemClock())
-    by_log = await spread.edits(silent, edits)
-    for node in spread.nodes[1:]:
+    silent = Editor(fleet.platform.table, SystemClock())
+    from_table_log = await fleet.time_edits(silent, edits)
+    for node in fleet.nodes[1:]:
         node.way.table_cut = True
-    by_peer = await spread.edits(silent, edits // 2, pause=_SLOW_S)
-    await spread.stop()
+    from_peers = await fleet.time_edits(silent, edits // 2, pause=_SLOW_PAUSE_S)
+    await fleet.stop()
     return {
         'routers': ROUTERS,
         **traffic,
-        'acceptor_died_at_once': _sum_up(by_log),
-        'one_router_reaches_the_platform': _sum_up(by_peer),
+        'acceptor_died_at_once': _summarize(from_table_log),
+        'one_router_reaches_the_platform': _summarize(from_peers),
     }
 
 
-async def _measure_traffic(spread: Spread, edits: int) -> dict[str, Any]:
-    before = spread.bytes_out()
+async def _measure_traffic(fleet: TableFleet, edits: int) -> dict[str, Any]:
+    before = fleet.bytes_out()
     await asyncio.sleep(_QUIET_S)
-    quiet = (spread.bytes_out() - before) / _QUIET_S
-    before = spread.bytes_out()
+    quiet = (fleet.bytes_out() - before) / _QUIET_S
+    before = fleet.bytes_out()
     began = time.monotonic()
-    delays = await spread.edits(None, edits)
+    delays = await fleet.time_edits(None, edits)
     seconds = time.monotonic() - began
-    busy = spread.bytes_out() - before - quiet * seconds
+    busy = fleet.bytes_out() - before - quiet * seconds
     edit_bytes = busy / edits / ROUTERS
     return {
-        'platform_up': _sum_up(delays),
+        'platform_up': _summarize(delays),
         'quiet_bytes_a_second': round(quiet / ROUTERS),
         'bytes_per_edit': round(edit_bytes),
         'bytes_a_second_at_16000_edits_a_day': round(
@@ -107,21 +107,21 @@
     with tempfile.TemporaryDirectory() as directory:
         path = Path(directory) / 'table.csv'
         with path.open('w', encoding='utf-8-sig', newline='') as stream:
-            write_table(map(_as_new, range(TEAMS)), stream)
+            write_table(map(_as_new_row, range(TEAMS)), stream)
         first = _run(server, 'import', str(path))
         export = _run(server, 'export', str(path))
-        again = _run(server, 'import', str(path))
+        unchanged = _run(server, 'import', str(path))
     server.stop()
     return {
         'rows': TEAMS,
         'import': first,
         'export': export,
-        'import_unchanged': again,
+        'import_unchanged': unchanged,
     }
 
 
-def _as_new(number: int) -> dict[str, Any]:
-    row = team(number)
+def _as_new_row(number: int) -> dict[str, Any]:
+    row = team_row(number)
     key = row.key.removeprefix('table/')
     return {'key': key, 'version': 0, 'value': row.value}
 
@@ -143,13 +143,13 @@
     return {'seconds': seconds, 'peak_mib': round(peak / _KIB, 1)}
 
 
-def _sum_up(seconds: list[float]) -> dict[str, float]:
+def _summarize(seconds: list[float]) -> dict[str, float]:
     shares = quantiles(seconds, n=_HUNDREDTHS)
     return {
         'p50_s': round(shares[49], 4),
         'p99_s': round(shares[98], 4),
         'most_s': round(max(seconds), 4),
-        'missed': sum(late == float('inf') for late in seconds),
+        'missed': sum(delay == float('inf') for delay in seconds),
     }
 
 
--- a/bench/table_size.py
+++ b/bench/table_size.py
@@ -22,7 +22,7 @@
 _COMMIT_ROWS = 100
 
 
-def team(number: int) -> Row:
+def team_row(number: int) -> Row:
     """Return a row of a team with typical fields."""
     row = rows.TeamRow(
         name=f'team-{number:05}',
@@ -30,10 +30,10 @@
         models={'model-a': 1, 'model-b': 2},
         key_hashes=(hash_key(str(number)),),
     )
-    return Row(row.key, number + 1, _as_read(row))
+    return Row(row.key, number + 1, _through_json(row))
 
 
-def target(number: int) -> Row:
+def target_row(number: int) -> Row:
     """Return a row of a target."""
     row = rows.TargetRow(
         name=f'target-{number:05}',
@@ -42,15 +42,15 @@
         service='llm',
         models={'model-a': 1},
     )
-    return Row(row.key, number + 1, _as_read(row))
+    return Row(row.key, number + 1, _through_json(row))
 
 
-def _as_read(row: rows.TableRow) -> dict[str, Any]:
+def _through_json(row: rows.TableRow) -> dict[str, Any]:
     # Strings decoded from JSON are not shared with other rows, as in use.
     return json.loads(json.dumps(rows.encode(row)))
 
 
-def memory_slope(make: Any, count: int) -> float:
+def bytes_per_row(make: Any, count: int) -> float:
     """Return the bytes per row of a table view."""
     sizes = []
     for share in (2, 1):
@@ -73,10 +73,10 @@
     seconds: float
 
 
-async def starts() -> dict[str, Any]:
+async def measure_starts() -> dict[str, Any]:
     """Return the cost of a start by scan and by snapshot."""
     platform = MemoryPlatform.start(SystemClock())
-    await _fill(platform)
+    await _write_teams(platform)
     by_scan, view = await _start(platform)
     snapshots = Snapshots(platform.objects, SystemClock(), Metrics())
     began = time.perf_counter()
@@ -92,11 +92,11 @@
     }
 
 
-async def _fill(platform: MemoryPlatform) -> None:
+async def _write_teams(platform: MemoryPlatform) -> None:
     for first in range(0, TEAMS, _COMMIT_ROWS):
         writes = tuple(
             Write(row.key, row.value)
-            for row in map(team, range(first, first + _COMMIT_ROWS))
+            for row in map(team_row, range(first, first + _COMMIT_ROWS))
         )
         await platform.table.commit(Commit(writes))
 
--- a/bench/table_spread.py
+++ b/bench/table_spread.py
@@ -27,8 +27,8 @@
 
 ROUTERS = 30
 _ZONES = 10
-_MEET_S = 6
-_LAST_S = 15
+_JOIN_S = 6
+_SETTLE_S = 15
 
 
 @attrs.define(eq=False)
@@ -39,13 +39,13 @@
     parts: TableParts
     way: OwnWay
     metrics: Metrics
-    seen: dict[str, float] = attrs.field(factory=dict)
+    in_force_at: dict[str, float] = attrs.field(factory=dict)
     task: asyncio.Task | None = None
 
     async def start(self) -> None:
         """Start the peer network and follow the table."""
         await self.net.start()
-        self.parts.view.watchers.append(self._note)
+        self.parts.view.watchers.append(self._record_time)
         self.parts.follower.start()
         self.task = asyncio.create_task(self._follow())
 
@@ -59,14 +59,14 @@
             await self.parts.follower.step()
             await self.parts.follower.pause()
 
-    def _note(self, fresh: tuple[Row, ...]) -> None:
+    def _record_time(self, changed: tuple[Row, ...]) -> None:
         now = time.monotonic()
-        for row in fresh:
-            self.seen[f'{row.key}@{row.version}'] = now
+        for row in changed:
+            self.in_force_at[f'{row.key}@{row.version}'] = now
 
 
 @attrs.define
-class Spread:
+class TableFleet:
     """Fleet of routers on one in-memory platform."""
 
     platform: MemoryPlatform
@@ -74,7 +74,7 @@
     rng: random.Random
 
     @classmethod
-    async def start(cls, seed: int) -> 'Spread':
+    async def start(cls, seed: int) -> 'TableFleet':
         """Start all routers and wait until they know each other."""
         platform = MemoryPlatform.start(SystemClock())
         nodes: list[Node] = []
@@ -83,14 +83,14 @@
             node = make_node(number, platform, seeds, seed)
             await node.start()
             nodes.append(node)
-        await asyncio.sleep(_MEET_S)
+        await asyncio.sleep(_JOIN_S)
         return cls(platform, nodes, random.Random(seed))
 
     async def stop(self) -> None:
         """Stop all routers."""
         await asyncio.gather(*(node.stop() for node in self.nodes))
 
-    async def edits(
+    async def time_edits(
         self,
         editor: Editor | None,
         count: int,
@@ -109,9 +109,9 @@
             outcome = await chosen.apply(edit)
             accepted[f'{key}@{outcome.version}'] = time.monotonic()
             await asyncio.sleep(self.rng.uniform(0, pause))
-        await asyncio.sleep(_LAST_S)
+        await asyncio.sleep(_SETTLE_S)
         return [
-            max(0, node.seen.get(mark, float('inf')) - at)
+            max(0, node.in_force_at.get(mark, float('inf')) - at)
             for mark, at in accepted.items()
             for node in self.nodes
         ]
