--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,4 +1,4 @@
-"""Simple ways of keeping budgets, replayed over the requests of a run."""
+"""Simple budget policies, replayed over the requests of a run."""
 
 from collections import Counter
 from typing import Any
@@ -12,21 +12,21 @@
     prepaid: dict[str, int],
     routers: int,
 ) -> dict[str, Any]:
-    """Replay a budget that is split evenly among routers at the start."""
-    left: Counter[tuple[str, str]] = Counter()
+    """Replay budgets that are split evenly among routers at the start."""
+    used_by_router: Counter[tuple[str, str]] = Counter()
     spent: Counter[str] = Counter()
     refusals = 0
     false_refusals = 0
-    for outcome in sorted(outcomes, key=_began):
-        ask = outcome.ask
-        used = left[ask.team, outcome.router]
-        share = prepaid[ask.team] // routers
-        if used + ask.most_tokens <= share:
-            left[ask.team, outcome.router] += ask.most_tokens
-            spent[ask.team] += ask.most_tokens
+    for outcome in sorted(outcomes, key=_start_time):
+        request = outcome.request
+        used = used_by_router[request.team, outcome.router]
+        share = prepaid[request.team] // routers
+        if used + request.max_tokens <= share:
+            used_by_router[request.team, outcome.router] += request.max_tokens
+            spent[request.team] += request.max_tokens
             continue
         refusals += 1
-        if spent[ask.team] + ask.most_tokens <= prepaid[ask.team]:
+        if spent[request.team] + request.max_tokens <= prepaid[request.team]:
             false_refusals += 1
     return {'refusals': refusals, 'false_refusals': false_refusals}
 
@@ -36,23 +36,26 @@
     prepaid: dict[str, int],
     outages: list[Outage],
 ) -> dict[str, Any]:
-    """Replay a counter at the platform that each request has to ask.
+    """Replay a counter at the platform that every request has to update.
 
-    A router that can't reach it can admit nothing meanwhile. One write a
-    request is the least: it settles what was reserved with the next one.
+    A router admits nothing while it can't reach the platform. One write per
+    request is the minimum: each write settles the previous request and
+    reserves tokens for the next one.
     """
     spent: Counter[str] = Counter()
     refusals = 0
     false_refusals = 0
-    for outcome in sorted(outcomes, key=_began):
-        ask = outcome.ask
-        within = spent[ask.team] + ask.most_tokens <= prepaid[ask.team]
-        cut_off = _is_cut_off(outcome, outages)
-        if within and not cut_off:
-            spent[ask.team] += ask.most_tokens
+    for outcome in sorted(outcomes, key=_start_time):
+        request = outcome.request
+        is_within_budget = (
+            spent[request.team] + request.max_tokens <= prepaid[request.team]
+        )
+        is_cut_off = _is_cut_off(outcome, outages)
+        if is_within_budget and not is_cut_off:
+            spent[request.team] += request.max_tokens
             continue
         refusals += 1
-        false_refusals += within
+        false_refusals += is_within_budget
     return {
         'requests': len(outcomes),
         'refusals': refusals,
@@ -64,9 +67,9 @@
 
 def _is_cut_off(outcome: Outcome, outages: list[Outage]) -> bool:
     return any(
-        outage.meets(outcome.router, outcome.began_at) for outage in outages
+        outage.includes(outcome.router, outcome.began_at) for outage in outages
     )
 
 
-def _began(outcome: Outcome) -> float:
+def _start_time(outcome: Outcome) -> float:
     return outcome.began_at
--- a/bench/budget_trace.py
+++ b/bench/budget_trace.py
@@ -1,25 +1,25 @@
-"""Seeded calls of teams on routers, the same for every policy of a run."""
+"""Random calls of teams to routers, equal for every policy by the seed."""
 
 import random
 
 import attrs
 
-_SMALLEST = 200
-_LARGEST = 2000
-_LEAST_USE = 0.2
-_MEAN_RUN_S = 3
+_MIN_TOKENS = 200
+_MAX_TOKENS = 2000
+_MIN_USED_SHARE = 0.2
+_MEAN_DURATION_S = 3
 
 
 @attrs.frozen
 class Load:
-    """What the callers ask for.
+    """Size and rate of the requests.
 
     Parameters
     ----------
     routers, teams : int
-        How many there are.
+        Numbers of routers and teams.
     rate : float
-        Requests a second at a router, on average over the routers.
+        Mean requests per second and router.
     length : float
         Seconds from the first to the last request.
     """
@@ -36,58 +36,61 @@
 
     Parameters
     ----------
-    at : float
-        Second of its arrival.
+    arrival : float
+        Time of arrival, in seconds.
     router : int
-        Where it arrives.
+        Number of the router at which it arrives.
     team : str
-        Who pays.
+        Team that pays.
     tokens : int
-        Worst case that is reserved.
+        Maximum usage, which is reserved.
     used : int
-        What it turns out to use.
-    runs : float
-        Seconds that it runs.
+        Tokens that it uses.
+    duration : float
+        Duration in seconds.
     """
 
-    at: float
+    arrival: float
     router: int
     team: str
     tokens: int
     used: int
-    runs: float
+    duration: float
 
 
 def draw_calls(load: Load, seed: int) -> list[Call]:
-    """Draw Poisson arrivals, skewed over teams and over routers.
+    """Return calls with Poisson arrivals, skewed over teams and routers.
 
     Parameters
     ----------
     load : Load
-        Sizes. A team's demand falls with its rank (Zipf's law), and so does
-        the part of it at each router, in an order of the team's own.
+        Size and rate. The demand of teams follows Zipf's law, and so does the
+        distribution of each team's demand over the routers, with a random
+        order of routers for each team.
     seed : int
-        Seed of all that is drawn.
+        Seed of the random numbers.
     """
     rng = random.Random(seed)
-    ranks = _zipf(load.teams)
-    orders = [rng.sample(range(load.routers), load.routers) for _ in ranks]
-    shares = _zipf(load.routers)
+    team_shares = _zipf(load.teams)
+    router_orders = [
+        rng.sample(range(load.routers), load.routers) for _ in team_shares
+    ]
+    router_shares = _zipf(load.routers)
     calls = []
-    at = rng.expovariate(load.rate * load.routers)
-    while at < load.length:
-        team = rng.choices(range(load.teams), ranks)[0]
-        router = rng.choices(orders[team], shares)[0]
-        calls.append(_draw_call(rng, at, router, f't{team}'))
-        at += rng.expovariate(load.rate * load.routers)
+    arrival = rng.expovariate(load.rate * load.routers)
+    while arrival < load.length:
+        team = rng.choices(range(load.teams), team_shares)[0]
+        router = rng.choices(router_orders[team], router_shares)[0]
+        calls.append(_draw_call(rng, arrival, router, f't{team}'))
+        arrival += rng.expovariate(load.rate * load.routers)
     return calls
 
 
 def demand(calls: list[Call], until: float) -> dict[str, int]:
-    """Return the tokens that each team would use until a time."""
+    """Return the tokens that each team's calls before a time use."""
     sums: dict[str, int] = {}
     for call in calls:
-        if call.at < until:
+        if call.arrival < until:
             sums[call.team] = sums.get(call.team, 0) + call.used
     return sums
 
@@ -96,8 +99,10 @@
     return [1 / (rank + 1) for rank in range(count)]
 
 
-def _draw_call(rng: random.Random, at: float, router: int, team: str) -> Call:
-    tokens = rng.randint(_SMALLEST, _LARGEST)
-    used = int(tokens * rng.uniform(_LEAST_USE, 1))
-    runs = rng.expovariate(1 / _MEAN_RUN_S)
-    return Call(at, router, team, tokens, used, runs)
+def _draw_call(
+    rng: random.Random, arrival: float, router: int, team: str
+) -> Call:
+    tokens = rng.randint(_MIN_TOKENS, _MAX_TOKENS)
+    used = int(tokens * rng.uniform(_MIN_USED_SHARE, 1))
+    duration = rng.expovariate(1 / _MEAN_DURATION_S)
+    return Call(arrival, router, team, tokens, used, duration)
--- a/bench/callers.py
+++ b/bench/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the routers: what they ask, what they get, what they retry."""
+"""Simulated callers: requests, outcomes and retries."""
 
 import asyncio
 import json
@@ -10,69 +10,69 @@
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
 from balsamreach.standins.engine_text import words_of
-from bench.fleet import secret_of
+from bench.fleet import api_key_of
 from bench.processes import Process
 
-_LONGEST_S = 30
-_MOST_CLIENTS = 2000
+_REQUEST_TIMEOUT_S = 30
+_MAX_CONNECTIONS = 2000
 _DATA = 'data: '
 _DONE = 'data: [DONE]'
 _OK = 200
 
 
 @attrs.frozen
-class Ask:
+class CallerRequest:
     """One request of a caller.
 
     Parameters
     ----------
     team, key : str
-        Who asks, and the name of the request.
+        Team of the caller, and idempotency key of the request.
     words : int
-        Length of the answer asked for.
-    single : bool
+        Number of words in the requested answer.
+    non_idempotent : bool
         Whether it goes to a plain service and must not run twice.
     """
 
     team: str
     key: str
     words: int = 4
-    single: bool = False
+    non_idempotent: bool = False
 
     @property
     def prompt(self) -> str:
-        """Text that no other request has."""
+        """Prompt, unique to this request."""
         return f'{self.team} {self.key} words={self.words}'
 
     @property
-    def most_tokens(self) -> int:
-        """Tokens that the request can use at most, about."""
+    def max_tokens(self) -> int:
+        """Approximate maximum of tokens that the request can use."""
         return 3 * (len(self.prompt) + self.words)
 
-    def request(self, router: Process) -> HTTPRequest:
-        """Return the request to send to a router."""
-        path = '/services/desk/confirmations' if self.single else _CHAT
+    def http_request(self, router: Process) -> HTTPRequest:
+        """Return the HTTP request to a router."""
+        path = '/services/desk/confirmations' if self.non_idempotent else _CHAT
         return HTTPRequest(
             f'http://{router.address}{path}',
             method='POST',
             body=json.dumps(self._body()),
             headers={
-                'Authorization': f'Bearer {secret_of(self.team)}',
+                'Authorization': f'Bearer {api_key_of(self.team)}',
                 'Content-Type': 'application/json',
                 'Idempotency-Key': self.key,
             },
             connect_timeout=2,
-            request_timeout=_LONGEST_S,
+            request_timeout=_REQUEST_TIMEOUT_S,
         )
 
     def is_answered_by(self, body: bytes) -> bool:
-        """Return whether a body is the whole answer to this request."""
-        if self.single:
+        """Return whether a body is the complete answer to this request."""
+        if self.non_idempotent:
             return self.prompt in json.loads(body)['body']
         events = body.decode().split('\n\n')
-        said = [_content_of(event) for event in events]
-        whole = _DONE in events
-        return whole and ''.join(said).split() == words_of(self.prompt)
+        contents = [_content_of(event) for event in events]
+        has_end = _DONE in events
+        return has_end and ''.join(contents).split() == words_of(self.prompt)
 
     def _body(self) -> dict[str, Any]:
         return {
@@ -88,36 +88,41 @@
 
 @attrs.define
 class Outcome:
-    """What a caller got in the end.
+    """Final result of a request.
 
     Parameters
     ----------
-    ask : Ask
-        What was asked.
+    request : CallerRequest
+        The request.
     router : str
-        Name of the router asked last.
+        Name of the last router tried.
     status : int
         HTTP status; 0 if the connection broke.
     code, ran : str
-        Of a refusal.
-    right : bool
-        Whether the whole answer to this very request came.
+        Error code of a refusal, and whether the request ran (``no`` if not).
+    is_complete : bool
+        Whether the complete answer to this request arrived.
     cut : bool
-        Whether a connection that stood broke before the answer was whole.
+        Whether an open connection broke, or sent an error, before the answer
+        was complete.
     unreached : bool
-        Whether there was no connection at all.
+        Whether the connection was refused.
     tries : int
-        How often it was asked.
+        Number of tries.
     cuts : int
-        How many of the tries were cut.
+        Number of tries that were cut.
+    began_at : float
+        Start of the first try on the monotonic clock.
+    took_s : float
+        Duration of the last try, in seconds.
     """
 
-    ask: Ask
+    request: CallerRequest
     router: str
     status: int = 0
     code: str = ''
     ran: str = ''
-    right: bool = False
+    is_complete: bool = False
     cut: bool = False
     unreached: bool = False
     tries: int = 1
@@ -127,31 +132,31 @@
 
     @property
     def not_run(self) -> bool:
-        """Whether the caller was told that the request was not run."""
+        """Whether the router reported that the request was not run."""
         return self.ran == 'no'
 
     @property
     def refused(self) -> bool:
-        """Whether the caller was told of a reason in place of an answer."""
+        """Whether the caller got an error code instead of a full answer."""
         return bool(self.code)
 
 
 @attrs.define
-class Callers:
-    """Sends requests for the scenarios."""
+class CallerClient:
+    """HTTP client that sends requests for the scenarios."""
 
     _client: SimpleAsyncHTTPClient = attrs.field(
         factory=lambda: SimpleAsyncHTTPClient(
             force_instance=True,
-            max_clients=_MOST_CLIENTS,
+            max_clients=_MAX_CONNECTIONS,
         ),
     )
 
-    async def ask(self, ask: Ask, router: Process) -> Outcome:
-        """Send a request once."""
-        outcome = Outcome(ask, router.name, began_at=time.monotonic())
+    async def send(self, request: CallerRequest, router: Process) -> Outcome:
+        """Send a request once and return its outcome."""
+        outcome = Outcome(request, router.name, began_at=time.monotonic())
         try:
-            await self._fetch(outcome, ask.request(router))
+            await self._fetch(outcome, request.http_request(router))
         except ConnectionRefusedError:
             outcome.unreached = True
         except (HTTPError, OSError):
@@ -160,59 +165,59 @@
         outcome.took_s = time.monotonic() - outcome.began_at
         return outcome
 
-    async def ask_until_told(
+    async def send_with_retries(
         self,
-        ask: Ask,
+        request: CallerRequest,
         routers: list[Process],
         tries: int = 4,
     ) -> Outcome:
-        """Send a request to one router after the other until one answers.
+        """Send a request to the routers in turn until one answers.
 
-        A broken connection is retried elsewhere under the same key, as a
-        refusal is that says that the request was not run.
+        A broken connection, or a refusal that reports the request as not run,
+        is retried at the next router with the same idempotency key.
         """
-        outcome = await self.ask(ask, routers[0])
+        outcome = await self.send(request, routers[0])
         for number in range(1, tries):
-            if outcome.right or (outcome.status and not outcome.not_run):
+            if outcome.is_complete or (outcome.status and not outcome.not_run):
                 break
             await asyncio.sleep(0.2 * number)
             router = routers[number % len(routers)]
-            last = outcome
-            outcome = await self.ask(ask, router)
+            previous = outcome
+            outcome = await self.send(request, router)
             outcome.tries = number + 1
-            outcome.began_at = last.began_at
-            outcome.cuts += last.cuts
+            outcome.began_at = previous.began_at
+            outcome.cuts += previous.cuts
         return outcome
 
     async def _fetch(self, outcome: Outcome, request: HTTPRequest) -> None:
         reply = await self._client.fetch(request, raise_error=False)
-        # The client's own code for a connection that broke.
+        # Tornado's client reports a broken connection or a timeout as 599.
         if reply.code == 599:
             outcome.cut = True
             return
         outcome.status = reply.code
         if reply.code == _OK:
-            _judge(outcome, reply.body)
+            _parse_answer(outcome, reply.body)
             return
         outcome.ran = reply.headers.get('X-Balsamreach-Ran', '')
         outcome.code = json.loads(reply.body)['error']['code']
 
 
-def _judge(outcome: Outcome, body: bytes) -> None:
-    outcome.right = outcome.ask.is_answered_by(body)
+def _parse_answer(outcome: Outcome, body: bytes) -> None:
+    outcome.is_complete = outcome.request.is_answered_by(body)
     error = _error_of(body)
     if error is not None:
-        # An error event in place of the rest: broken, and said so.
+        # The router broke the stream off and sent an error event instead.
         outcome.cut = True
         outcome.code = error['code']
         outcome.ran = error['ran']
 
 
 def _error_of(body: bytes) -> dict[str, str] | None:
-    last = body.rstrip().rpartition(b'\n\n')[2].decode()
-    if not last.startswith(_DATA) or last == _DONE:
+    previous = body.rstrip().rpartition(b'\n\n')[2].decode()
+    if not previous.startswith(_DATA) or previous == _DONE:
         return None
-    return json.loads(last.removeprefix(_DATA)).get('error')
+    return json.loads(previous.removeprefix(_DATA)).get('error')
 
 
 def _content_of(event: str) -> str:
--- a/bench/probe.py
+++ b/bench/probe.py
@@ -1,4 +1,4 @@
-"""Small requests sent directly and through a router, by turns."""
+"""Added latency: small requests sent directly and through a router."""
 
 import asyncio
 import contextlib
@@ -7,43 +7,43 @@
 
 import attrs
 
-from bench.callers import Ask, Callers
+from bench.callers import CallerClient, CallerRequest
 from bench.fleet import Fleet
 from bench.processes import Process
 from bench.run import Run
 
 TEAM = 'probe'
-_PAUSE_S = 0.05
+_INTERVAL_S = 0.05
 _MS = 1000
 
 
 @attrs.define
 class Probe:
-    """Measures, under the load of a run, what a router adds to a request.
+    """Measures the latency that a router adds, under the load of a run.
 
     Parameters
     ----------
     run : Run
-        Draws the router asked.
+        Scenario run whose routers are called in turn.
     engine : Process
-        The target that is asked directly.
+        Target that is called directly.
     direct, routed : list of float
-        Seconds that answers took, pair by pair.
+        Latencies in seconds; equal positions belong to one pair of requests.
     """
 
     run: Run
     engine: Process
     direct: list[float] = attrs.field(factory=list)
     routed: list[float] = attrs.field(factory=list)
-    _callers: Callers = attrs.field(factory=Callers)
+    _callers: CallerClient = attrs.field(factory=CallerClient)
     _task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to ask."""
-        self._task = asyncio.create_task(self._ask_on())
+        """Start sending pairs of requests."""
+        self._task = asyncio.create_task(self._send_pairs())
 
     async def stop(self) -> None:
-        """Ask no more."""
+        """Stop sending."""
         if self._task is None:
             return
         self._task.cancel()
@@ -52,7 +52,7 @@
         self._task = None
 
     def figures(self) -> tuple[dict[str, float], dict[str, float]]:
-        """Return figures of the router's way and of the direct one."""
+        """Return figures of routed and of direct requests, in milliseconds."""
         direct, routed = quantiles(self.direct), quantiles(self.routed)
         added = {
             'added_p50_ms': routed[0] - direct[0],
@@ -62,21 +62,21 @@
         }
         return added, {'p50_ms': direct[0], 'p99_ms': direct[1]}
 
-    async def _ask_on(self) -> None:
+    async def _send_pairs(self) -> None:
         for number in itertools.count():
-            await self._ask(number)
-            await asyncio.sleep(_PAUSE_S)
+            await self._send_pair(number)
+            await asyncio.sleep(_INTERVAL_S)
 
-    async def _ask(self, number: int) -> None:
-        router = _any_alive(self.run.fleet, number)
-        direct = Ask(TEAM, f'direct-{number}', words=1)
-        by_target = await self._callers.ask(direct, self.engine)
-        routed = Ask(TEAM, f'routed-{number}', words=1)
-        by_router = await self._callers.ask(routed, router)
-        # Refused and broken ones would pass for quick answers.
-        if by_target.right and by_router.right:
-            self.direct.append(by_target.took_s)
-            self.routed.append(by_router.took_s)
+    async def _send_pair(self, number: int) -> None:
+        router = _pick_router(self.run.fleet, number)
+        direct = CallerRequest(TEAM, f'direct-{number}', words=1)
+        direct_outcome = await self._callers.send(direct, self.engine)
+        routed = CallerRequest(TEAM, f'routed-{number}', words=1)
+        routed_outcome = await self._callers.send(routed, router)
+        # Refused and broken requests would count as fast answers.
+        if direct_outcome.is_complete and routed_outcome.is_complete:
+            self.direct.append(direct_outcome.took_s)
+            self.routed.append(routed_outcome.took_s)
 
 
 def quantiles(seconds: list[float]) -> tuple[float, float]:
@@ -87,6 +87,6 @@
     return cuts[49] * _MS, cuts[98] * _MS
 
 
-def _any_alive(fleet: Fleet, number: int) -> Process:
+def _pick_router(fleet: Fleet, number: int) -> Process:
     alive = [router for router in fleet.routers if router.alive]
     return alive[number % len(alive)]
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Starts and ends the processes of a run and reads their CPU time."""
+"""Child processes of a run, with their CPU time and memory."""
 
 import asyncio
 import json
@@ -12,28 +12,28 @@
 import attrs
 
 _ROOT = Path(__file__).resolve().parent.parent
-_START_S = 20
-_END_S = 20
-_TICKS = os.sysconf('SC_CLK_TCK')
-_PAGE = os.sysconf('SC_PAGE_SIZE')
-#: Fields 14 and 15 of /proc/PID/stat, counted after the command's name.
-_UTIME = 11
-_STIME = 12
-_RSS = 21
+_START_TIMEOUT_S = 20
+_END_TIMEOUT_S = 20
+_TICKS_PER_S = os.sysconf('SC_CLK_TCK')
+_PAGE_BYTES = os.sysconf('SC_PAGE_SIZE')
+#: Positions of fields 14, 15 and 24 of /proc/PID/stat after the command name.
+_UTIME_INDEX = 11
+_STIME_INDEX = 12
+_RSS_INDEX = 21
 
 
 @attrs.define(eq=False)
 class Process:
-    """One process of a run.
+    """A child process of a run.
 
     Parameters
     ----------
     name : str
-        What the harness calls it.
+        Name in the benchmark's output.
     started : dict
-        The JSON of its first line.
+        JSON object from the first line of its output.
     began_at : float
-        The moment of that line.
+        Time of that line on the monotonic clock.
     """
 
     name: str
@@ -43,39 +43,41 @@
 
     @property
     def address(self) -> str:
-        """``ip:port`` it listens on."""
+        """``ip:port`` that it listens on."""
         return self.started.get('address') or self.started['callers']
 
     @property
     def pid(self) -> int:
-        """Id of the process."""
+        """Process id."""
         return self._child.pid
 
     @property
     def alive(self) -> bool:
-        """Whether it has not ended."""
+        """Whether it is running."""
         return self._child.returncode is None
 
     def cpu_s(self) -> float:
-        """CPU seconds it has used so far, its threads included."""
+        """Return the CPU time of all its threads so far, in seconds."""
         fields = self._stat()
-        return (int(fields[_UTIME]) + int(fields[_STIME])) / _TICKS
+        return (
+            int(fields[_UTIME_INDEX]) + int(fields[_STIME_INDEX])
+        ) / _TICKS_PER_S
 
-    def memory(self) -> int:
-        """Bytes of it that are in memory."""
-        return int(self._stat()[_RSS]) * _PAGE
+    def memory_bytes(self) -> int:
+        """Return its resident memory in bytes."""
+        return int(self._stat()[_RSS_INDEX]) * _PAGE_BYTES
 
     async def next_line(self) -> bytes:
-        """Return the next line it prints, empty once it has ended."""
+        """Return the next line of its output, empty once it has ended."""
         assert self._child.stdout is not None
         return await self._child.stdout.readline()
 
     async def kill(self) -> None:
-        """End it as a crash would."""
+        """Kill it with SIGKILL, as in a crash."""
         await self._end(signal.SIGKILL)
 
-    async def leave(self) -> None:
-        """Let it shut down; kill it where it doesn't."""
+    async def shut_down(self) -> None:
+        """Shut it down with SIGTERM; kill it after `_END_TIMEOUT_S` seconds."""
         await self._end(signal.SIGTERM)
 
     def signal(self, number: int) -> None:
@@ -87,7 +89,7 @@
             return
         self._child.send_signal(number)
         try:
-            await asyncio.wait_for(self._child.wait(), _END_S)
+            await asyncio.wait_for(self._child.wait(), _END_TIMEOUT_S)
         except TimeoutError:
             self._child.kill()
             await self._child.wait()
@@ -98,7 +100,10 @@
 
 
 async def start(name: str, *arguments: str) -> Process:
-    """Start a Python module as a process and wait for its first line."""
+    """Start a Python module as a process and wait for its first line.
+
+    Exits the benchmark if no line arrives within `_START_TIMEOUT_S` seconds.
+    """
     paths = (str(_ROOT / 'src'), str(_ROOT))
     child = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -111,7 +116,7 @@
     )
     assert child.stdout is not None
     try:
-        line = await asyncio.wait_for(child.stdout.readline(), _START_S)
+        line = await asyncio.wait_for(child.stdout.readline(), _START_TIMEOUT_S)
     except TimeoutError:
         line = b''
     if not line:
--- a/bench/rates_baseline.py
+++ b/bench/rates_baseline.py
@@ -1,6 +1,6 @@
-"""The way of rates before homes: each router's words go to all others.
+"""Rate limits by flooding: each router's demand goes to all others.
 
-Kept as the baseline of ``bench.rates``.
+This is the baseline of ``bench.rates``.
 """
 
 from collections import OrderedDict
@@ -17,65 +17,66 @@
 from balsamreach.wire.membership import Member
 from balsamreach.wire.rates import TeamUse, Uses
 
-#: Shortest time between two messages on use.
+#: Minimum seconds between two demand messages of a router.
 _INTERVAL = 1.0
-#: Messages a second that a router takes in from all others together.
-_MOST_MESSAGES = 16
-_MOST_TEAMS = 40_000
-_MOST_TOLD = 256
-_FEWEST_TOLD = 8
-#: A router's word counts for this many intervals.
-_FRESH_INTERVALS = 5
-#: Weight of the newest window in the smoothed demand.
-_SMOOTH = 0.5
-_LEAST_DEMAND = 0.5
+#: Maximum messages per second that a router receives from all others.
+_MAX_MESSAGES_PER_S = 16
+_MAX_TEAMS = 40_000
+_MAX_SENT_TEAMS = 256
+_MIN_SENT_TEAMS = 8
+#: Intervals after which the demand reported by a router expires.
+_EXPIRY_INTERVALS = 5
+#: Weight of the last window in the smoothed demand.
+_SMOOTHING = 0.5
+_MIN_DEMAND = 0.5
 
 
 @attrs.define
-class Demands:
-    """Sums over routers, kept up with each message.
+class ReportedDemands:
+    """Demand of the other routers, summed by team.
 
-    A request then needs one look-up, whatever the number of routers.
+    The sums are updated with each message, so that a request needs one
+    look-up regardless of the number of routers.
     """
 
-    _heard: OrderedDict[str, tuple[float, Uses]] = attrs.field(
+    _reports: OrderedDict[str, tuple[float, Uses]] = attrs.field(
         factory=OrderedDict,
     )
     _sums: dict[str, int] = attrs.field(factory=dict)
 
     def __len__(self) -> int:
-        """Return how many routers' words count now."""
-        return len(self._heard)
+        """Return the number of routers whose demand is known."""
+        return len(self._reports)
 
-    def put(self, uses: Uses, now: float, interval: float) -> bool:
-        """Take a message; False if it is old news."""
-        known = self._heard.get(uses.incarnation)
-        if known is not None and known[1].window >= uses.window:
+    def update(self, uses: Uses, now: float, interval: float) -> bool:
+        """Store a demand message; return False if it is not newer."""
+        stored = self._reports.get(uses.incarnation)
+        if stored is not None and stored[1].window >= uses.window:
             return False
-        self._drop(uses.incarnation)
-        expires = now + _FRESH_INTERVALS * interval
-        self._heard[uses.incarnation] = (expires, uses)
+        self._remove(uses.incarnation)
+        expires = now + _EXPIRY_INTERVALS * interval
+        self._reports[uses.incarnation] = (expires, uses)
         self._add(uses, 1)
         return True
 
     def expire(self, now: float) -> None:
-        """Let go of routers that have been silent for too long."""
-        silent = [
+        """Remove the demand of routers whose last message has expired."""
+        expired = [
             incarnation
-            for incarnation, (expires, _uses) in self._heard.items()
+            for incarnation, (expires, _uses) in self._reports.items()
             if expires < now
         ]
-        for incarnation in silent:
-            self._drop(incarnation)
+        for incarnation in expired:
+            self._remove(incarnation)
 
     def of_team(self, team: str) -> int:
-        """Return the demand of a team at all other routers."""
+        """Return the sum of a team's demand at all other routers."""
         return self._sums.get(team, 0)
 
-    def _drop(self, incarnation: str) -> None:
-        known = self._heard.pop(incarnation, None)
-        if known is not None:
-            self._add(known[1], -1)
+    def _remove(self, incarnation: str) -> None:
+        stored = self._reports.pop(incarnation, None)
+        if stored is not None:
+            self._add(stored[1], -1)
 
     def _add(self, uses: Uses, sign: int) -> None:
         for use in uses.teams:
@@ -88,7 +89,7 @@
 
 @attrs.define
 class FloodedRates:
-    """The two rates of one team and its demand on this router."""
+    """Token buckets of one team and its demand at this router."""
 
     requests: Bucket
     tokens: Bucket
@@ -96,54 +97,57 @@
     _smoothed: float = 0
 
     def demand(self) -> float:
-        """Return the requests wanted in a window, smoothed."""
+        """Return the smoothed number of requests per window."""
         return max(self._smoothed, self.wanted)
 
     def close_window(self) -> None:
-        """Begin the next window."""
-        self._smoothed += (self.wanted - self._smoothed) * _SMOOTH
-        if self._smoothed < _LEAST_DEMAND:
+        """Update the smoothed demand and begin the next window."""
+        self._smoothed += (self.wanted - self._smoothed) * _SMOOTHING
+        if self._smoothed < _MIN_DEMAND:
             self._smoothed = 0
         self.wanted = 0
 
 
 @attrs.define
 class FloodedLimits:
-    """Holds teams to the limits of their rows.
+    """Enforces the limits of team rows.
 
-    Concurrency holds for this router alone. Rates hold over the fleet:
-    each router takes the part of the rate that its share of the demand is,
-    and counts an even share for each router it hears nothing from.
+    The concurrency limit applies to this router alone. Rate limits apply to
+    the fleet: each router uses the part of the rate that is its share of the
+    demand, and leaves an even share to each router that it has no message
+    from.
 
     Parameters
     ----------
     clock : Clock
-        Time of the rates.
+        Clock of the rates.
     net : PeerNet or None
-        Other routers; None for a router on its own.
+        Peer network; None for a single router.
+    running : dict of str to int
+        Requests in progress by team.
     """
 
     clock: Clock
     net: PeerNet | None = None
     running: dict[str, int] = attrs.field(factory=dict)
     _rates: OrderedDict[str, FloodedRates] = attrs.field(factory=OrderedDict)
-    _heard: Demands = attrs.field(factory=Demands)
+    _reports: ReportedDemands = attrs.field(factory=ReportedDemands)
     _window: int = 0
-    _told_at: float = float('-inf')
+    _sent_at: float = float('-inf')
 
     def __attrs_post_init__(self) -> None:
         if self.net is not None:
-            self.net.on(Uses, self.take)
+            self.net.on(Uses, self.handle_demand)
 
     def enter(self, team: TeamRow, tokens: int) -> RoutingFault | None:
-        """Count a request in, or return why the team must wait.
+        """Admit a request, or return the fault why the team must wait.
 
         Parameters
         ----------
         team : TeamRow
-            The team.
+            Row of the team.
         tokens : int
-            Worst case of the request's tokens.
+            Maximum tokens of the request.
         """
         running = self.running.get(team.name, 0)
         if team.concurrency and running >= team.concurrency:
@@ -156,7 +160,7 @@
         return refusal
 
     def release(self, team: TeamRow, reserved: int, used: int) -> None:
-        """Count a request out and give back the tokens it did not use."""
+        """End a request and return its unused tokens to the rate limit."""
         running = self.running.get(team.name, 0) - 1
         if running > 0:
             self.running[team.name] = running
@@ -167,61 +171,63 @@
             rates.tokens.refund(reserved - used)
 
     def interval(self) -> float:
-        """Return the seconds between two messages on use.
+        """Return the seconds between two demand messages.
 
-        It grows with the fleet, so that the messages of all routers
-        together cost each router the same.
+        The interval grows with the fleet, so that each router receives at
+        most `_MAX_MESSAGES_PER_S` messages from all others together.
         """
         members = len(self.net.members()) if self.net is not None else 1
-        return max(_INTERVAL, members / _MOST_MESSAGES)
+        return max(_INTERVAL, members / _MAX_MESSAGES_PER_S)
 
     def tick(self) -> None:
-        """Tell neighbours once in each interval."""
-        if self.clock.now() - self._told_at >= self.interval():
-            self._told_at = self.clock.now()
-            self.tell()
+        """Send the demand to neighbours if an interval has passed."""
+        if self.clock.now() - self._sent_at >= self.interval():
+            self._sent_at = self.clock.now()
+            self.send_demand()
 
-    def tell(self) -> None:
-        """Tell neighbours this router's demand; called at each interval."""
+    def send_demand(self) -> None:
+        """Send this router's demand to neighbours; called at each interval."""
         if self.net is None:
             return
         self._window += 1
-        self._heard.expire(self.clock.now())
+        self._reports.expire(self.clock.now())
         self.net.tell_neighbours(
-            Uses(self.net.me.incarnation, self._window, self._own_uses()),
+            Uses(self.net.me.incarnation, self._window, self._own_demands()),
         )
 
-    async def take(self, sender: Member, message: Message) -> None:
-        """Take a router's demand and spread what is news."""
+    async def handle_demand(self, sender: Member, message: Message) -> None:
+        """Store a router's demand; forward it to neighbours if it is new."""
         if not isinstance(message, Uses) or self.net is None:
             return
         if message.incarnation == self.net.me.incarnation:
             return
-        news = self._heard.put(message, self.clock.now(), self.interval())
-        if news and not self._reaches_all():
+        is_new = self._reports.update(
+            message, self.clock.now(), self.interval()
+        )
+        if is_new and not self._reaches_all():
             self.net.tell_neighbours(message, exclude=sender.incarnation)
 
     def share(self, team: str) -> float:
-        """Return this router's part of a team's rate over the fleet."""
+        """Return this router's fraction of a team's fleet-wide rate."""
         if self.net is None:
             return 1
         members = max(1, len(self.net.members()))
-        heard = min(len(self._heard) + 1, members)
-        others = self._heard.of_team(team)
+        reporting = min(len(self._reports) + 1, members)
+        others = self._reports.of_team(team)
         rates = self._rates.get(team)
         own = rates.demand() if rates else 0
-        # A router that cannot be heard may be serving the team too. Its even
-        # share is left to it, so that two sides of a network partition do
-        # not both use the whole rate; the metrics would show the sum of the
-        # team's requests at twice its row. One request more for each router
-        # lets a quiet one start at once.
-        return heard / members * (own + 1) / (own + others + heard)
+        # A router without messages may be serving the team too. An even share
+        # is left to it, since otherwise both sides of a network partition
+        # would use the whole rate, and the metrics would show the team's
+        # requests at twice the limit of its row. The demand of each router
+        # counts one request more, so that an idle one can start at once.
+        return reporting / members * (own + 1) / (own + others + reporting)
 
     def _reaches_all(self) -> bool:
-        # In a small fleet everyone is linked to everyone. Passed on there,
-        # each word would arrive once over every link; it would show as bytes
-        # to peers that grow with the square of the routers. Where a single
-        # pair is cut off, each leaves the other an even share meanwhile.
+        # In a small fleet every router is linked to every other. A forwarded
+        # message would arrive once over every link, so the bytes to peers
+        # would grow with the square of the routers. If a single pair is
+        # disconnected, each leaves the other an even share meanwhile.
         if self.net is None:
             return True
         return len(self.net.neighbours()) + 1 >= len(self.net.members())
@@ -251,19 +257,21 @@
             now = self.clock.now()
             rates = FloodedRates(Bucket(filled_at=now), Bucket(filled_at=now))
         self._rates[team] = rates
-        if len(self._rates) > _MOST_TEAMS:
+        if len(self._rates) > _MAX_TEAMS:
             self._rates.popitem(last=False)
         return rates
 
-    def _own_uses(self) -> tuple[TeamUse, ...]:
+    def _own_demands(self) -> tuple[TeamUse, ...]:
         uses = []
         for team, rates in self._rates.items():
             rates.close_window()
             if rates.demand():
                 uses.append(TeamUse(team, round(rates.demand()), 0))
         uses.sort(key=_by_requests, reverse=True)
-        told = max(_FEWEST_TOLD, _MOST_TOLD // max(1, round(self.interval())))
-        return tuple(uses[:told])
+        sent = max(
+            _MIN_SENT_TEAMS, _MAX_SENT_TEAMS // max(1, round(self.interval()))
+        )
+        return tuple(uses[:sent])
 
 
 def _by_requests(use: TeamUse) -> int:
--- a/bench/rates_net.py
+++ b/bench/rates_net.py
@@ -1,4 +1,4 @@
-"""Routers in one process and in virtual time, for measuring rates."""
+"""Simulated peer network in virtual time, for the rate benchmarks."""
 
 from collections import Counter, deque
 
@@ -14,23 +14,24 @@
 from balsamreach.wire.membership import Member
 from tools.measure_gossip import SimulatedClock
 
-ZONE = 34
+ROUTERS_PER_ZONE = 34
 _MAX_PEERS = 16
-_MOST_HOPS = 8
+_MAX_ROUNDS = 8
 
 
 @attrs.define(eq=False)
-class Fabric:
-    """Carries messages, and counts the bytes that each router sends.
+class SimulatedNetwork:
+    """Delivers messages and counts those that each router sends.
 
     Parameters
     ----------
     routers : int
-        Routers of the fleet, in zones of 34.
+        Number of routers, in zones of about 34.
     seed : int
-        Seed of their incarnations.
+        Seed of the routers' incarnations.
     decodes : bool
-        Whether each message is encoded and decoded, as on a link.
+        Whether each message is encoded and decoded, as on a link; bytes are
+        only counted then.
     """
 
     routers: int
@@ -39,14 +40,14 @@
     clock: SimulatedClock = attrs.field(factory=SimulatedClock)
     nets: dict[str, 'SimulatedNet'] = attrs.field(factory=dict)
     sent: Counter[str] = attrs.field(factory=Counter)
-    octets: Counter[str] = attrs.field(factory=Counter)
+    sent_bytes: Counter[str] = attrs.field(factory=Counter)
     links: set[frozenset[str]] = attrs.field(factory=set)
     sides: dict[str, int] = attrs.field(factory=dict)
     dead: set[str] = attrs.field(factory=set)
-    _waiting: deque = attrs.field(factory=deque)
+    _queue: deque = attrs.field(factory=deque)
 
     def __attrs_post_init__(self) -> None:
-        zones = max(1, round(self.routers / ZONE))
+        zones = max(1, round(self.routers / ROUTERS_PER_ZONE))
         for number in range(self.routers):
             member = Member(
                 incarnation=f'{self.seed:04x}{number * 7919 + 1:028x}',
@@ -56,66 +57,72 @@
                 started=1,
             )
             self.nets[member.incarnation] = SimulatedNet(member, self)
-        self.see()
+        self.update_members()
 
-    def see(self) -> None:
-        """Let everyone know who is alive on its side, and who is gone."""
+    def update_members(self) -> None:
+        """Update each router's members and links after a cut or a death."""
         for net in self.nets.values():
-            name = net.me.incarnation
-            side = self.sides.get(name, 0)
-            near = [
+            incarnation = net.me.incarnation
+            side = self.sides.get(incarnation, 0)
+            reachable = [
                 other.me
                 for other in self.nets.values()
                 if self.sides.get(other.me.incarnation, 0) == side
                 and other.me.incarnation not in self.dead
             ]
-            net.know(near, [one.me for one in self.nets.values()])
-        sides = {self.sides.get(name, 0) for name in self.nets}
+            net.set_members(reachable, [one.me for one in self.nets.values()])
+        sides = {self.sides.get(incarnation, 0) for incarnation in self.nets}
         for group in sorted(sides):
             self._link(group)
 
-    def post(self, source: Member, name: str, message: Message) -> None:
-        """Send a message; cuts and deaths swallow it."""
+    def send(self, source: Member, incarnation: str, message: Message) -> None:
+        """Queue a message; drop it if the receiver is cut off or dead."""
         self.sent[source.incarnation] += 1
         if self.decodes:
             packed = encode(Envelope(message))
             assert isinstance(packed, bytes), packed
-            self.octets[source.incarnation] += len(packed) + LENGTH_BYTES
+            self.sent_bytes[source.incarnation] += len(packed) + LENGTH_BYTES
             envelope = decode(packed)
             assert isinstance(envelope, Envelope), envelope
             message = envelope.message
-        pair = (source.incarnation, name)
+        pair = (source.incarnation, incarnation)
         self.links.add(frozenset(pair))
         sides = {self.sides.get(one, 0) for one in pair}
         if len(sides) == 1 and not self.dead.intersection(pair):
-            self._waiting.append((source, name, message))
+            self._queue.append((source, incarnation, message))
 
-    def forget(self) -> None:
-        """Count from now on."""
+    def reset_counts(self) -> None:
+        """Reset the counts of messages and bytes."""
         self.sent.clear()
-        self.octets.clear()
+        self.sent_bytes.clear()
 
-    def links_each(self) -> list[int]:
-        """Return how many routers each has sent to or heard of."""
-        ends = Counter(name for link in self.links for name in link)
+    def links_per_router(self) -> list[int]:
+        """Return the number of routers that each exchanged messages with."""
+        ends = Counter(
+            incarnation for link in self.links for incarnation in link
+        )
         return list(ends.values())
 
     async def deliver(self) -> None:
-        """Deliver what waits and what that causes, some steps far."""
-        for _ in range(_MOST_HOPS):
-            if not self._waiting:
+        """Deliver queued messages and those sent in response.
+
+        Stops after `_MAX_ROUNDS` rounds.
+        """
+        for _ in range(_MAX_ROUNDS):
+            if not self._queue:
                 return
-            waiting = self._waiting
-            self._waiting = deque()
-            for source, name, message in waiting:
-                net = self.nets[name]
+            queue = self._queue
+            self._queue = deque()
+            for source, incarnation, message in queue:
+                net = self.nets[incarnation]
                 await net.handlers[type(message)](source, message)
 
     def _link(self, group: int) -> None:
         nets = [
             net
-            for name, net in self.nets.items()
-            if self.sides.get(name, 0) == group and name not in self.dead
+            for incarnation, net in self.nets.items()
+            if self.sides.get(incarnation, 0) == group
+            and incarnation not in self.dead
         ]
         rings = Rings((net.me for net in nets), _MAX_PEERS)
         for net in nets:
@@ -128,43 +135,43 @@
 
 @attrs.define(eq=False)
 class SimulatedNet(PeerNet):
-    """One router's net."""
+    """Peer network of one router."""
 
-    fabric: Fabric
+    network: SimulatedNetwork
     linked: dict[str, Member] = attrs.field(factory=dict)
     handlers: dict[type[Message], Handler] = attrs.field(factory=dict)
     _alive: tuple[Member, ...] = ()
-    _gone: tuple[Member, ...] = ()
+    _dead: tuple[Member, ...] = ()
     _homes: dict[str, Member] = attrs.field(factory=dict)
 
-    def know(self, alive: list[Member], every: list[Member]) -> None:
-        """Hold these to be alive, and the others to be dead."""
+    def set_members(self, alive: list[Member], every: list[Member]) -> None:
+        """Set the members; all other routers count as dead."""
         names = {member.incarnation for member in alive}
         self._alive = tuple(alive)
-        self._gone = tuple(one for one in every if one.incarnation not in names)
+        self._dead = tuple(one for one in every if one.incarnation not in names)
         self._homes = {}
 
     def members(self) -> tuple[Member, ...]:
-        """Return the routers held to be alive."""
+        """Return the routers that count as alive."""
         return self._alive
 
     def dead_members(self) -> tuple[Member, ...]:
-        """Return the routers held to be dead."""
-        return self._gone
+        """Return the routers that count as dead."""
+        return self._dead
 
     def neighbours(self) -> tuple[Member, ...]:
         """Return the linked routers."""
         return tuple(self.linked.values())
 
     def home(self, key: str) -> Member:
-        """Return a key's home in the zone."""
+        """Return the home router of a key in the own zone."""
         if key not in self._homes:
             local = pick_local(self._alive, self.me.zone)
             self._homes[key] = highest_weight_member(key, local) or self.me
         return self._homes[key]
 
     def on(self, kind: type[Message], handler: Handler) -> None:
-        """Register a handler."""
+        """Register the handler of a message type."""
         self.handlers[kind] = handler
 
     async def ask(
@@ -173,16 +180,16 @@
         message: Message,
         timeout_gaps: int = 1,
     ) -> Message | PeerFault:
-        """Answer nothing; rates ask nobody."""
+        """Return `NO_ANSWER`, since rate limits send no requests."""
         return NO_ANSWER
 
     def tell(self, incarnation: str, message: Message) -> bool:
         """Send a message."""
-        self.fabric.post(self.me, incarnation, message)
+        self.network.send(self.me, incarnation, message)
         return True
 
     def tell_neighbours(self, message: Message, exclude: str = '') -> None:
-        """Send to the linked routers."""
-        for name in tuple(self.linked):
-            if name != exclude:
-                self.tell(name, message)
+        """Send a message to all linked routers but one."""
+        for incarnation in tuple(self.linked):
+            if incarnation != exclude:
+                self.tell(incarnation, message)
--- a/bench/routing_hedges.py
+++ b/bench/routing_hedges.py
@@ -1,4 +1,4 @@
-"""Measures hedges by real attempts at fake targets, one of them slow."""
+"""Benchmark of hedged requests with fake targets, one of them slow."""
 
 import asyncio
 import itertools
@@ -21,52 +21,52 @@
 from balsamreach.table.rows import ENGINE, TargetRow, TeamRow
 from balsamreach.targets.registry import LoadReport, Targets
 from balsamreach.telemetry.metrics import Metrics
-from bench.routing_fleet import REPORT_INTERVAL
+from bench.routing_fleet import REPORT_INTERVAL_S
 from bench.routing_loop import LoopClock, run_virtually
 from bench.routing_scenarios import quantile
 
 MODEL = 'model-a'
 _TARGETS = 8
 _REQUESTS = 6000
-#: Requests a second; the targets' slots are used to a quarter and to 0.7.
+#: Requests per second, which use 0.25 and 0.7 of the targets' slots.
 _RATES = (40.0, 110.0)
 _SLOTS = 4
-_USUAL = 0.1
-_SLOWER = 20.0
+_USUAL_S = 0.1
+_SLOW_FACTOR = 20.0
 _WORDS = 10
 _TEAM = TeamRow(name='team', prepaid=1)
-_KIND = {'content-type': 'text/event-stream'}
+_HEADERS = {'content-type': 'text/event-stream'}
 
 
 @attrs.define(eq=False)
 class _Engines(Upstream):
-    """Streams that take longer for their first event at one target."""
+    """Fake engines; one target takes longer for the first event."""
 
     rng: random.Random
     slow: str
     sent: int = 0
-    at_slow: int = 0
+    sent_to_slow: int = 0
     _busy: Counter[str] = attrs.field(factory=Counter)
     _slots: dict[str, asyncio.Semaphore] = attrs.field(factory=dict)
 
     async def send(self, attempt: Attempt, intake: Intake) -> None:
-        """Answer a request; a cancel needs no answer."""
+        """Answer a request; a cancellation needs no answer."""
         if attempt.call.method == 'DELETE' or not intake.may_send():
             return
         self.sent += 1
         name = attempt.target.name
-        self.at_slow += name == self.slow
+        self.sent_to_slow += name == self.slow
         slots = self._slots.setdefault(name, asyncio.Semaphore(_SLOTS))
         self._busy[name] += 1
         try:
             async with slots:
-                slower = _SLOWER if name == self.slow else 1
-                await self._generate(intake, slower)
+                factor = _SLOW_FACTOR if name == self.slow else 1
+                await self._generate(intake, factor)
         finally:
             self._busy[name] -= 1
 
     async def report(self, targets: Targets) -> None:
-        """Tell each target's load again and again."""
+        """Report the load of each target periodically."""
         while True:
             now = asyncio.get_running_loop().time()
             for name, target in targets.by_name.items():
@@ -79,37 +79,37 @@
                     valid_at=now,
                 )
                 target.apply_report(report, now)
-            await asyncio.sleep(REPORT_INTERVAL)
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
-    async def _generate(self, intake: Intake, slower: float) -> None:
+    async def _generate(self, intake: Intake, factor: float) -> None:
         await asyncio.sleep(
-            slower * _USUAL * self.rng.lognormvariate(0, 0.5),
+            factor * _USUAL_S * self.rng.lognormvariate(0, 0.5),
         )
-        intake.start(200, _KIND)
+        intake.start(200, _HEADERS)
         for _ in range(_WORDS):
             intake.write(b'data: {}\n\n')
-            await asyncio.sleep(_USUAL / _WORDS)
+            await asyncio.sleep(_USUAL_S / _WORDS)
         intake.write(b'data: [DONE]\n\n')
 
 
 @attrs.define(eq=False)
 class _Caller(Output):
-    """Notes when its first byte came."""
+    """Output that records the time of its first byte."""
 
     status: int = 0
     first_at: float = 0
 
     def start(self, status: int, headers: dict[str, str]) -> None:
-        """Take the head, with the first bytes behind it."""
+        """Record status and time; the first bytes follow at once."""
         self.status = status
         self.first_at = asyncio.get_running_loop().time()
 
     def write(self, chunk: bytes) -> None:
-        """Drop the body."""
+        """Discard the body."""
 
 
 def measure_hedges(seed: int) -> list[dict]:
-    """Compare the time to the first byte with and without hedges."""
+    """Compare the time to first byte with and without hedging."""
     return [
         run_virtually(_measure(hedge, slow, rate, seed))
         for rate, slow, hedge in itertools.product(
@@ -137,7 +137,7 @@
     engines = _Engines(rng, slow)
     parts = make_attempt_parts(cfg.requests, routing, engines)
     reporting = asyncio.create_task(engines.report(targets))
-    whole = await _run_all(parts, rng, rate)
+    first_byte_times = await _run_all(parts, rng, rate)
     reporting.cancel()
     return {
         'scenario': 'hedges',
@@ -145,12 +145,12 @@
         'rate': rate,
         'slow_targets': 1 if slow else 0,
         'requests': _REQUESTS,
-        'not_answered': _REQUESTS - len(whole),
-        'ttft_p50': quantile(whole, 0.5),
-        'ttft_p95': quantile(whole, 0.95),
-        'ttft_p99': quantile(whole, 0.99),
+        'not_answered': _REQUESTS - len(first_byte_times),
+        'ttft_p50': quantile(first_byte_times, 0.5),
+        'ttft_p95': quantile(first_byte_times, 0.95),
+        'ttft_p99': quantile(first_byte_times, 0.99),
         'attempts_per_request': engines.sent / _REQUESTS,
-        'share_at_slow': engines.at_slow / _REQUESTS,
+        'share_at_slow': engines.sent_to_slow / _REQUESTS,
     }
 
 
@@ -163,8 +163,8 @@
     for number in range(_REQUESTS):
         await asyncio.sleep(rng.expovariate(rate))
         running.append(asyncio.create_task(_run(parts, number)))
-    firsts = await asyncio.gather(*running)
-    return [first for first in firsts if first is not None]
+    first_byte_times = await asyncio.gather(*running)
+    return [seconds for seconds in first_byte_times if seconds is not None]
 
 
 async def _run(parts, number: int) -> float | None:
--- a/bench/slopes_memory.py
+++ b/bench/slopes_memory.py
@@ -1,4 +1,4 @@
-"""Memory of one more team, target, peer, link, ledger, bill and answer."""
+"""Memory per team, target, peer, link, ledger, bill and answer."""
 
 import asyncio
 import random
@@ -26,8 +26,10 @@
 def _table(size: Size) -> Mapping[str, float]:
     count = size.scale(8000, 200)
     return {
-        'team_view_bytes': table_size.memory_slope(table_size.team, count),
-        'target_view_bytes': table_size.memory_slope(table_size.target, count),
+        'team_view_bytes': table_size.bytes_per_row(table_size.team_row, count),
+        'target_view_bytes': table_size.bytes_per_row(
+            table_size.target_row, count
+        ),
     }
 
 
@@ -42,17 +44,17 @@
 def _budgets(size: Size) -> Mapping[str, float]:
     count = size.scale(4000, 100)
     return {
-        'ledger_bytes': bytes_each(_run(_with_ledgers), count),
-        'waiting_bill_bytes': bytes_each(_run(_with_bills), count),
+        'ledger_bytes': bytes_each(_run_async(_with_ledgers), count),
+        'waiting_bill_bytes': bytes_each(_run_async(_with_bills), count),
     }
 
 
-def _run(make: Callable[[int], Any]) -> Callable[[int], Any]:
+def _run_async(make: Callable[[int], Any]) -> Callable[[int], Any]:
     return lambda count: asyncio.run(make(count))
 
 
 async def fund(teams: list[str], clock: Clock) -> MemoryPlatform:
-    """Return a platform that holds a full account for each team."""
+    """Return a platform with a prepaid account for each team."""
     platform = MemoryPlatform.start(clock)
     account = encode_record(Account(prepaid=_PREPAID))
     for name in teams:
@@ -69,7 +71,7 @@
     budgets = Budgets(platform.table, 'r', cfg.budget, clock)
     for name in names:
         budgets.release(await budgets.reserve(name, _TOKENS))
-    # The rows of the table service are the platform's, not the router's.
+    # Rows of the table service don't count, since they belong to the platform.
     budgets.service = None
     return budgets.ledgers, budgets
 
@@ -90,7 +92,7 @@
 
 def _answers(size: Size) -> Mapping[str, float]:
     count = size.scale(8000, 100)
-    each = bytes_each(_run(_with_answers), count)
+    each = bytes_each(_run_async(_with_answers), count)
     return {'kept_answer_bytes_beyond_body': each - len(_ANSWER)}
 
 
@@ -101,7 +103,7 @@
         key = f'key-{number:032}'
         answer = answers.open(RequestId('team', key, False, f'{number:064x}'))
         answer.start(200, {'Content-Type': f'text/event-stream; n={number}'})
-        # Each body is text of its own, as it comes from a target.
+        # Each body is a separate object, like one received from a target.
         answer.write(bytes(bytearray(_ANSWER)))
         answers.finish(answer, AnswerEnd(is_complete=True))
     await asyncio.sleep(0)
--- a/bench/slopes_routing.py
+++ b/bench/slopes_routing.py
@@ -1,4 +1,4 @@
-"""Memory, edits and placements of targets at the letter's size."""
+"""Memory, edits and placements with 10,000 targets."""
 
 import functools
 import random
@@ -20,46 +20,47 @@
 
 
 def _memory(size: Size) -> Mapping[str, float]:
-    # Whole sums, since a mapping that grows by doubling has no even slope.
+    # Totals are reported, since a dict grows by doubling and its memory has no
+    # constant slope.
     count = size.scale(routing_cpu.TARGETS, 2000)
     _rows()
     return {
-        'listed_10000_bytes': bytes_of(_list, count),
-        'found_10000_bytes': bytes_of(_find, count),
-        'used_10000_bytes': bytes_of(_use, count),
+        'listed_10000_bytes': bytes_of(_make_targets, count),
+        'found_10000_bytes': bytes_of(_route_every_model, count),
+        'used_10000_bytes': bytes_of(_use_all_targets, count),
     }
 
 
 @functools.cache
 def _rows() -> list[TargetRow]:
-    # The rows are the view's; only what is kept beside them counts.
+    # Created before the measurement, since the rows belong to the table view.
     return routing_cpu.make_rows()
 
 
-def _list(count: int) -> Targets:
+def _make_targets(count: int) -> Targets:
     targets = Targets()
     targets.update(_rows()[:count])
     return targets
 
 
-def _route(targets: Targets) -> Routing:
+def _make_routing(targets: Targets) -> Routing:
     cfg = read_settings(None, ('host.zone=zone-0',))
     rng = random.Random(1)
     return make_routing(cfg, targets, LoopClock(), rng, Metrics())
 
 
-def _find(count: int) -> Routing:
-    # A request for each model was placed in the own zone.
-    routing = _route(_list(count))
+def _route_every_model(count: int) -> Routing:
+    # One request for each model has been placed in the own zone.
+    routing = _make_routing(_make_targets(count))
     models = routing_cpu.MODELS
     run_virtually(routing_cpu.place(routing, models, random.Random(1)))
     return routing
 
 
-def _use(count: int) -> Routing:
-    # Every target was sent requests, as after days in which some left their
-    # zone.
-    routing = _find(count)
+def _use_all_targets(count: int) -> Routing:
+    # All targets have received requests, as after days in which some requests
+    # went to other zones.
+    routing = _route_every_model(count)
     for pool in _pools(routing):
         for state in pool.full_group.members:
             state.take_slot(0)
@@ -75,7 +76,7 @@
 
 
 def _edits(size: Size) -> Mapping[str, float]:
-    # Each edit together with the next look for the edited target's pool.
+    # Each edit includes the next look-up of the edited target's pool.
     count = size.scale(100, 2)
     return {
         f'{field}_of_10000_us': run_virtually(_edit(count, field))
@@ -84,13 +85,13 @@
 
 
 async def _edit(count: int, field: str) -> float:
-    targets = _list(routing_cpu.TARGETS)
-    routing = _route(targets)
+    targets = _make_targets(routing_cpu.TARGETS)
+    routing = _make_routing(targets)
     await routing_cpu.place(routing, routing_cpu.MODELS, random.Random(1))
     find = routing.admission.picker.pools.find
     began = time.process_time()
     for number in range(count):
-        # Every one stands in the own zone, which is the dearer case.
+        # All edited targets are in the own zone, which is the slower case.
         row = _rows()[number * routing_cpu.ZONES % routing_cpu.TARGETS]
         edited = attrs.evolve(row, **{field: 2 + number % 3})
         targets.put({row.name: edited})
@@ -109,7 +110,7 @@
         attrs.evolve(row, zone='zone-0', models=('model-0',))
         for row in _rows()[:_NEAR_TARGETS]
     )
-    routing = _route(targets)
+    routing = _make_routing(targets)
     rng = random.Random(size.seed)
     began = time.process_time()
     await routing_cpu.place(routing, count, rng, models=1)
--- a/bench/table_size.py
+++ b/bench/table_size.py
@@ -1,4 +1,4 @@
-"""Memory of rows in force, and what a start reads."""
+"""Memory per table row, and cost of reading the table at the start."""
 
 import gc
 import json
@@ -22,19 +22,19 @@
 _COMMIT_ROWS = 100
 
 
-def team(number: int) -> Row:
-    """Return a team's row as operators would fill it."""
+def team_row(number: int) -> Row:
+    """Return a row of a team with typical fields."""
     row = rows.TeamRow(
         name=f'team-{number:05}',
         prepaid=1_000_000,
         models={'model-a': 1, 'model-b': 2},
         key_hashes=(hash_key(str(number)),),
     )
-    return Row(row.key, number + 1, _as_read(row))
+    return Row(row.key, number + 1, _through_json(row))
 
 
-def target(number: int) -> Row:
-    """Return a target's row."""
+def target_row(number: int) -> Row:
+    """Return a row of a target."""
     row = rows.TargetRow(
         name=f'target-{number:05}',
         address=f'10.0.{number // 250}.{number % 250}:8000',
@@ -42,16 +42,16 @@
         service='llm',
         models={'model-a': 1},
     )
-    return Row(row.key, number + 1, _as_read(row))
+    return Row(row.key, number + 1, _through_json(row))
 
 
-def _as_read(row: rows.TableRow) -> dict[str, Any]:
-    # What comes out of JSON shares no text with other rows.
+def _through_json(row: rows.TableRow) -> dict[str, Any]:
+    # Strings decoded from JSON are not shared with other rows, as in use.
     return json.loads(json.dumps(rows.encode(row)))
 
 
-def memory_slope(make: Any, count: int) -> float:
-    """Return bytes of a view per row of one kind."""
+def bytes_per_row(make: Any, count: int) -> float:
+    """Return the bytes per row of a table view."""
     sizes = []
     for share in (2, 1):
         gc.collect()
@@ -67,16 +67,16 @@
 
 @attrs.frozen
 class Start:
-    """What one start cost."""
+    """Cost of one start."""
 
     reads: int
     seconds: float
 
 
-async def starts() -> dict[str, Any]:
+async def measure_starts() -> dict[str, Any]:
     """Return the cost of a start by scan and by snapshot."""
     platform = MemoryPlatform.start(SystemClock())
-    await _fill(platform)
+    await _write_teams(platform)
     by_scan, view = await _start(platform)
     snapshots = Snapshots(platform.objects, SystemClock(), Metrics())
     began = time.perf_counter()
@@ -92,11 +92,11 @@
     }
 
 
-async def _fill(platform: MemoryPlatform) -> None:
+async def _write_teams(platform: MemoryPlatform) -> None:
     for first in range(0, TEAMS, _COMMIT_ROWS):
         writes = tuple(
             Write(row.key, row.value)
-            for row in map(team, range(first, first + _COMMIT_ROWS))
+            for row in map(team_row, range(first, first + _COMMIT_ROWS))
         )
         await platform.table.commit(Commit(writes))
 
--- a/bench/table_spread.py
+++ b/bench/table_spread.py
@@ -1,4 +1,4 @@
-"""Routers of the table over the real net, in one process."""
+"""Propagation of table edits over a real peer network in one process."""
 
 import asyncio
 import random
@@ -27,30 +27,30 @@
 
 ROUTERS = 30
 _ZONES = 10
-_MEET_S = 6
-_LAST_S = 15
+_JOIN_S = 6
+_SETTLE_S = 15
 
 
 @attrs.define(eq=False)
 class Node:
-    """One router's net and table."""
+    """Peer network and table of one router."""
 
     net: TcpPeerNet
     parts: TableParts
     access: PlatformAccess
     metrics: Metrics
-    seen: dict[str, float] = attrs.field(factory=dict)
+    in_force_at: dict[str, float] = attrs.field(factory=dict)
     task: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Open the net and follow the table."""
+        """Start the peer network and follow the table."""
         await self.net.start()
-        self.parts.view.watchers.append(self._note)
+        self.parts.view.watchers.append(self._record_time)
         self.parts.follower.start()
         self.task = asyncio.create_task(self._follow())
 
     async def stop(self) -> None:
-        """Stop both."""
+        """Stop following the table and the peer network."""
         self.task.cancel()
         await self.net.stop()
 
@@ -59,22 +59,22 @@
             await self.parts.follower.step()
             await self.parts.follower.pause()
 
-    def _note(self, fresh: tuple[Row, ...]) -> None:
+    def _record_time(self, changed: tuple[Row, ...]) -> None:
         now = time.monotonic()
-        for row in fresh:
-            self.seen[f'{row.key}@{row.version}'] = now
+        for row in changed:
+            self.in_force_at[f'{row.key}@{row.version}'] = now
 
 
 @attrs.define
-class Spread:
-    """A fleet on one platform in memory."""
+class TableFleet:
+    """Fleet of routers on one in-memory platform."""
 
     platform: MemoryPlatform
     nodes: list[Node]
     rng: random.Random
 
     @classmethod
-    async def start(cls, seed: int) -> 'Spread':
+    async def start(cls, seed: int) -> 'TableFleet':
         """Start all routers and wait until they know each other."""
         platform = MemoryPlatform.start(SystemClock())
         nodes: list[Node] = []
@@ -83,20 +83,23 @@
             node = make_node(number, platform, seeds, seed)
             await node.start()
             nodes.append(node)
-        await asyncio.sleep(_MEET_S)
+        await asyncio.sleep(_JOIN_S)
         return cls(platform, nodes, random.Random(seed))
 
     async def stop(self) -> None:
         """Stop all routers."""
         await asyncio.gather(*(node.stop() for node in self.nodes))
 
-    async def edits(
+    async def time_edits(
         self,
         editor: Editor | None,
         count: int,
         pause: float = 0.2,
     ) -> list[float]:
-        """Return seconds from each accept to in force at each router."""
+        """Make edits; return the seconds until each is in force, by router.
+
+        The result has infinity for an edit that did not arrive.
+        """
         accepted: dict[str, float] = {}
         for number in range(count):
             key = f'table/team/t{number % 50}'
@@ -106,15 +109,15 @@
             outcome = await chosen.apply(edit)
             accepted[f'{key}@{outcome.version}'] = time.monotonic()
             await asyncio.sleep(self.rng.uniform(0, pause))
-        await asyncio.sleep(_LAST_S)
+        await asyncio.sleep(_SETTLE_S)
         return [
-            max(0, node.seen.get(mark, float('inf')) - at)
+            max(0, node.in_force_at.get(mark, float('inf')) - at)
             for mark, at in accepted.items()
             for node in self.nodes
         ]
 
     def bytes_out(self) -> float:
-        """Return what all routers sent to peers so far."""
+        """Return the bytes that all routers have sent to peers."""
         return sum(
             node.metrics.counted(BYTES, way='out') for node in self.nodes
         )
@@ -126,7 +129,7 @@
     seeds: list[str],
     seed: int,
 ) -> Node:
-    """Make one router; nothing is opened yet."""
+    """Create one router without starting it."""
     zone = f'zone-{number % _ZONES}'
     overrides = (f'host.zone={zone}', 'peers.port=0')
     cfg = read_settings(None, overrides)
--- a/tests/test_bench_budgets.py
+++ b/tests/test_bench_budgets.py
@@ -1,4 +1,4 @@
-"""Small runs of the budget benchmark; only counts are checked."""
+"""Small runs of the budget benchmark; checks counts, not timings."""
 
 import unittest
 
@@ -10,10 +10,10 @@
 from bench.routing_loop import run_virtually
 
 _LOAD = Load(routers=4, teams=3, rate=4, length=40)
-_NO_FAILURES = Scenario(_LOAD)
-_SMALL_BUDGETS = Scenario(_LOAD, fund=0.5)
+_NO_FAULT = Scenario(_LOAD)
+_UNDERFUNDED = Scenario(_LOAD, fund=0.5)
 _PARTITION = Scenario(_LOAD, fund=1, top_up=1, begin=0.3, end=0.7, cuts=True)
-_OUTAGE = Scenario(_LOAD, begin=0.3, end=0.7, down=True)
+_PLATFORM_DOWN = Scenario(_LOAD, begin=0.3, end=0.7, down=True)
 _LOST_ANSWERS = Scenario(_LOAD, losing=0.3)
 
 
@@ -29,17 +29,17 @@
         [
             (name, posture, scenario)
             for name, scenario in (
-                ('calm', _NO_FAILURES),
-                ('spent', _SMALL_BUDGETS),
+                ('calm', _NO_FAULT),
+                ('spent', _UNDERFUNDED),
                 ('cut', _PARTITION),
-                ('down', _OUTAGE),
+                ('down', _PLATFORM_DOWN),
                 ('losing', _LOST_ANSWERS),
             )
             for posture in ('strict', 'lenient')
         ]
     )
-    def test_budget_invariants(self, name, posture, scenario):
-        """No tokens are overspent or left unbilled."""
+    def test_books_balance(self, name, posture, scenario):
+        """Nothing is overspent or left unbilled."""
         figures = _run(scenario, posture=posture)
         self.assertEqual(figures['overspend_tokens'], 0)
         self.assertEqual(figures['breaches'], 0)
@@ -47,23 +47,23 @@
         self.assertGreater(figures['requests'], 500)
 
     @parameterized.expand([('central',), ('static',)])
-    def test_baselines_do_not_overspend(self, policy):
-        """A baseline policy that overspends is no valid comparison."""
-        figures = _run(_SMALL_BUDGETS, policy)
+    def test_baselines_keep_the_budget(self, policy):
+        """Baselines don't overspend, else a comparison would mean nothing."""
+        figures = _run(_UNDERFUNDED, policy)
         self.assertEqual(figures['overspend_tokens'], 0)
         self.assertGreater(figures['refused_share'], 0)
 
-    def test_same_seed_gives_same_figures(self):
-        """Two runs with the same seed return the same figures."""
+    def test_same_seed_same_figures(self):
+        """Two runs with the same seed have equal figures."""
         self.assertEqual(_run(_PARTITION), _run(_PARTITION))
 
-    def test_refusals_during_partition_are_counted_separately(self):
-        """False refusals during an outage are counted separately."""
+    def test_cut_is_told_from_reachable(self):
+        """False refusals are counted separately while there is no platform."""
         partition = _run(_PARTITION)
-        self.assertEqual(_run(_NO_FAILURES)['false_away_share'], 0)
-        refused, false_up, false_away = (
+        self.assertEqual(_run(_NO_FAULT)['false_away_share'], 0)
+        refused, up, away = (
             round(partition[f'{name}_share'] * partition['requests'])
             for name in ('refused', 'false_up', 'false_away')
         )
-        self.assertGreater(false_away, 0)
-        self.assertGreaterEqual(refused, false_up + false_away)
+        self.assertGreater(away, 0)
+        self.assertGreaterEqual(refused, up + away)
--- a/tests/test_bench_slopes.py
+++ b/tests/test_bench_slopes.py
@@ -1,4 +1,4 @@
-"""Smoke runs of the measurements of slopes; only counts are checked."""
+"""Smoke run of the slope measurements; checks counts, not timings."""
 
 import json
 import os
@@ -11,8 +11,8 @@
 from parameterized import parameterized
 
 _ROOT = Path(__file__).resolve().parent.parent
-#: Counts, which are the same in every run, unlike times.
-_EXPECTED_COUNTS = (
+#: Figures that are counts, so that they are equal in every run.
+_COUNTED = (
     ('spread', 'use_copies_each_at_8', 7 / 8),
     ('spread', 'edit_reached_share_at_8', 1),
     ('messages', 'heartbeat_bytes', 25),
@@ -41,7 +41,7 @@
 
 
 class SlopesTest(unittest.TestCase):
-    """One small run of all measurements except those of links and streams."""
+    """Small run of most measurements, without those of links and streams."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -49,7 +49,7 @@
         cls.addClassCleanup(directory.cleanup)
         paths = os.pathsep.join((str(_ROOT / 'src'), str(_ROOT)))
         command = (sys.executable, '-m', 'bench.slopes', *_NAMES)
-        cls.completed = subprocess.run(
+        cls.done = subprocess.run(
             (*command, '--smoke', '--runs', '1'),
             cwd=directory.name,
             env=os.environ | {'PYTHONPATH': paths},
@@ -58,23 +58,21 @@
             timeout=200,
             check=False,
         )
-        output = Path(directory.name) / 'build' / 'bench' / 'slopes.json'
-        cls.slopes = json.loads(output.read_text())['slopes']
+        out = Path(directory.name) / 'build' / 'bench' / 'slopes.json'
+        cls.slopes = json.loads(out.read_text())['slopes']
 
     @parameterized.expand([(name,) for name in _NAMES])
-    def test_every_measurement_has_figures(self, name: str) -> None:
-        self.assertEqual(self.completed.returncode, 0, self.completed.stderr)
+    def test_measures(self, name: str) -> None:
+        self.assertEqual(self.done.returncode, 0, self.done.stderr)
         figures = self.slopes[name]
         self.assertTrue(figures)
         self.assertEqual({one['runs'] for one in figures.values()}, {1})
 
-    @parameterized.expand(_EXPECTED_COUNTS)
-    def test_expected_counts(
-        self, name: str, figure: str, expected: float
-    ) -> None:
+    @parameterized.expand(_COUNTED)
+    def test_counts(self, name: str, figure: str, expected: float) -> None:
         self.assertEqual(self.slopes[name][figure]['median'], expected)
 
     def test_counts_conflicts(self) -> None:
-        """Many drawers on one account cause conflicts, which are counted."""
-        contention = self.slopes['contention']
-        self.assertGreater(contention['commits_per_draw_at_64']['median'], 1)
+        """Conflicts between routers that draw from one account are counted."""
+        crowd = self.slopes['contention']
+        self.assertGreater(crowd['commits_per_draw_at_64']['median'], 1)
