--- a/src/balsamreach/routing/pools.py
+++ b/src/balsamreach/routing/pools.py
@@ -197,7 +197,7 @@
             return None
         return faults.TARGETS_BACK_OFF.with_retry_after(
             first - now,
-            'all targets asked for no requests',
+            'all targets asked to receive no requests',
         )
 
     @property
