--- a/src/balsamreach/ui/trial.py
+++ b/src/balsamreach/ui/trial.py
@@ -95,7 +95,7 @@
             f'{callers}/v1/chat/completions'
         ),
         "The team's budget": f'curl {bearer} {operators}/budgets/{TEAM}',
-        'An edit of the table that pauses the team': (
+        'An edit of the table, which pauses the team': (
             f"curl -X PATCH {bearer} -d '{pause}' {operators}/table/team/{TEAM}"
         ),
     }
